--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -1,35 +1,35 @@
-// Package pacing spaces what a gateway sends without a client's request, such
-// as calls for lists, so that the sum over a fleet stays within what the asked
-// can bear. It does no I/O: the caller waits as long as it is told.
+// Package pacing determines the delays between calls that a gateway makes on its own, such as
+// calls to discovery, so that the calls of all gateways together don't overload the service that
+// they call. It does no I/O and starts no timers: the caller waits for the delay it returns.
 package pacing
 
 import "math/rand"
 
-// Backoff gives the waits between tries that fail one after the other: the
-// first, then twice as long each time up to the last, each drawn from its upper
-// half so that gateways that failed together do not come again together.
+// Backoff is an exponential backoff for consecutive failures: the delay starts at Initial and
+// doubles up to Max. Each delay is drawn from its upper half, so that gateways that failed
+// together do not retry together.
 type Backoff struct {
-	First float64 // ms
-	Last  float64 // ms, at least First
-	Rand  *rand.Rand
-	fails int
+	Initial  float64 // ms
+	Max      float64 // ms, at least Initial
+	Rand     *rand.Rand
+	failures int
 }
 
-// Next is the ms to wait after one more failure.
+// Next records a failure and returns the delay before the next try in ms.
 func (b *Backoff) Next() float64 {
-	wait := b.First
-	for range b.fails {
-		wait = min(2*wait, b.Last)
-		if wait == b.Last {
+	wait := b.Initial
+	for range b.failures {
+		wait = min(2*wait, b.Max)
+		if wait == b.Max {
 			break
 		}
 	}
-	b.fails++
-	return b.Draw(wait)
+	b.failures++
+	return b.Jitter(wait)
 }
 
-// Reset tells of a success: the next failure is a first one again.
-func (b *Backoff) Reset() { b.fails = 0 }
+// Reset records a success: the delay after the next failure starts at Initial again.
+func (b *Backoff) Reset() { b.failures = 0 }
 
-// Draw gives a time between half and the whole of ms.
-func (b *Backoff) Draw(ms float64) float64 { return ms * (0.5 + b.Rand.Float64()/2) }
+// Jitter returns a random time between half of ms and ms.
+func (b *Backoff) Jitter(ms float64) float64 { return ms * (0.5 + b.Rand.Float64()/2) }
--- a/internal/pacing/reopen.go
+++ b/internal/pacing/reopen.go
@@ -2,87 +2,89 @@
 
 import "math/rand"
 
-// Times of calls for lists, in milliseconds. What a gateway missed counts as told 6 s
-// after its watch fell silent (2 s after the wait of a call that may wait, if that is
-// later), whether or not it arrived, and whatever calls failed, were refused or given up,
-// a change does 6 s after discovery had it and could be reached; a send must end 1 s after
-// that. Whatever the number of gateways, the wait behind a call, or a call that stays silent
-// with the wait behind it, has to end within that and leave time for the next to be answered.
+// Times of the calls to discovery, in ms. A membership update that a gateway missed counts as
+// received 6 s after its watch fell silent (or 2 s after the wait of a long-polling call, if that
+// is later), whether or not it arrived. Whatever calls failed, were refused or were given up, an
+// update counts as received 6 s after discovery had it and was reachable. Sends that contradict it
+// must end 1 s after that. So for any number of gateways, the delay after a failed call, and a call
+// without a response together with the delay after it, must end within that time and leave time
+// for the next call to be answered.
 const (
-	WatchHold  = 2000.0 // that a watch may wait
-	WatchSlack = 1000.0 // and how much later its answer is given up
-	agentHold  = 200.0  // that a call may wait at an agent that has been silent
-	agentSlack = 300.0  // and how much later that is given up
-	agentFirst = 100.0  // from a failed call at an agent to the next; a watch goes on for 200
-	agentLast  = 200.0  //
-	callEvery  = 40.0   // between the calls of all gateways, at a discovery that they share
-	silentMost = 2000.0 // from a silent call there to the next
-	failedMost = 4500.0 // from one that it failed
+	WatchWait          = 2000.0 // that discovery may hold a watch
+	WatchSlack         = 1000.0 // after which the call is given up, counted from the end of WatchWait
+	agentWait          = 200.0  // that an agent may hold a call after a failed one
+	agentSlack         = 300.0  // after which that call is given up, counted from the end of agentWait
+	agentInitialDelay  = 100.0  // initial delay after a failed call to an agent, which holds calls for 200 until one is answered
+	agentMaxDelay      = 200.0  // longest delay after one
+	sharedCallInterval = 40.0   // between the calls of all gateways to a discovery service that they share
+	maxSilentDelay     = 2000.0 // longest delay there after a call without a response
+	maxFailedDelay     = 4500.0 // longest delay there after a failed call
 )
 
-// Reopen says how calls for lists follow one another. An agent of the gateway's own
-// costs nobody and has the news from the moment that it answers again: it is asked
-// again at once, with calls that wait little until one is answered. A discovery that
-// all gateways share would be kept busy with calls that it fails, so that none is
-// answered any more: those are spread by the fleet's size. A call that it left silent
-// is opened anew sooner, as the rule has it.
-type Reopen struct {
-	gateways       int
-	shared         bool
-	most           float64 // of a wait after a failed call at a shared discovery
-	silent, failed Backoff
-	doubt          bool // the last call was not answered
+// WatchSchedule determines the timeouts of calls to discovery and the delays after failed ones. An
+// agent of the gateway's own serves no other gateway and has the updates as soon as it responds
+// again: it is called again soon, with short waits until a call is answered. A discovery service
+// that all gateways share would be kept busy with calls that it fails, until none is answered: the
+// delays there grow with the number of gateways. A call there that got no response is repeated
+// sooner than a failed one, because the 6 s begin when the watch falls silent.
+type WatchSchedule struct {
+	gateways                     int
+	shared                       bool
+	maxDelay                     float64 // ms; longest delay after a failed call to a shared discovery service
+	silentBackoff, failedBackoff Backoff
+	lastFailed                   bool // the last call was not answered
 }
 
-// NewReopen is for one of so many gateways. Shared says that discovery has to be asked
-// and serves them all. askMs is how long what is listed may go unasked for; 0 = not told.
-func NewReopen(gateways int, shared bool, askMs float64, r *rand.Rand) *Reopen {
+// NewWatchSchedule returns the schedule of one of so many gateways. shared says that discovery must
+// be polled and serves all of them. maxDelayMs is how long the membership may go without a call;
+// 0 means no limit.
+func NewWatchSchedule(gateways int, shared bool, maxDelayMs float64, r *rand.Rand) *WatchSchedule {
 	if !shared {
-		b := Backoff{First: agentFirst, Last: agentLast, Rand: r}
-		return &Reopen{silent: b, failed: b}
+		backoff := Backoff{Initial: agentInitialDelay, Max: agentMaxDelay, Rand: r}
+		return &WatchSchedule{silentBackoff: backoff, failedBackoff: backoff}
 	}
-	p := &Reopen{gateways: gateways, shared: true, most: failedMost, silent: Backoff{Rand: r}, failed: Backoff{Rand: r}}
-	if askMs > 0 {
-		p.most = min(p.most, askMs)
+	s := &WatchSchedule{gateways: gateways, shared: true, maxDelay: maxFailedDelay, silentBackoff: Backoff{Rand: r}, failedBackoff: Backoff{Rand: r}}
+	if maxDelayMs > 0 {
+		s.maxDelay = min(s.maxDelay, maxDelayMs)
 	}
-	p.Share(1)
-	return p
+	s.Share(1)
+	return s
 }
 
-// Share says how many processes make calls in the place of one gateway: each makes its part
-// of them at a discovery that all gateways share, as far as the rule bears longer waits.
-func (p *Reopen) Share(processes int) {
-	if !p.shared {
+// Share sets how many processes make calls on behalf of one gateway. With a shared discovery
+// service each makes its part of the calls, as far as the longest permitted delay allows.
+func (s *WatchSchedule) Share(processes int) {
+	if !s.shared {
 		return
 	}
-	first := min(max(agentFirst, float64(p.gateways*processes)*callEvery), p.most)
-	p.failed.First, p.failed.Last = first, min(4*first, p.most)
-	p.silent.First = min(first, silentMost)
-	p.silent.Last = min(4*p.silent.First, silentMost)
+	initial := min(max(agentInitialDelay, float64(s.gateways*processes)*sharedCallInterval), s.maxDelay)
+	s.failedBackoff.Initial, s.failedBackoff.Max = initial, min(4*initial, s.maxDelay)
+	s.silentBackoff.Initial = min(initial, maxSilentDelay)
+	s.silentBackoff.Max = min(4*s.silentBackoff.Initial, maxSilentDelay)
 }
 
-// Call gives how long the next call may wait at discovery, and after how long in all,
-// without an answer, it is given up.
-func (p *Reopen) Call() (hold, patience float64) {
-	if p.doubt && !p.shared {
-		return agentHold, agentHold + agentSlack
+// NextTimeouts returns how long discovery may hold the next call, and the total time after which
+// that call is given up if there is no response, both in ms.
+func (s *WatchSchedule) NextTimeouts() (wait, timeout float64) {
+	if s.lastFailed && !s.shared {
+		return agentWait, agentWait + agentSlack
 	}
-	return WatchHold, WatchHold + WatchSlack
+	return WatchWait, WatchWait + WatchSlack
 }
 
-// Answered tells that a call was; the next one follows at once.
-func (p *Reopen) Answered() {
-	p.doubt = false
-	p.silent.Reset()
-	p.failed.Reset()
+// Succeeded records a call that was answered. The next one follows at once.
+func (s *WatchSchedule) Succeeded() {
+	s.lastFailed = false
+	s.silentBackoff.Reset()
+	s.failedBackoff.Reset()
 }
 
-// Failed tells that a call was not answered, or not with a list, and gives the ms until
-// the next. Silent says that nothing was heard in the time given.
-func (p *Reopen) Failed(silent bool) (wait float64) {
-	p.doubt = true
-	if silent {
-		return p.silent.Next()
+// Failed records a call that got no response or no membership, and returns the delay before the
+// next call in ms. timedOut says that there was no response within the timeout.
+func (s *WatchSchedule) Failed(timedOut bool) (wait float64) {
+	s.lastFailed = true
+	if timedOut {
+		return s.silentBackoff.Next()
 	}
-	return p.failed.Next()
+	return s.failedBackoff.Next()
 }
--- a/internal/pacing/reopen_test.go
+++ b/internal/pacing/reopen_test.go
@@ -6,43 +6,43 @@
 	"testing"
 )
 
-// heardAfter plays one gateway's calls through an outage from a time to another, and
-// gives when it first hears what is listed at the time news. A call that is open when the
-// outage begins, or made during it, stays silent to its end (or fails at once); the
-// moment at which the last call before the news was heard fell silent comes with it.
-func heardAfter(p *Reopen, from, to, news float64, fails bool) (heard, silent float64) {
+// simulateOutage simulates one gateway's calls through an outage of discovery from one time to
+// another. It returns when the gateway receives an update that discovery has from the time changed
+// on, and when the last call before that fell silent. A call that is open when the outage begins,
+// or made during it, gets no response until its timeout; if fails is set, it fails at once.
+func simulateOutage(schedule *WatchSchedule, from, to, changed float64, fails bool) (received, silent float64) {
 	for now := 0.0; ; {
-		hold, patience := p.Call()
-		end := now + hold
+		wait, timeout := schedule.NextTimeouts()
+		end := now + wait
 		switch {
-		case now < to && end > from && !(fails && now < from): // it meets the outage
-			gone := now + patience
+		case now < to && end > from && !(fails && now < from): // the outage affects the call
+			callEnd := now + timeout
 			if fails {
-				gone = now
+				callEnd = now
 			} else if silent == 0 || now > from {
 				silent = max(now, from)
 			}
-			now = gone + p.Failed(!fails)
+			now = callEnd + schedule.Failed(!fails)
 		default:
-			if fails && now < from && end > from { // broken by the outage's begin
-				now = from + p.Failed(false)
+			if fails && now < from && end > from { // the begin of the outage breaks the call
+				now = from + schedule.Failed(false)
 				continue
 			}
-			p.Answered()
-			if end >= news {
-				return max(now, news), silent
+			schedule.Succeeded()
+			if end >= changed {
+				return max(now, changed), silent
 			}
 			now = end
 		}
 	}
 }
 
-// However many gateways there are, whichever way lists come and however long discovery
-// was down: what an agent has is heard within the second that a drain leaves, once the
-// 6 s after the watch fell silent are over; a shared discovery's silent call is opened
-// anew, and heard, within them.
-func TestNoWaitIsLongerThanTheRuleBears(t *testing.T) {
-	const told, grace, answered = 6000.0, 1000.0, 1500.0 // what a discovery that all ask may take to answer
+// For any number of gateways and any length of the outage, with an agent or a shared discovery
+// service: an update that an agent has is received within the 1 s that a drain leaves once the
+// 6 s after the watch fell silent are over. With a shared service, a call without a response is
+// repeated, and the update received, within these 6 s.
+func TestWatchSchedule_UpdateDeadlineAfterOutage(t *testing.T) {
+	const noticeTime, grace, responseTime = 6000.0, 1000.0, 1500.0 // that a shared discovery service may take to answer
 	for _, gateways := range []int{1, 4, 80, 300, 350, 1024} {
 		for _, shared := range []bool{false, true} {
 			for _, fails := range []bool{false, true} {
@@ -51,25 +51,25 @@
 						r := rand.New(rand.NewSource(seed))
 						from := 3000 + 4000*r.Float64()
 						to := from + 1000 + 19000*r.Float64()
-						news := from + (to+3000-from)*r.Float64()
-						p := NewReopen(gateways, shared, 10000, r)
-						p.Share(1 + int(seed)%2)
-						heard, silent := heardAfter(p, from, to, news, fails)
-						// What is heard at the earliest, and the time by which it counts as told.
-						due := max(news, to)
+						changed := from + (to+3000-from)*r.Float64()
+						schedule := NewWatchSchedule(gateways, shared, 10000, r)
+						schedule.Share(1 + int(seed)%2)
+						received, silent := simulateOutage(schedule, from, to, changed, fails)
+						// From the earliest time at which the update can be received to the time by which it counts as received.
+						deadline := max(changed, to)
 						switch {
-						case !shared: // the agent has it from the outage's end on
+						case !shared: // the agent has it from the end of the outage
 							if silent > 0 {
-								due = max(due, from+told)
+								deadline = max(deadline, from+noticeTime)
 							}
-							due += grace
-						case fails: // whatever calls failed, 6 s after discovery had it and could be reached
-							due += told + grace - answered
-						default: // silent calls fall silent anew each time that they are opened
-							due = max(due, silent+told) + grace
+							deadline += grace
+						case fails: // whatever calls failed: 6 s after discovery had it and was reachable
+							deadline += noticeTime + grace - responseTime
+						default: // each repeated call may fall silent again
+							deadline = max(deadline, silent+noticeTime) + grace
 						}
-						if heard > due {
-							t.Fatalf("seed %d: down from %.0f to %.0f, news at %.0f heard at %.0f, due at %.0f", seed, from, to, news, heard, due)
+						if received > deadline {
+							t.Fatalf("seed %d: outage from %.0f to %.0f, update at %.0f received at %.0f, deadline %.0f", seed, from, to, changed, received, deadline)
 						}
 					}
 				})
@@ -78,32 +78,32 @@
 	}
 }
 
-// A shared discovery that fails calls is asked by the whole fleet no more often than its
-// size allows, at any number of gateways up to where the longest wait binds, also while
-// each runs twice. An agent of one's own is asked at once by both.
-func TestFailedCallsOfAFleetAreSpread(t *testing.T) {
+// A shared discovery service that fails calls gets a limited rate of calls from the whole fleet, for
+// any number of gateways up to the one at which the longest delay is reached, also while each
+// gateway has several processes. An agent of a gateway's own is called soon by both processes.
+func TestWatchSchedule_FailedCallRate(t *testing.T) {
 	for _, gateways := range []int{4, 80, 300} {
 		for _, processes := range []int{1, 2, 3} {
-			p, sum := NewReopen(gateways, true, 10000, rand.New(rand.NewSource(7))), 0.0
-			p.Share(processes)
+			schedule, sum := NewWatchSchedule(gateways, true, 10000, rand.New(rand.NewSource(7))), 0.0
+			schedule.Share(processes)
 			const calls = 50
 			for range calls {
-				sum += p.Failed(false)
+				sum += schedule.Failed(false)
 			}
-			most := 45.0
-			if n := float64(gateways * processes); n > failedMost/callEvery { // the longest wait binds
-				most = n / (failedMost / 2) * 1000
+			maxRate := 45.0
+			if n := float64(gateways * processes); n > maxFailedDelay/sharedCallInterval { // the longest delay limits the rate
+				maxRate = n / (maxFailedDelay / 2) * 1000
 			}
-			if rate := float64(gateways*processes) * calls / sum * 1000; rate > most {
-				t.Errorf("%d gateways of %d processes make %.0f calls a second", gateways, processes, rate)
+			if rate := float64(gateways*processes) * calls / sum * 1000; rate > maxRate {
+				t.Errorf("%d gateways of %d processes make %.0f calls per second", gateways, processes, rate)
 			}
 		}
 	}
-	own := NewReopen(300, false, 10000, rand.New(rand.NewSource(7)))
-	own.Share(2)
+	agent := NewWatchSchedule(300, false, 10000, rand.New(rand.NewSource(7)))
+	agent.Share(2)
 	for call := range 2 {
-		if wait := own.Failed(true); wait > agentLast {
-			t.Errorf("failed call %d: an agent of one's own is waited for, %v ms", call, wait)
+		if wait := agent.Failed(true); wait > agentMaxDelay {
+			t.Errorf("failed call %d: delay %v ms with an agent of the gateway's own", call, wait)
 		}
 	}
 }
--- a/internal/platform/chunks.go
+++ b/internal/platform/chunks.go
@@ -9,99 +9,99 @@
 	"strconv"
 )
 
-// Limits of what an engine may send; what goes beyond them is spoilt. The
-// platform's bodies hold 256 KiB at most.
+// Limits on what an engine may send. Responses beyond them count as malformed. The
+// platform's bodies have at most 256 KiB.
 const (
-	maxChunk     = 256 << 10
-	maxChunkLine = 256
-	maxTrailers  = 16 // lines behind the last chunk
-	maxInterim   = 8  // 1xx answers before the one that counts
+	maxChunkSize        = 256 << 10
+	maxChunkLine        = 256
+	maxTrailerLines     = 16 // lines after the last chunk
+	maxInterimResponses = 8  // 1xx responses before the final one
 )
 
-var errSpoilt = errors.New("platform: a spoilt answer")
+var errMalformed = errors.New("platform: malformed response")
 
-// chunks reads a chunked body. Unlike the standard library's reader it bounds a
-// chunk, and each wait within one: begin starts the time in which what has begun
-// must come. Between chunks it waits as long as the engine writes nothing.
-type chunks struct {
-	br    *bufio.Reader
-	begin func() (stop func())
-	left  int  // bytes of the chunk being read
-	ended bool // the last chunk and the lines behind have been read
+// chunkedReader reads a chunked body. Unlike the standard library's reader it limits the
+// size of a chunk and the time for it: startTimeout starts the timeout in which a chunk
+// that has begun must be read. Waiting for the next chunk has no limit here.
+type chunkedReader struct {
+	reader       *bufio.Reader
+	startTimeout func() (stop func())
+	remaining    int  // bytes of the current chunk still to be read
+	ended        bool // the last chunk and the trailers have been read
 }
 
-// Read gives bytes of one chunk, the whole of it where p has room. The error
-// is io.EOF after the last chunk.
-func (c *chunks) Read(p []byte) (n int, err error) {
+// Read reads bytes of one chunk, all of it if p has room. It returns io.EOF after
+// the last chunk and the trailers.
+func (c *chunkedReader) Read(p []byte) (n int, err error) {
 	if c.ended {
 		return 0, io.EOF
 	}
-	if _, err := c.br.Peek(1); err != nil {
-		return 0, unexpected(err)
+	if _, err := c.reader.Peek(1); err != nil {
+		return 0, unexpectedEOF(err)
 	}
-	defer c.begin()()
-	if c.left == 0 {
-		if c.left, err = c.size(); err != nil {
+	defer c.startTimeout()()
+	if c.remaining == 0 {
+		if c.remaining, err = c.readSize(); err != nil {
 			return 0, err
 		}
-		if c.left == 0 {
-			if err := c.trailers(); err != nil {
+		if c.remaining == 0 {
+			if err := c.skipTrailers(); err != nil {
 				return 0, err
 			}
 			c.ended = true
 			return 0, io.EOF
 		}
 	}
-	n, err = io.ReadFull(c.br, p[:min(len(p), c.left)])
+	n, err = io.ReadFull(c.reader, p[:min(len(p), c.remaining)])
 	if err != nil {
-		return 0, unexpected(err)
+		return 0, unexpectedEOF(err)
 	}
-	if c.left -= n; c.left > 0 {
+	if c.remaining -= n; c.remaining > 0 {
 		return n, nil
 	}
-	end, err := c.line()
+	end, err := c.readLine()
 	if err == nil && len(end) > 0 {
-		err = fmt.Errorf("%w: a chunk goes on beyond its size", errSpoilt)
+		err = fmt.Errorf("%w: a chunk is longer than its size", errMalformed)
 	}
 	return n, err
 }
 
-func (c *chunks) size() (int, error) {
-	line, err := c.line()
+func (c *chunkedReader) readSize() (int, error) {
+	line, err := c.readLine()
 	if err != nil {
 		return 0, err
 	}
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	n, err := strconv.ParseUint(string(bytes.TrimRight(digits, " \t")), 16, 32)
-	if err != nil || n > maxChunk {
-		return 0, fmt.Errorf("%w: chunk size %.40q", errSpoilt, digits)
+	if err != nil || n > maxChunkSize {
+		return 0, fmt.Errorf("%w: chunk size %.40q", errMalformed, digits)
 	}
 	return int(n), nil
 }
 
-func (c *chunks) trailers() error {
-	for range maxTrailers {
-		if line, err := c.line(); err != nil || len(line) == 0 {
+func (c *chunkedReader) skipTrailers() error {
+	for range maxTrailerLines {
+		if line, err := c.readLine(); err != nil || len(line) == 0 {
 			return err
 		}
 	}
-	return fmt.Errorf("%w: no end behind the last chunk", errSpoilt)
+	return fmt.Errorf("%w: too many trailer lines", errMalformed)
 }
 
-// line gives a line without its end.
-func (c *chunks) line() ([]byte, error) {
-	line, err := c.br.ReadSlice('\n')
+// readLine returns a line without its line break.
+func (c *chunkedReader) readLine() ([]byte, error) {
+	line, err := c.reader.ReadSlice('\n')
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull), err == nil && len(line) > maxChunkLine:
-		return nil, fmt.Errorf("%w: a line of a chunk does not end", errSpoilt)
+		return nil, fmt.Errorf("%w: a chunk line is too long", errMalformed)
 	case err != nil:
-		return nil, unexpected(err)
+		return nil, unexpectedEOF(err)
 	}
 	return bytes.TrimSuffix(line[:len(line)-1], []byte("\r")), nil
 }
 
-// unexpected is what the end of a connection means within a body.
-func unexpected(err error) error {
+// unexpectedEOF turns io.EOF, the end of the connection within a body, into io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -19,46 +19,48 @@
 	"ashwood.example/ashwood/internal/wire"
 )
 
-const maxList = 4 << 20 // bytes of a list
+// maxMembershipBytes is the largest response body accepted from discovery.
+const maxMembershipBytes = 4 << 20
 
-// Discovery follows the list of engines.
+// Discovery follows the membership that the discovery service reports, by long polling.
 type Discovery struct {
-	clock  clock.Clock
-	log    *slog.Logger
-	update func(ashwood.ListForm, []ashwood.Server)
-	from   int64 // the version in hand
-	inHand bool
-	pace   *pacing.Reopen
-	shares atomic.Int32 // processes that ask in the place of one gateway; 0 = 1
-
-	mu    sync.Mutex
-	addr  string
-	moved context.CancelFunc // ends what is being asked of the old address
+	clock         clock.Clock
+	log           *slog.Logger
+	update        func(ashwood.ListForm, []ashwood.Server)
+	generation    int64 // of the current membership
+	hasMembership bool
+	schedule      *pacing.WatchSchedule
+	processes     atomic.Int32 // that call discovery on behalf of this gateway; 0 counts as 1
+
+	mu          sync.Mutex
+	addr        string
+	cancelWatch context.CancelFunc // cancels the call to the old address
 }
 
-// NewDiscovery makes a follower.
+// NewDiscovery returns a Discovery for the service at addr. Run starts it.
 func NewDiscovery(addr string, c clock.Clock, log *slog.Logger) *Discovery {
-	d := &Discovery{addr: addr, clock: c, log: log, moved: func() {}}
-	d.Fleet(ashwood.Settings{}, 0)
+	d := &Discovery{addr: addr, clock: c, log: log, cancelWatch: func() {}}
+	d.Configure(ashwood.Settings{}, 0)
 	return d
 }
 
-// Fleet says how many gateways there are, whether lists are pushed to an agent of this
-// one's own or asked for at a discovery that serves all, and the seed from which its
-// waits are drawn. It is to be called before Run.
-func (d *Discovery) Fleet(set ashwood.Settings, seed int64) {
-	d.pace = pacing.NewReopen(set.Nodes, set.Subscribe, clock.Millis(set.Rules.AskWithin), rand.New(rand.NewSource(seed)))
+// Configure sets the number of gateways, whether this gateway polls a discovery service that all
+// gateways share (Settings.Subscribe) or an agent of its own, to which membership is pushed, and
+// the seed of its random delays. It must be called before Run.
+func (d *Discovery) Configure(settings ashwood.Settings, seed int64) {
+	d.schedule = pacing.NewWatchSchedule(settings.Nodes, settings.Subscribe, clock.Millis(settings.Rules.AskWithin), rand.New(rand.NewSource(seed)))
 }
 
-// Share says how many processes, this one among them, ask in the place of one gateway.
-func (d *Discovery) Share(processes int) { d.shares.Store(int32(processes)) }
+// Share sets how many processes, including this one, poll on behalf of one gateway.
+func (d *Discovery) Share(processes int) { d.processes.Store(int32(processes)) }
 
-// Known says which version of the list is in hand, so that Run watches from there.
-func (d *Discovery) Known(version int64) { d.from, d.inHand = version, true }
+// ResumeFrom sets the version of the membership that the gateway already has, so that Run
+// watches for changes from there.
+func (d *Discovery) ResumeFrom(version int64) { d.generation, d.hasMembership = version, true }
 
-// Move has discovery asked at another address from now on. The list in hand
-// stays until that has answered with one of its own.
-func (d *Discovery) Move(addr string) {
+// SetAddress makes Run poll another address from now on. The current membership
+// stays until that address has returned its own.
+func (d *Discovery) SetAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if addr == d.addr {
@@ -66,129 +68,130 @@
 	}
 	d.log.Info("discovery: moved", "from", d.addr, "to", addr)
 	d.addr = addr
-	d.moved()
+	d.cancelWatch()
 }
 
-// leg gives the address to ask and a context that ends when it is left.
-func (d *Discovery) leg(ctx context.Context) (context.Context, string) {
+// currentAddress returns the address to poll and a context that ends when SetAddress replaces it.
+func (d *Discovery) currentAddress(ctx context.Context) (context.Context, string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	ctx, d.moved = context.WithCancel(ctx)
+	ctx, d.cancelWatch = context.WithCancel(ctx)
 	return ctx, d.addr
 }
 
-// Run tells update of each change until ctx ends, from the version in hand on. At
-// an address moved to, versions may be others: the whole list is asked for there.
+// Run calls update for each membership update until ctx ends, starting from the current
+// version. Another address may count versions differently, so after SetAddress it fetches
+// a whole snapshot.
 func (d *Discovery) Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) {
 	d.update = update
-	for inHand := d.inHand; ctx.Err() == nil; inHand = false {
-		leg, addr := d.leg(ctx)
-		d.follow(leg, addr, d.from, inHand)
+	for hasMembership := d.hasMembership; ctx.Err() == nil; hasMembership = false {
+		addressCtx, addr := d.currentAddress(ctx)
+		d.watchAddress(addressCtx, addr, d.generation, hasMembership)
 	}
 }
 
-// follow watches at one address until ctx ends. A discovery that is silent or
-// gone is asked again; the list in hand stays.
-func (d *Discovery) follow(ctx context.Context, addr string, from int64, inHand bool) {
+// watchAddress long-polls one address until ctx ends. If the service is silent or
+// unreachable, it retries; the current membership stays.
+func (d *Discovery) watchAddress(ctx context.Context, addr string, generation int64, hasMembership bool) {
 	client := &fasthttp.HostClient{
-		Addr: addr, ReadTimeout: clock.Duration(pacing.WatchHold + pacing.WatchSlack), WriteTimeout: time.Second,
-		MaxIdleConnDuration: time.Minute, MaxResponseBodySize: maxList, MaxIdemponentCallAttempts: 1,
-		DialTimeout: func(addr string, patience time.Duration) (net.Conn, error) {
-			dialer := net.Dialer{Timeout: min(patience, clock.Duration(pacing.WatchSlack))}
-			c, err := dialer.DialContext(ctx, "tcp", addr)
+		Addr: addr, ReadTimeout: clock.Duration(pacing.WatchWait + pacing.WatchSlack), WriteTimeout: time.Second,
+		MaxIdleConnDuration: time.Minute, MaxResponseBodySize: maxMembershipBytes, MaxIdemponentCallAttempts: 1,
+		DialTimeout: func(addr string, timeout time.Duration) (net.Conn, error) {
+			dialer := net.Dialer{Timeout: min(timeout, clock.Duration(pacing.WatchSlack))}
+			conn, err := dialer.DialContext(ctx, "tcp", addr)
 			if err != nil {
 				return nil, err
 			}
-			return legConn{c, context.AfterFunc(ctx, func() { c.Close() })}, nil
+			return contextConn{conn, context.AfterFunc(ctx, func() { conn.Close() })}, nil
 		},
 	}
-	failed := 0 // calls in a row; an outage is logged when it begins and ends
+	failures := 0 // consecutive failed calls; an outage is logged only at its begin and its end
 	for ctx.Err() == nil {
-		begun := d.clock.Now()
-		hold, patience := d.pace.Call()
-		t, err := askList(client, from, inHand, hold, patience)
-		d.log.Debug("list", "from", from, "watch", inHand, "generation", t.Generation, "whole", t.Whole, "entries", len(t.Engines),
-			"ms", d.clock.Now()-begun, "err", err)
+		start := d.clock.Now()
+		wait, timeout := d.schedule.NextTimeouts()
+		targets, err := fetchMembership(client, generation, hasMembership, wait, timeout)
+		d.log.Debug("list", "from", generation, "watch", hasMembership, "generation", targets.Generation, "whole", targets.Whole, "entries", len(targets.Engines),
+			"ms", d.clock.Now()-start, "err", err)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			if failed++; failed == 1 {
-				d.log.Warn("discovery: no answer, the list in hand stays", "err", err)
+			if failures++; failures == 1 {
+				d.log.Warn("discovery: call failed, keeping the current membership", "err", err)
 			}
-			d.pace.Share(max(int(d.shares.Load()), 1))
-			clock.Wait(ctx, d.clock, d.pace.Failed(silent(err)))
+			d.schedule.Share(max(int(d.processes.Load()), 1))
+			clock.Wait(ctx, d.clock, d.schedule.Failed(isTimeout(err)))
 			continue
 		}
-		if failed > 0 {
-			d.log.Info("discovery: it answers again", "failed", failed)
-			failed = 0
+		if failures > 0 {
+			d.log.Info("discovery: reachable again", "failed", failures)
+			failures = 0
 		}
-		d.pace.Answered()
+		d.schedule.Succeeded()
 		switch {
-		case t.Whole:
-			d.update(ashwood.ListWhole, t.Engines)
-		case len(t.Engines) > 0:
-			d.update(ashwood.ListPatch, t.Engines)
+		case targets.Whole:
+			d.update(ashwood.ListWhole, targets.Engines)
+		case len(targets.Engines) > 0:
+			d.update(ashwood.ListPatch, targets.Engines)
 		}
-		from, inHand = t.Generation, true
+		generation, hasMembership = targets.Generation, true
 	}
 }
 
-// legConn is closed with its leg: a watch waits long, and fasthttp has no way
-// to call one off.
-type legConn struct {
+// contextConn is a connection that is closed when a context ends: a watch may wait for
+// seconds, and fasthttp has no way to cancel one.
+type contextConn struct {
 	net.Conn
-	stop func() bool
+	detach func() bool
 }
 
-func (c legConn) Close() error {
-	c.stop()
+func (c contextConn) Close() error {
+	c.detach()
 	return c.Conn.Close()
 }
 
-// silent tells an error for want of any answer from a discovery that said no.
-func silent(err error) bool {
-	var timeout net.Error
-	return errors.Is(err, fasthttp.ErrTimeout) || errors.As(err, &timeout) && timeout.Timeout()
+// isTimeout reports whether a call got no response in time, rather than a failure.
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.Is(err, fasthttp.ErrTimeout) || errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// askList waits for changes since a version, or gets the whole list without one. It
-// may wait hold ms at discovery and is given up after patience ms.
-// Version 0 may be waited on like any other: asking for the whole list then
-// would be answered at once, again and again.
-func askList(client *fasthttp.HostClient, from int64, inHand bool, hold, patience float64) (wire.Targets, error) {
+// fetchMembership waits for the changes since a version, or gets a whole snapshot if there
+// is no version yet. Discovery may hold the call for wait ms; it is given up after timeout ms.
+// Version 0 is a version like any other: a request for the whole snapshot instead would be
+// answered at once, and repeated without a pause.
+func fetchMembership(client *fasthttp.HostClient, generation int64, hasMembership bool, wait, timeout float64) (wire.Targets, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	target := fmt.Sprintf("http://%s/api/targets", client.Addr)
-	if inHand {
-		target += fmt.Sprintf("?from=%d&hold_ms=%.0f", from, hold)
+	if hasMembership {
+		target += fmt.Sprintf("?from=%d&hold_ms=%.0f", generation, wait)
 	}
 	req.SetRequestURI(target)
-	req.SetTimeout(clock.Duration(patience))
+	req.SetTimeout(clock.Duration(timeout))
 	if err := client.Do(req, resp); err != nil {
 		return wire.Targets{}, fmt.Errorf("platform: discovery: %w", err)
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
 		return wire.Targets{}, fmt.Errorf("platform: discovery answered %d", resp.StatusCode())
 	}
-	t, err := wire.DecodeTargets(resp.Body())
+	targets, err := wire.DecodeTargets(resp.Body())
 	if err != nil {
 		return wire.Targets{}, fmt.Errorf("platform: discovery: %w", err)
 	}
-	return t, once(t)
+	return targets, checkUnique(targets)
 }
 
-// once tells of a whole list that names an engine twice: which entry holds can't be
-// known. Among changes, where one may follow the other, the later one does.
-func once(t wire.Targets) error {
+// checkUnique refuses a snapshot that contains an engine twice, because it is unknown which
+// entry is valid. A delta may contain several changes of an engine: the last one is valid.
+func checkUnique(targets wire.Targets) error {
 	seen := map[ashwood.ServerID]bool{}
-	for _, v := range t.Engines {
-		if t.Whole && seen[v.ID] {
-			return fmt.Errorf("platform: discovery: the whole list names %q twice", v.ID)
+	for _, engine := range targets.Engines {
+		if targets.Whole && seen[engine.ID] {
+			return fmt.Errorf("platform: discovery: the snapshot contains engine %q twice", engine.ID)
 		}
-		seen[v.ID] = true
+		seen[engine.ID] = true
 	}
 	return nil
 }
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -14,97 +14,97 @@
 	"ashwood.example/ashwood/internal/clock"
 )
 
-// Version 0 is a version: asking for the whole list in its place was answered
-// at once, and went round without a pause.
-func TestDiscoveryWatchesFromTheListInHand(t *testing.T) {
-	asked := make(chan string, 9)
-	list := func(version int, reset bool, state string) string {
-		b := fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[{"instanceId":"s","hostPort":"a:1","lifecycle":%q}]}`, version, reset, state)
-		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(b), b)
-	}
-	const oops = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
-	answers := []string{"\x00", list(7, false, "draining"), oops, oops, list(9, true, "up"), ""}
+// Version 0 is a version like any other. Requests for the whole snapshot in its place were
+// answered at once and repeated without a pause.
+func TestDiscovery_WatchFromKnownGeneration(t *testing.T) {
+	requests := make(chan string, 9)
+	membershipResponse := func(version int, reset bool, state string) string {
+		body := fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[{"instanceId":"s","hostPort":"a:1","lifecycle":%q}]}`, version, reset, state)
+		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	}
+	const serverError = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
+	responses := []string{"\x00", membershipResponse(7, false, "draining"), serverError, serverError, membershipResponse(9, true, "up"), ""}
 	peer := engine(t, "d", "", func(s seen) string {
-		asked <- s.Target
-		a := answers[0]
-		answers = answers[1:]
-		return a
+		requests <- s.Target
+		response := responses[0]
+		responses = responses[1:]
+		return response
 	})
-	type news struct {
+	type membershipUpdate struct {
 		Form  ashwood.ListForm
 		State ashwood.ServerState
 	}
-	told := make(chan news, 9)
+	updates := make(chan membershipUpdate, 9)
 	var logged bytes.Buffer
 	d := NewDiscovery(peer.Address, clock.System(), slog.New(slog.NewTextHandler(&logged, nil)))
 	update := func(f ashwood.ListForm, l []ashwood.Server) {
-		told <- news{f, l[0].State}
+		updates <- membershipUpdate{f, l[0].State}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	d.Known(0)
+	d.ResumeFrom(0)
 	go d.Run(ctx, update)
-	got := []news{<-told, <-told}
+	got := []membershipUpdate{<-updates, <-updates}
 	var targets []string
 	for range 6 {
-		target, _, _ := strings.Cut(<-asked, "&hold_ms=")
+		target, _, _ := strings.Cut(<-requests, "&hold_ms=")
 		targets = append(targets, target)
 	}
-	want := []news{{ashwood.ListPatch, ashwood.StateFading}, {ashwood.ListWhole, ashwood.StateOn}}
+	want := []membershipUpdate{{ashwood.ListPatch, ashwood.StateFading}, {ashwood.ListWhole, ashwood.StateOn}}
 	const from = "/api/targets?from="
 	if diff := cmp.Diff(want, got) + cmp.Diff([]string{from + "0", from + "0", from + "7", from + "7", from + "7", from + "9"}, targets); diff != "" {
 		t.Error(diff)
 	}
-	// An outage is two lines, not ten a second for as long as it lasts.
-	if n := strings.Count(logged.String(), "failed=2"); n != 1 || strings.Count(logged.String(), "no answer") > 2 {
+	// An outage logs two lines, not ten per second while it lasts.
+	if n := strings.Count(logged.String(), "failed=2"); n != 1 || strings.Count(logged.String(), "call failed") > 2 {
 		t.Errorf("logged:\n%s", logged.String())
 	}
 }
 
-// On a reload discovery moves while a watch waits at the old address. The list
-// in hand stays until the new one has answered, with the whole list.
-func TestDiscoveryMovesInMidWatch(t *testing.T) {
-	asked, speak := make(chan string, 9), make(chan struct{})
-	peer := func(name string, answers ...string) ashwood.Server {
+// A reload changes the discovery address while a watch waits at the old one. The current
+// membership stays until the new address has returned a snapshot.
+func TestDiscovery_AddressChangeDuringWatch(t *testing.T) {
+	requests, respond := make(chan string, 9), make(chan struct{})
+	peer := func(name string, responses ...string) ashwood.Server {
 		return engine(t, name, "", func(s seen) string {
-			asked <- name + " " + s.Target
-			if len(answers) == 0 {
+			requests <- name + " " + s.Target
+			if len(responses) == 0 {
 				return ""
 			}
 			if name == "new" {
-				<-speak
+				<-respond
 			}
-			a := answers[0]
-			answers = answers[1:]
-			return a
+			response := responses[0]
+			responses = responses[1:]
+			return response
 		})
 	}
-	list := func(id string) string {
-		b := fmt.Sprintf(`{"generation":3,"reset":true,"instances":[{"instanceId":%q,"hostPort":"a:1","lifecycle":"up"}]}`, id)
-		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(b), b)
+	snapshot := func(id string) string {
+		body := fmt.Sprintf(`{"generation":3,"reset":true,"instances":[{"instanceId":%q,"hostPort":"a:1","lifecycle":"up"}]}`, id)
+		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
-	old, next := peer("old", list("a")), peer("new", list("b"))
-	told := make(chan ashwood.ServerID, 9)
+	old, replacement := peer("old", snapshot("a")), peer("new", snapshot("b"))
+	updates := make(chan ashwood.ServerID, 9)
 	d := NewDiscovery(old.Address, clock.System(), slog.New(slog.DiscardHandler))
 	update := func(_ ashwood.ListForm, l []ashwood.Server) {
-		told <- l[0].ID
+		updates <- l[0].ID
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go d.Run(ctx, update)
 	var targets []string
 	for range 2 {
-		targets = append(targets, <-asked)
+		targets = append(targets, <-requests)
 	}
-	d.Move(next.Address)
-	targets = append(targets, <-asked)
-	if a := <-told; a != "a" || len(told) > 0 {
-		t.Errorf("told of %s, then %d more before the new address spoke", a, len(told))
+	d.SetAddress(replacement.Address)
+	targets = append(targets, <-requests)
+	if a := <-updates; a != "a" || len(updates) > 0 {
+		t.Errorf("first update has engine %s, then %d more updates before the new address responded", a, len(updates))
 	}
-	close(speak)
-	targets = append(targets, <-asked)
-	if b := <-told; b != "b" {
-		t.Errorf("told of %s", b)
+	close(respond)
+	targets = append(targets, <-requests)
+	if b := <-updates; b != "b" {
+		t.Errorf("update from the new address has engine %s, want b", b)
 	}
 	const from = " /api/targets?from=3&hold_ms=2000"
 	want := []string{"old /api/targets", "old" + from, "new /api/targets", "new" + from}
@@ -113,56 +113,56 @@
 	}
 }
 
-// A watch may fall silent, or its list stop short, on a connection that stays
-// open. Both are asked for again soon, and what had come of a list is not believed.
-func TestDiscoveryThatStopsIsAskedAgain(t *testing.T) {
-	list := func(state string) string {
-		b := fmt.Sprintf(`{"generation":8,"reset":false,"instances":[{"instanceId":"s","hostPort":"a:1","lifecycle":%q}]}`, state)
-		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(b), b)
-	}
-	answers := []string{"", list("up")[:90], list("draining")}
+// A watch may get no response, or a truncated one, on a connection that stays open.
+// Both calls are repeated soon, and a truncated response is not applied.
+func TestDiscovery_SilentOrTruncatedResponse(t *testing.T) {
+	delta := func(state string) string {
+		body := fmt.Sprintf(`{"generation":8,"reset":false,"instances":[{"instanceId":"s","hostPort":"a:1","lifecycle":%q}]}`, state)
+		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	}
+	responses := []string{"", delta("up")[:90], delta("draining")}
 	peer := engine(t, "d", "", func(seen) string {
-		a := answers[0]
-		if len(answers) > 1 {
-			answers = answers[1:]
+		response := responses[0]
+		if len(responses) > 1 {
+			responses = responses[1:]
 		}
-		return a
+		return response
 	})
-	told := make(chan ashwood.ServerState, 99)
+	states := make(chan ashwood.ServerState, 99)
 	d := NewDiscovery(peer.Address, clock.System(), slog.New(slog.DiscardHandler))
 	update := func(_ ashwood.ListForm, l []ashwood.Server) {
-		told <- l[0].State
+		states <- l[0].State
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	d.Known(7)
+	d.ResumeFrom(7)
 	go d.Run(ctx, update)
-	if got := <-told; got != ashwood.StateFading {
-		t.Errorf("told of state %v", got)
+	if got := <-states; got != ashwood.StateFading {
+		t.Errorf("first update has state %v, want draining", got)
 	}
 }
 
-// hasty is a clock on which waits are over at once, and are told.
-type hasty struct {
+// immediateClock is a clock on which every wait ends at once. It reports each wait.
+type immediateClock struct {
 	clock.Clock
 	waits chan float64
 }
 
-func (h hasty) AfterFunc(ms float64, f func()) func() bool {
+func (h immediateClock) AfterFunc(ms float64, f func()) func() bool {
 	h.waits <- ms
 	return h.Clock.AfterFunc(0, f)
 }
 
-// A discovery that is asked serves a whole fleet. The first call is made at once, those after
-// failures at waits that follow from its size, from how many processes each gateway has just
-// then, and the seed; few gateways wait little, and so does one that has an agent of its own.
-func TestCallsForListsAreSpreadOverTheFleet(t *testing.T) {
-	const oops, list = "HTTP/1.1 503 Overbooked\r\nContent-Length: 0\r\n\r\n",
+// A shared discovery service serves the whole fleet. The first call is made at once. The delays
+// after failed calls depend on the number of gateways, on the processes that each has at that
+// moment, and on the seed. They are short with few gateways and with an agent of the gateway's own.
+func TestDiscovery_RetryDelaysByFleetSize(t *testing.T) {
+	const unavailable, emptyDelta = "HTTP/1.1 503 Overbooked\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 45\r\n\r\n" + `{"generation":8,"reset":false,"instances":[]}`
 	for _, tt := range []struct {
-		nodes, processes int       // gateways, and of each
-		agent            bool      // lists are pushed to one of its own
-		most             []float64 // ms of the waits after four failures, a success, a failure
+		nodes, processes int       // gateways, and processes of each
+		agent            bool      // each gateway has an agent of its own
+		maxWaits         []float64 // longest waits in ms: after four failures, then after a success and a failure
 	}{
 		{80, 1, false, []float64{3200, 4500, 4500, 4500, 3200}},
 		{80, 2, false, []float64{4500, 4500, 4500, 4500, 4500}},
@@ -170,34 +170,34 @@
 		{1, 1, false, []float64{100, 200, 400, 400, 100}},
 		{300, 2, true, []float64{100, 200, 200, 200, 100}},
 	} {
-		var first []float64
+		var firstWaits []float64
 		for seed := range int64(2) {
-			answers := []string{oops, oops, oops, oops, list, oops, ""}
+			responses := []string{unavailable, unavailable, unavailable, unavailable, emptyDelta, unavailable, ""}
 			peer := engine(t, "d", "", func(seen) string {
-				a := answers[0]
-				answers = answers[1:]
-				return a
+				response := responses[0]
+				responses = responses[1:]
+				return response
 			})
-			c := hasty{clock.System(), make(chan float64, 9)}
+			c := immediateClock{clock.System(), make(chan float64, 9)}
 			d := NewDiscovery(peer.Address, c, slog.New(slog.DiscardHandler))
-			d.Known(7)
-			d.Fleet(ashwood.Settings{Nodes: tt.nodes, Subscribe: !tt.agent}, seed)
+			d.ResumeFrom(7)
+			d.Configure(ashwood.Settings{Nodes: tt.nodes, Subscribe: !tt.agent}, seed)
 			d.Share(tt.processes)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			go d.Run(ctx, func(ashwood.ListForm, []ashwood.Server) {})
-			for n, most := range tt.most {
+			for n, maxWait := range tt.maxWaits {
 				wait := <-c.waits
 				if n == 0 {
-					first = append(first, wait)
+					firstWaits = append(firstWaits, wait)
 				}
-				if wait < most/2 || wait > most {
-					t.Errorf("%d gateways, wait %d: %.0f ms, of %.0f", tt.nodes, n, wait, most)
+				if wait < maxWait/2 || wait > maxWait {
+					t.Errorf("%d gateways, wait %d: %.0f ms, want half to all of %.0f", tt.nodes, n, wait, maxWait)
 				}
 			}
 		}
-		if first[0] == first[1] {
-			t.Errorf("%d gateways: two seeds wait %v ms alike", tt.nodes, first)
+		if firstWaits[0] == firstWaits[1] {
+			t.Errorf("%d gateways: two seeds give the same first wait: %v ms", tt.nodes, firstWaits)
 		}
 	}
 }
--- a/internal/platform/engines.go
+++ b/internal/platform/engines.go
@@ -1,5 +1,6 @@
-// Package platform speaks the platform's protocol, HTTP/1.1: a server for
-// clients, a transport to engines, and discovery.
+// Package platform implements the platform's protocol over HTTP/1.1: the server
+// for clients, the transport to engines and the discovery client. It makes no
+// routing decisions: those belong to the packages gateway and ashwood.
 package platform
 
 import (
@@ -24,102 +25,107 @@
 	"ashwood.example/ashwood/internal/wire"
 )
 
-// Header names of the protocol.
+// Header names and paths of the protocol, and limits of the transport. Times are in ms.
 const (
-	headerID       = "X-Txn"
-	headerClass    = "X-Lane"
-	headerTenant   = "X-Org" // where the settings name tenants
-	headerSession  = "X-Entity"
-	headerLeft     = "X-Remaining"
-	headerLabels   = "X-Labels"
-	headerResent   = "X-Resent"
-	headerReport   = "X-Pressure"
-	headerNotRun   = "X-Turned-Away"
-	roomsPath      = "/bootstrap/rooms/"
-	loadPath       = "/-/load"
-	reportComment  = ": " + headerReport + ": "
-	maxAnswerBody  = 64 << 10
-	wholeWait      = 300.0 // ms for the rest of a head, a chunk or a short answer once it has begun
-	sweepEvery     = 1000.0
-	defaultConnect = 250.0
-	defaultIdle    = 15000.0
-	manyNodes      = 8 // gateways, from which on a silent connect is not waited for in full
+	headerID              = "X-Txn"
+	headerClass           = "X-Lane"
+	headerTenant          = "X-Org" // read only if the settings name tenants
+	headerSession         = "X-Entity"
+	headerRemaining       = "X-Remaining"
+	headerLabels          = "X-Labels"
+	headerResent          = "X-Resent"
+	headerLoadReport      = "X-Pressure"
+	headerRejected        = "X-Turned-Away"
+	holdsPath             = "/bootstrap/rooms/"
+	loadReportPath        = "/-/load"
+	loadReportComment     = ": " + headerLoadReport + ": "
+	maxShortBody          = 64 << 10
+	completionTimeout     = 300.0 // in which a response header, chunk or short body must be complete once it has begun
+	sweepInterval         = 1000.0
+	defaultConnectTimeout = 250.0
+	defaultIdleTimeout    = 15000.0
+	adaptiveConnectNodes  = 8 // with more gateways than this, the connect timeout adapts to recent connects
 )
 
-// Engines is the transport to the platform's engines.
+// Engines sends attempts, reservations, releases and probes to engines over
+// pooled HTTP/1.1 connections. It never resends a request by itself.
 type Engines struct {
-	pool  *pool
+	pool  *connPool
 	clock clock.Clock
 
-	mu   sync.Mutex
-	stop func() bool // the next sweep
-	over bool
+	mu        sync.Mutex
+	stopSweep func() bool // cancels the next sweep
+	closed    bool
 }
 
-// NewEngines makes a transport that holds at most limit connections.
-func NewEngines(set ashwood.Settings, c clock.Clock, limit int) *Engines {
-	connect, idle := clock.Millis(set.Limits.ConnectTimeout), clock.Millis(set.Limits.ConnIdle)
-	if connect <= 0 {
-		connect = defaultConnect
+// NewEngines returns a transport with at most limit connections open. Releases
+// may exceed the limit by overLimitShare.
+func NewEngines(settings ashwood.Settings, c clock.Clock, limit int) *Engines {
+	connectTimeout, idleTimeout := clock.Millis(settings.Limits.ConnectTimeout), clock.Millis(settings.Limits.ConnIdle)
+	if connectTimeout <= 0 {
+		connectTimeout = defaultConnectTimeout
 	}
-	if idle <= 0 {
-		idle = defaultIdle
+	if idleTimeout <= 0 {
+		idleTimeout = defaultIdleTimeout
 	}
-	e := &Engines{pool: newPool(c, connect, idle/2, limit), clock: c}
-	e.pool.learn = set.Nodes > manyNodes
+	e := &Engines{pool: newConnPool(c, connectTimeout, idleTimeout/2, limit), clock: c}
+	e.pool.adaptTimeout = settings.Nodes > adaptiveConnectNodes
 	e.sweep()
 	return e
 }
 
-// Log has new connections logged, at level debug. It is to be called before the first request.
+// Log sets the logger that records each new connection at level debug. It must be
+// called before the first request.
 func (e *Engines) Log(log *slog.Logger) { e.pool.log = log }
 
-// Share says how many processes share the connections that the limit allows.
-func (e *Engines) Share(processes int) { e.pool.share(processes) }
+// Share sets the number of processes among which the connection limit is divided.
+func (e *Engines) Share(processes int) { e.pool.setProcesses(processes) }
 
-// sweep closes what has been idle too long, now and every so often.
+// sweep closes connections past the idle timeout and schedules the next sweep.
 func (e *Engines) sweep() {
 	e.pool.sweep()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.over {
-		e.stop = e.clock.AfterFunc(sweepEvery, e.sweep)
+	if !e.closed {
+		e.stopSweep = e.clock.AfterFunc(sweepInterval, e.sweep)
 	}
 }
 
-// Keep forgets nothing: connections to engines that are gone end by being idle.
+// Keep does nothing: connections to engines that have left the membership end
+// by the idle timeout.
 func (e *Engines) Keep([]ashwood.Server) {}
 
-// Close closes idle connections and those that are put back from now on.
+// Close closes all idle connections, and the others when they are returned to the pool.
 func (e *Engines) Close() {
 	e.mu.Lock()
-	e.over = true
-	e.stop()
+	e.closed = true
+	e.stopSweep()
 	e.mu.Unlock()
 	e.pool.close()
 }
 
-// call is one request to an engine.
-type call struct {
+// engineCall is one HTTP request to an engine.
+type engineCall struct {
 	addr   string
-	with   which // connection it may go on
-	head   *fasthttp.RequestHeader
+	choice connChoice // which connections it may use
+	header *fasthttp.RequestHeader
 	body   []byte
-	ready  func() bool // asked right before the first byte; nil = always
-	sent   func()      // called right after the last byte; nil = nobody is told
-	giveUp func(*conn) // ends a connection whose answer is not waited for; nil = at once
+	ready  func() bool       // called right before the first byte is written: false cancels the call; nil = always ready
+	sent   func()            // called right after the last byte has been written; nil = no call
+	abort  func(*engineConn) // ends a connection whose response is not read to its end; nil = close it at once
 }
 
-// exchange writes one request and reads the head of its answer. The caller
-// owns the connection unless there is an error; wrote tells whether the last
-// byte left. Only before that does an error prove that the engine never ran it.
-// A kept connection may be dead unnoticed: what may be sent once goes on a new one.
-func (e *Engines) exchange(ctx context.Context, v call, answer *fasthttp.ResponseHeader) (c *conn, wrote bool, err error) {
-	c, err = e.pool.get(ctx, v.addr, v.with)
+// roundTrip writes one request and reads the response header. The caller owns the
+// connection unless there is an error. written reports whether the last byte was
+// written: only an error before that proves that the engine did not run the request.
+// An idle connection may be dead without the gateway knowing, so a request that may
+// be sent only once needs a new connection.
+func (e *Engines) roundTrip(ctx context.Context, call engineCall, response *fasthttp.ResponseHeader) (c *engineConn, written bool, err error) {
+	c, err = e.pool.get(ctx, call.addr, call.choice)
 	if err != nil {
 		return nil, false, err
 	}
-	stop := c.endWith(ctx)
+	stop := c.interruptOnDone(ctx)
 	defer func() {
 		if !stop() && err == nil {
 			err = context.Cause(ctx)
@@ -128,62 +134,63 @@
 			return
 		}
 		if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || errors.Is(err, io.EOF) {
-			e.pool.broke(c)
+			e.pool.reportBroken(c)
 		}
-		if wrote && v.giveUp != nil {
-			v.giveUp(c)
+		if written && call.abort != nil {
+			call.abort(c)
 		} else {
 			e.pool.discard(c)
 		}
 		c = nil
 	}()
-	if v.ready != nil && !v.ready() {
+	if call.ready != nil && !call.ready() {
 		return c, false, errNotReady
 	}
-	out := net.Buffers{v.head.AppendBytes(nil)}
-	if len(v.body) > 0 {
-		out = append(out, v.body)
+	buffers := net.Buffers{call.header.AppendBytes(nil)}
+	if len(call.body) > 0 {
+		buffers = append(buffers, call.body)
 	}
-	if _, err = out.WriteTo(c.Conn); err != nil {
+	if _, err = buffers.WriteTo(c.Conn); err != nil {
 		return c, false, err
 	}
-	if v.sent != nil {
-		v.sent()
+	if call.sent != nil {
+		call.sent()
 	}
-	return c, true, e.readHead(c, answer)
+	return c, true, e.readHeader(c, response)
 }
 
-// readHead waits for an answer's head. Once that has begun it has to be whole in
-// time: a spoilt one does not end, and its connection stays open. 1xx answers
-// before the one that counts are skipped.
-func (e *Engines) readHead(c *conn, answer *fasthttp.ResponseHeader) error {
-	for range maxInterim {
-		if b, err := c.br.Peek(1); err != nil || b[0] != 'H' {
-			return cmp.Or(err, fmt.Errorf("%w: it begins with %q", errSpoilt, b))
+// readHeader reads a response header and skips up to maxInterimResponses 1xx
+// responses before it. Waiting for its first byte has no limit here, but once begun
+// it must be complete within completionTimeout: a malformed one may never end while
+// its connection stays open.
+func (e *Engines) readHeader(c *engineConn, response *fasthttp.ResponseHeader) error {
+	for range maxInterimResponses {
+		if first, err := c.reader.Peek(1); err != nil || first[0] != 'H' {
+			return cmp.Or(err, fmt.Errorf("%w: the response begins with %q", errMalformed, first))
 		}
-		stop := e.within(c, wholeWait)
-		err := answer.Read(c.br)
-		stop()
-		if code := answer.StatusCode(); err != nil || code < 100 || code >= 200 {
+		stopTimeout := e.startTimeout(c, completionTimeout)
+		err := response.Read(c.reader)
+		stopTimeout()
+		if code := response.StatusCode(); err != nil || code < 100 || code >= 200 {
 			return err
 		}
-		if answer.StatusCode() == fasthttp.StatusSwitchingProtocols {
+		if response.StatusCode() == fasthttp.StatusSwitchingProtocols {
 			break
 		}
 	}
-	return fmt.Errorf("%w: no answer behind 1xx", errSpoilt)
+	return fmt.Errorf("%w: no final response after 1xx responses", errMalformed)
 }
 
-// within ends all reading and writing on a connection after some ms, unless
-// stop is called before. The connection is of no use then.
-func (e *Engines) within(c *conn, ms float64) (stop func()) {
+// startTimeout makes all reads and writes on a connection fail after ms milliseconds
+// unless stop is called earlier. The connection can't be used again after that.
+func (e *Engines) startTimeout(c *engineConn, ms float64) (stop func()) {
 	cancel := e.clock.AfterFunc(ms, func() { c.SetDeadline(time.Unix(1, 0)) })
 	return func() { cancel() }
 }
 
-var errNotReady = errors.New("platform: not to be sent any more")
+var errNotReady = errors.New("platform: the call was cancelled before it was sent")
 
-func header(method, target, addr string) *fasthttp.RequestHeader {
+func newRequestHeader(method, target, addr string) *fasthttp.RequestHeader {
 	h := &fasthttp.RequestHeader{}
 	h.DisableNormalizing()
 	h.SetNoDefaultContentType(true)
@@ -193,123 +200,125 @@
 	return h
 }
 
-// Send carries out an attempt.
-func (e *Engines) Send(ctx context.Context, a gateway.Attempt) gateway.Answer {
-	h := header(a.Method, a.Target, a.Engine.Address)
-	for _, f := range a.Header {
-		h.Add(f[0], f[1])
+// Send sends an attempt to its engine and returns once the first event of the answer
+// has been read, or the whole answer where it is not a stream.
+func (e *Engines) Send(ctx context.Context, attempt gateway.Attempt) gateway.Answer {
+	header := newRequestHeader(attempt.Method, attempt.Target, attempt.Engine.Address)
+	for _, field := range attempt.Header {
+		header.Add(field[0], field[1])
 	}
-	h.Set(headerID, string(a.ID))
-	h.SetContentLength(len(a.Body))
-	begun := e.clock.Now()
-	ready := func() bool { // a connect takes its time of what is left
-		h.Set(headerLeft, strconv.FormatFloat(max(a.Remaining-(e.clock.Now()-begun), 0)/1000, 'f', 3, 64))
-		return a.Ready()
+	header.Set(headerID, string(attempt.ID))
+	header.SetContentLength(len(attempt.Body))
+	start := e.clock.Now()
+	ready := func() bool { // the time spent on connecting counts against the remaining time
+		header.Set(headerRemaining, strconv.FormatFloat(max(attempt.Remaining-(e.clock.Now()-start), 0)/1000, 'f', 3, 64))
+		return attempt.Ready()
 	}
-	var head fasthttp.ResponseHeader
-	with := anyConn
-	if a.Once {
-		with = newConn
+	var response fasthttp.ResponseHeader
+	choice := anyConn
+	if attempt.Once {
+		choice = newConn
 	}
-	c, wrote, err := e.exchange(ctx, call{
-		addr: a.Engine.Address, with: with, head: h, body: a.Body, ready: ready, sent: a.Sent, giveUp: e.pool.abandon,
-	}, &head)
+	c, written, err := e.roundTrip(ctx, engineCall{
+		addr: attempt.Engine.Address, choice: choice, header: header, body: attempt.Body, ready: ready, sent: attempt.Sent, abort: e.pool.abandon,
+	}, &response)
 	if err != nil {
-		return failed(ctx, wrote, err)
+		return failedAnswer(ctx, written, err)
 	}
-	res := ashwood.Result{Report: wire.ParseReport(string(head.Peek(headerReport)))}
-	code := head.StatusCode()
+	result := ashwood.Result{Report: wire.ParseReport(string(response.Peek(headerLoadReport)))}
+	code := response.StatusCode()
 	if code == fasthttp.StatusOK {
-		s := e.newStream(ctx, c, &head)
-		stop := e.within(c, wholeWait) // the head comes with the first token
-		err := s.first()
-		stop()
+		stream := e.newStream(ctx, c, &response)
+		stopTimeout := e.startTimeout(c, completionTimeout) // the engine sends the header together with the first token
+		err := stream.readFirstEvent()
+		stopTimeout()
 		if err != nil {
-			s.abandon()
-			return failed(ctx, true, err)
+			stream.abandon()
+			return failedAnswer(ctx, true, err)
 		}
-		res.Status = ashwood.Served
-		return gateway.Answer{Result: res, Stream: s}
+		result.Status = ashwood.Served
+		return gateway.Answer{Result: result, Stream: stream}
 	}
-	body, err := e.drain(ctx, c, &head, e.pool.abandon)
-	away := len(head.Peek(headerNotRun)) > 0
+	body, err := e.readShortBody(ctx, c, &response, e.pool.abandon)
+	rejected := len(response.Peek(headerRejected)) > 0
 	switch {
-	case code == fasthttp.StatusAccepted && a.Reads:
-		var kept struct {
+	case code == fasthttp.StatusAccepted && attempt.Reads:
+		var cached struct {
 			Tokens float64 `json:"cached_tokens"`
 		}
 		if err == nil {
-			err = json.Unmarshal(body, &kept)
+			err = json.Unmarshal(body, &cached)
 		}
-		res.Status, res.Note = ashwood.Parsed, kept.Tokens
-		return gateway.Answer{Result: res, Err: err}
-	case away && (code == fasthttp.StatusServiceUnavailable || code == fasthttp.StatusGatewayTimeout):
-		res.Status = ashwood.TurnedAway
-	case away && code == fasthttp.StatusGone:
-		res.Status, res.Note = ashwood.TurnedAway, 1
+		result.Status, result.Note = ashwood.Parsed, cached.Tokens
+		return gateway.Answer{Result: result, Err: err}
+	case rejected && (code == fasthttp.StatusServiceUnavailable || code == fasthttp.StatusGatewayTimeout):
+		result.Status = ashwood.TurnedAway
+	case rejected && code == fasthttp.StatusGone:
+		result.Status, result.Note = ashwood.TurnedAway, 1
 	default:
-		res.Status = ashwood.ServerError
+		result.Status = ashwood.ServerError
 	}
-	return gateway.Answer{Result: res, Err: fmt.Errorf("platform: %s answered %d", a.Engine.ID, code)}
+	return gateway.Answer{Result: result, Err: fmt.Errorf("platform: engine %s responded with status %d", attempt.Engine.ID, code)}
 }
 
-// failed tells what an attempt without an answer proves.
-func failed(ctx context.Context, wrote bool, err error) gateway.Answer {
-	st := ashwood.ConnectionLost
+// failedAnswer returns the status of an attempt without a usable response, which says
+// whether the engine may have run it.
+func failedAnswer(ctx context.Context, written bool, err error) gateway.Answer {
+	status := ashwood.ConnectionLost
 	switch {
-	case wrote:
-	case ctx.Err() != nil, errors.Is(err, errNotReady), isLocal(err):
-		st = ashwood.NotSent
+	case written:
+	case ctx.Err() != nil, errors.Is(err, errNotReady), isLocalError(err):
+		status = ashwood.NotSent
 	default:
-		st = ashwood.NoConnection
+		status = ashwood.NoConnection
 	}
-	return gateway.Answer{Result: ashwood.Result{Status: st}, Err: fmt.Errorf("platform: no answer: %w", err)}
+	return gateway.Answer{Result: ashwood.Result{Status: status}, Err: fmt.Errorf("platform: no response from the engine: %w", err)}
 }
 
-// drain reads a short answer's body and gives the connection back.
-// One whose body can't be read is ended by giveUp.
-func (e *Engines) drain(ctx context.Context, c *conn, head *fasthttp.ResponseHeader, giveUp func(*conn)) (body []byte, err error) {
-	stop := c.endWith(ctx)
-	late := e.within(c, wholeWait)
+// readShortBody reads a response body of at most maxShortBody bytes and returns the
+// connection to the pool. If the body can't be read, abort ends the connection.
+func (e *Engines) readShortBody(ctx context.Context, c *engineConn, response *fasthttp.ResponseHeader, abort func(*engineConn)) (body []byte, err error) {
+	stopInterrupt := c.interruptOnDone(ctx)
+	stopTimeout := e.startTimeout(c, completionTimeout)
 	defer func() {
-		late()
-		switch whole := stop() && err == nil; {
-		case whole && !head.ConnectionClose():
+		stopTimeout()
+		switch complete := stopInterrupt() && err == nil; {
+		case complete && !response.ConnectionClose():
 			e.pool.put(c, 0)
-		case whole:
+		case complete:
 			e.pool.discard(c)
 		default:
-			giveUp(c)
+			abort(c)
 		}
 	}()
-	switch n := head.ContentLength(); {
-	case head.StatusCode() == fasthttp.StatusNoContent:
+	switch n := response.ContentLength(); {
+	case response.StatusCode() == fasthttp.StatusNoContent:
 		return nil, nil
-	case n >= 0 && n <= maxAnswerBody:
+	case n >= 0 && n <= maxShortBody:
 		body = make([]byte, n)
-		_, err = io.ReadFull(c.br, body)
+		_, err = io.ReadFull(c.reader, body)
 		return body, err
 	case n == -1:
-		body, err = io.ReadAll(io.LimitReader(&chunks{br: c.br, begin: func() func() { return func() {} }}, maxAnswerBody))
-		if err == nil && len(body) == maxAnswerBody {
-			err = fmt.Errorf("%w: a short answer without end", errSpoilt)
+		body, err = io.ReadAll(io.LimitReader(&chunkedReader{reader: c.reader, startTimeout: func() func() { return func() {} }}, maxShortBody))
+		if err == nil && len(body) == maxShortBody {
+			err = fmt.Errorf("%w: the body of a short response does not end", errMalformed)
 		}
 		return body, err
 	}
-	return nil, fmt.Errorf("%w: no usable length", errSpoilt)
+	return nil, fmt.Errorf("%w: no usable content length", errMalformed)
 }
 
-// Reserve asks a writer to hold a place.
+// Reserve asks a decode engine for a reservation.
 func (e *Engines) Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, ready func() bool) gateway.Place {
-	var head fasthttp.ResponseHeader
-	h := header(fasthttp.MethodPost, roomsPath+string(id), engine.Address)
-	h.SetContentLength(0)
-	c, wrote, err := e.exchange(ctx, call{addr: engine.Address, head: h, ready: ready}, &head)
+	var response fasthttp.ResponseHeader
+	header := newRequestHeader(fasthttp.MethodPost, holdsPath+string(id), engine.Address)
+	header.SetContentLength(0)
+	c, written, err := e.roundTrip(ctx, engineCall{addr: engine.Address, header: header, ready: ready}, &response)
 	if err == nil {
-		_, err = e.drain(ctx, c, &head, e.pool.discard)
+		_, err = e.readShortBody(ctx, c, &response, e.pool.discard)
 	}
-	switch code := head.StatusCode(); {
-	case !wrote:
+	switch code := response.StatusCode(); {
+	case !written:
 		return gateway.PlaceUnasked
 	case err != nil:
 		return gateway.PlaceUnknown
@@ -321,45 +330,45 @@
 	return gateway.PlaceUnknown
 }
 
-// Release lets go of what an engine holds for a request. Without an answer the
-// call may have been written to a connection that was dead, and is to be made again.
-func (e *Engines) Release(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, fresh bool) error {
-	var head fasthttp.ResponseHeader
-	h := header(fasthttp.MethodDelete, roomsPath+string(id), engine.Address)
-	with := anySpare
-	if fresh {
-		with = newSpare
+// Release has an engine drop its KV state and reservation for a request. After an
+// error the call must be repeated: it may have been written to a dead connection.
+func (e *Engines) Release(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, newConnection bool) error {
+	var response fasthttp.ResponseHeader
+	header := newRequestHeader(fasthttp.MethodDelete, holdsPath+string(id), engine.Address)
+	choice := anyConnOverLimit
+	if newConnection {
+		choice = newConnOverLimit
 	}
-	c, wrote, err := e.exchange(ctx, call{addr: engine.Address, with: with, head: h}, &head)
+	c, written, err := e.roundTrip(ctx, engineCall{addr: engine.Address, choice: choice, header: header}, &response)
 	switch {
 	case err == nil:
-		e.drain(ctx, c, &head, e.pool.discard)
+		e.readShortBody(ctx, c, &response, e.pool.discard)
 		return nil
-	case wrote && ctx.Err() != nil:
+	case written && ctx.Err() != nil:
 		return fmt.Errorf("platform: %s: %w: %w", engine.ID, gateway.ErrUnanswered, err)
-	case !wrote && isLocal(err):
+	case !written && isLocalError(err):
 		return fmt.Errorf("platform: %s: %w: %w", engine.ID, gateway.ErrLocal, err)
 	}
 	return fmt.Errorf("platform: %s: %w", engine.ID, err)
 }
 
-// Probe asks an engine for its load.
+// Probe asks an engine for its load report, which comes in a header or in the body.
 func (e *Engines) Probe(ctx context.Context, engine ashwood.Server) (ashwood.Status, ashwood.Report) {
-	var head fasthttp.ResponseHeader
-	h := header(fasthttp.MethodGet, loadPath, engine.Address)
-	c, wrote, err := e.exchange(ctx, call{addr: engine.Address, head: h}, &head)
+	var response fasthttp.ResponseHeader
+	header := newRequestHeader(fasthttp.MethodGet, loadReportPath, engine.Address)
+	c, written, err := e.roundTrip(ctx, engineCall{addr: engine.Address, header: header}, &response)
 	var body []byte
 	if err == nil {
-		body, err = e.drain(ctx, c, &head, e.pool.discard)
+		body, err = e.readShortBody(ctx, c, &response, e.pool.discard)
 	}
 	if err != nil {
-		return failed(ctx, wrote, err).Status, nil
+		return failedAnswer(ctx, written, err).Status, nil
 	}
-	report := wire.ParseReport(string(head.Peek(headerReport)))
+	report := wire.ParseReport(string(response.Peek(headerLoadReport)))
 	if report == nil {
 		report = wire.ParseReport(string(body))
 	}
-	if head.StatusCode() != fasthttp.StatusOK {
+	if response.StatusCode() != fasthttp.StatusOK {
 		return ashwood.ServerError, report
 	}
 	return ashwood.Served, report
--- a/internal/platform/engines_test.go
+++ b/internal/platform/engines_test.go
@@ -20,29 +20,29 @@
 	"ashwood.example/ashwood/internal/clock"
 )
 
-// An engine may close an idle connection; a request written to it would end as a reset.
-func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	got := make(chan seen, 9)
+// An engine may close an idle connection. A request written to it would end with a reset.
+func TestPool_IdleConnectionClosedByEngine(t *testing.T) {
+	requests := make(chan seen, 9)
 	c := start(t, engine(t, "r1", "reader", reads), engine(t, "w1", "writer", writes(func(s seen) string {
-		got <- s
+		requests <- s
 		return whole() + "\x00" // and closes it
 	})))
 	for range 3 {
 		r, body, err := ask(t, c, request("order", "", "{}"))
-		s := <-got
-		s.conn.Read(make([]byte, 1)) // until it is closed
+		s := <-requests
+		s.conn.Read(make([]byte, 1)) // returns when the connection is closed
 		if r.StatusCode != 200 || err != nil {
-			t.Fatalf("%s, %q, %v", r.Status, body, err)
+			t.Fatalf("status %s, body %q, error %v", r.Status, body, err)
 		}
 	}
 }
 
-// Clients and engines share the node's descriptors, so that the pool keeps to
-// its part: it closes an idle connection for a new one, and opens none beyond.
-func TestPoolKeepsToItsPartAndClosesWhatIsIdle(t *testing.T) {
+// Connections to clients and to engines share the process's file descriptors, so the pool keeps
+// to its limit: it closes an idle connection for a new one, and opens none beyond the limit.
+func TestPool_LimitAndIdleTimeout(t *testing.T) {
 	c := clock.NewManual(0)
-	p := newPool(c, 2000, 1000, 2)
-	get := func(addr string) *conn {
+	p := newConnPool(c, 2000, 1000, 2)
+	get := func(addr string) *engineConn {
 		t.Helper()
 		got, err := p.get(context.Background(), addr, anyConn)
 		if err != nil {
@@ -52,47 +52,47 @@
 	}
 	first, second := listen(t).Addr().String(), listen(t).Addr().String()
 	a, b := get(first), get(first)
-	if _, err := p.get(context.Background(), second, anyConn); !errors.Is(err, errTooMany) {
-		t.Errorf("a third connection: %v", err)
+	if _, err := p.get(context.Background(), second, anyConn); !errors.Is(err, errTooManyConns) {
+		t.Errorf("a third connection: error %v, want errTooManyConns", err)
 	}
-	spare, err := p.get(context.Background(), second, newSpare) // for what is held
+	overLimit, err := p.get(context.Background(), second, newConnOverLimit) // as for a release
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := p.get(context.Background(), second, newSpare); !errors.Is(err, errTooMany) {
-		t.Errorf("a second spare connection: %v", err)
+	if _, err := p.get(context.Background(), second, newConnOverLimit); !errors.Is(err, errTooManyConns) {
+		t.Errorf("a second connection over the limit: error %v, want errTooManyConns", err)
 	}
-	p.discard(spare)
+	p.discard(overLimit)
 	p.put(a, 0)
 	c.Advance(1)
 	p.put(b, 0)
 	other := get(second)
 	if _, err := a.Write([]byte("x")); !errors.Is(err, net.ErrClosed) || p.open != 2 {
-		t.Errorf("the oldest idle connection: %v; %d open", err, p.open)
+		t.Errorf("write to the oldest idle connection: error %v, want net.ErrClosed; %d open, want 2", err, p.open)
 	}
 	if again := get(first); again != b {
-		t.Error("an idle connection is not used again")
+		t.Error("an idle connection is not reused")
 	}
 	p.put(b, 0)
 	p.put(other, 0)
 	c.Advance(1000)
 	p.sweep()
 	if p.open != 2 {
-		t.Errorf("%d open after the time that they may be idle, want 2", p.open)
+		t.Errorf("%d open at the idle timeout, want 2", p.open)
 	}
 	c.Advance(1)
 	p.sweep()
 	if p.open != 0 || len(p.idle) != 0 {
-		t.Errorf("%d open, idle %v", p.open, p.idle)
+		t.Errorf("after the idle timeout: %d open, idle %v, want none", p.open, p.idle)
 	}
 }
 
-// An engine may send more than belongs to a stream, some ms behind its end. The connection is
-// not taken for that long, and what has come by then shows; none is used that brought more.
-func TestASecondAnswerBehindAStreamIsNotTakenForTheNext(t *testing.T) {
+// An engine may send surplus bytes some ms after the end of a stream. The connection is not
+// reused for that long, and not at all if surplus bytes have arrived by then.
+func TestPool_ExtraBytesAfterStream(t *testing.T) {
 	c, l := clock.NewManual(0), listen(t)
-	p, addr := newPool(c, 2000, 1000, 9), l.Addr().String()
-	take := func() *conn {
+	p, addr := newConnPool(c, 2000, 1000, 9), l.Addr().String()
+	take := func() *engineConn {
 		t.Helper()
 		got, err := p.get(t.Context(), addr, anyConn)
 		if err != nil {
@@ -106,26 +106,26 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	p.put(first, streamRest)
-	c.Advance(streamRest - 1)
+	p.put(first, streamReuseDelay)
+	c.Advance(streamReuseDelay - 1)
 	other := take()
 	if other == first {
-		t.Fatal("taken while a second answer may be under way")
+		t.Fatal("the connection is reused while surplus bytes may still arrive")
 	}
 	io.WriteString(peer, whole())
-	if _, err := first.br.Peek(1); err != nil { // it has come, unseen by the pool
+	if _, err := first.reader.Peek(1); err != nil { // it has arrived, but the pool has not seen it
 		t.Fatal(err)
 	}
-	first.br.Reset(first.Conn)
+	first.reader.Reset(first.Conn)
 	io.WriteString(peer, "more")
 	c.Advance(1)
-	until(t, "the second answer is seen", func() bool { return !first.alive() })
+	until(t, "the surplus bytes have arrived", func() bool { return !first.isOpen() })
 	if got := take(); got == first || p.open != 2 {
-		t.Errorf("taken although it has brought more: %v, %d open", got == first, p.open)
+		t.Errorf("connection with surplus bytes reused: %v; %d open, want 2", got == first, p.open)
 	}
 	p.put(other, 0)
 	if got := take(); got != other {
-		t.Error("one behind a short answer rests")
+		t.Error("a connection without a reuse delay is not reused at once")
 	}
 }
 
@@ -133,8 +133,8 @@
 	return &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", err)}
 }
 
-// Only what has not left whole is proved not to have run.
-func TestWhatAnAttemptWithoutAnAnswerProves(t *testing.T) {
+// Only a request that was not written completely is known not to have run.
+func TestFailedAnswer_Status(t *testing.T) {
 	live, ended := context.Background(), func() context.Context {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -151,21 +151,21 @@
 		{live, false, io.ErrShortWrite, ashwood.NoConnection},
 		{ended, false, io.ErrShortWrite, ashwood.NotSent},
 		{live, false, errNotReady, ashwood.NotSent},
-		{live, false, errTooMany, ashwood.NotSent},
+		{live, false, errTooManyConns, ashwood.NotSent},
 		{live, false, dialError(syscall.ECONNREFUSED), ashwood.NoConnection},
-		{live, false, dialError(syscall.EMFILE), ashwood.NotSent}, // this machine's, which says nothing of the engine
+		{live, false, dialError(syscall.EMFILE), ashwood.NotSent}, // an error of this machine, which says nothing about the engine
 		{live, false, dialError(syscall.EADDRNOTAVAIL), ashwood.NotSent},
 		{live, false, dialError(syscall.ENETUNREACH), ashwood.NotSent},
 		{live, true, dialError(syscall.ENOBUFS), ashwood.ConnectionLost},
 	}
 	for _, tt := range tests {
-		if got := failed(tt.ctx, tt.wrote, tt.err).Status; got != tt.want {
-			t.Errorf("wrote %v, %v: %v, want %v", tt.wrote, tt.err, got, tt.want)
+		if got := failedAnswer(tt.ctx, tt.wrote, tt.err).Status; got != tt.want {
+			t.Errorf("written %v, error %v: status %v, want %v", tt.wrote, tt.err, got, tt.want)
 		}
 	}
 }
 
-func TestProbeTellsTheLoad(t *testing.T) {
+func TestProbe_LoadReport(t *testing.T) {
 	e := NewEngines(settings(), clock.NewManual(0), 9)
 	for _, tt := range []struct {
 		name, answer string
@@ -179,25 +179,25 @@
 		{"an error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", ashwood.ServerError, nil},
 		{"a reset", "\x00", ashwood.ConnectionLost, nil},
 	} {
-		v := engine(t, "w1", "writer", func(s seen) string {
-			if s.Method != "GET" || s.Target != loadPath {
-				t.Errorf("%s %s", s.Method, s.Target)
+		target := engine(t, "w1", "writer", func(s seen) string {
+			if s.Method != "GET" || s.Target != loadReportPath {
+				t.Errorf("probe sent as %s %s", s.Method, s.Target)
 			}
 			return tt.answer
 		})
-		status, report := e.Probe(context.Background(), v)
+		status, report := e.Probe(context.Background(), target)
 		if diff := cmp.Diff(tt.report, report); status != tt.status || diff != "" {
-			t.Errorf("%s: status %v\n%s", tt.name, status, diff)
+			t.Errorf("%s: status %v, report differs:\n%s", tt.name, status, diff)
 		}
 	}
 }
 
-// A kept connection may be dead unnoticed, and an order that is lost on it must
-// not be sent again: it goes to its writer on a new one.
-func TestOrdersGoOnNewConnections(t *testing.T) {
+// An idle connection may be dead without the gateway knowing, and a request with a side effect
+// that is lost on it must not be resent. It goes to its decode engine on a new connection.
+func TestSend_SideEffectsUseNewConnections(t *testing.T) {
 	conns := map[net.Conn]bool{}
 	c := start(t, engine(t, "r1", "reader", reads), engine(t, "w1", "writer", func(s seen) string {
-		if s.Method == "DELETE" || strings.HasPrefix(s.Target, roomsPath) {
+		if s.Method == "DELETE" || strings.HasPrefix(s.Target, holdsPath) {
 			return freed
 		}
 		conns[s.conn] = true
@@ -205,64 +205,64 @@
 	}))
 	for range 3 {
 		if r, _, err := ask(t, c, request("order", "", "{}")); r.StatusCode != 200 || err != nil {
-			t.Errorf("%s, %v", r.Status, err)
+			t.Errorf("status %s, error %v", r.Status, err)
 		}
 	}
 	if len(conns) != 3 {
-		t.Errorf("three orders came on %d connections", len(conns))
+		t.Errorf("three requests with a side effect used %d connections, want 3", len(conns))
 	}
 }
 
-// A release on a kept connection that has gone silent, is closed, or breaks off in mid-answer
-// has not been made; the next goes on none that was there then.
-func TestReleaseIsMadeAgainOnANewConnection(t *testing.T) {
-	for name, fault := range map[string]string{"silent": "", "closed": "\x00", "cut short": "HTTP/1.1 20\x00", "no head": "\r\n\x00"} {
-		e, got, answers := NewEngines(settings(), clock.System(), 9), make(chan net.Conn), make(chan string)
-		v := engine(t, "w1", "writer", func(s seen) string {
-			got <- s.conn
+// A release fails if its reused connection is silent, is closed, or breaks off within the
+// response. The next try uses none of the connections that were open then.
+func TestRelease_RetryOnNewConnection(t *testing.T) {
+	for name, fault := range map[string]string{"silent": "", "closed": "\x00", "cut short": "HTTP/1.1 20\x00", "no header": "\r\n\x00"} {
+		e, conns, answers := NewEngines(settings(), clock.System(), 9), make(chan net.Conn), make(chan string)
+		target := engine(t, "w1", "writer", func(s seen) string {
+			conns <- s.conn
 			return <-answers
 		})
 		ctx, cancel := context.WithCancel(context.Background())
-		end := make(chan error, 2)
-		release := func(fresh bool) net.Conn {
-			go func() { end <- e.Release(ctx, v, "q", fresh) }()
-			return <-got
+		results := make(chan error, 2)
+		release := func(newConnection bool) net.Conn {
+			go func() { results <- e.Release(ctx, target, "q", newConnection) }()
+			return <-conns
 		}
-		kept := []net.Conn{release(false), release(false)} // two at once
-		for range kept {
+		idle := []net.Conn{release(false), release(false)} // two at the same time
+		for range idle {
 			answers <- freed
-			if err := <-end; err != nil {
+			if err := <-results; err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
-		if c := release(false); !slices.Contains(kept, c) {
-			t.Errorf("%s: not on a kept connection", name)
+		if c := release(false); !slices.Contains(idle, c) {
+			t.Errorf("%s: the release did not use an idle connection", name)
 		}
 		if answers <- fault; fault == "" {
-			cancel() // its owner has waited for long enough
+			cancel() // as the caller does after its timeout
 		}
-		if err := <-end; err == nil {
-			t.Errorf("%s: a release without an answer counts", name)
+		if err := <-results; err == nil {
+			t.Errorf("%s: a release without a complete response reports success", name)
 		}
 		ctx = context.Background()
-		if c := release(true); slices.Contains(kept, c) {
-			t.Errorf("%s: made again on a connection that was there", name)
+		if c := release(true); slices.Contains(idle, c) {
+			t.Errorf("%s: the retry used an old connection", name)
 		}
 		answers <- freed
-		if err := <-end; err != nil {
-			t.Errorf("%s: made again: %v", name, err)
+		if err := <-results; err != nil {
+			t.Errorf("%s: the retry failed: %v", name, err)
 		}
 		cancel()
 	}
 }
 
-// Gateways of a large fleet wait for connections as long as they take of late; those of a
-// small one for the time in the settings, as they did.
-func TestConnectsAreWaitedForAsLongAsTheyTake(t *testing.T) {
+// In a large fleet the connect timeout adapts to recent connects. In a small one it stays
+// at the value from the settings.
+func TestConnectTimeout_ByFleetSize(t *testing.T) {
 	for nodes, want := range map[int]float64{300: 400, 4: 2000} {
-		set := settings()
-		set.Nodes = nodes
-		e := NewEngines(set, clock.NewManual(1), 99) // on which each takes no time
+		config := settings()
+		config.Nodes = nodes
+		e := NewEngines(config, clock.NewManual(1), 99) // a clock on which a connect takes no time
 		addr := listen(t).Addr().String()
 		for range 20 {
 			c, err := e.pool.get(context.Background(), addr, newConn)
@@ -271,19 +271,19 @@
 			}
 			e.pool.discard(c)
 		}
-		if w := e.pool.wait.Wait(); w != want {
-			t.Errorf("%d gateways wait for %v ms, want %v", nodes, w, want)
+		if w := e.pool.connectTimeout.Timeout(); w != want {
+			t.Errorf("%d gateways: connect timeout %v ms, want %v", nodes, w, want)
 		}
 	}
 }
 
-// Where machines forget connections, most of the kept ones are dead: once one has
-// shown, none is kept for a while.
-func TestNoConnectionIsKeptAfterOneHasDied(t *testing.T) {
+// If a machine on the path has dropped its connection state, most idle connections are dead.
+// Once one proves dead, none is kept or reused for noReusePeriod.
+func TestPool_NoReuseAfterDeadConnection(t *testing.T) {
 	c := clock.NewManual(1)
-	p := newPool(c, 2000, 9000, 9)
+	p := newConnPool(c, 2000, 9000, 9)
 	addr := listen(t).Addr().String()
-	get := func() *conn {
+	get := func() *engineConn {
 		t.Helper()
 		got, err := p.get(context.Background(), addr, anyConn)
 		if err != nil {
@@ -292,76 +292,76 @@
 		return got
 	}
 	a, b := get(), get()
-	p.broke(b) // a new one tells nothing of the kept
+	p.reportBroken(b) // a connection that was never idle says nothing about the idle ones
 	p.put(a, 0)
 	p.put(b, 0)
 	if got := get(); got != b {
-		t.Fatal("no connection is kept")
+		t.Fatal("an idle connection is not reused")
 	}
-	p.broke(b)
+	p.reportBroken(b)
 	p.discard(b)
 	fresh := get()
 	if fresh == a {
-		t.Error("a kept connection is used after another had died")
+		t.Error("an idle connection is reused after another proved dead")
 	}
 	if p.put(fresh, 0); p.open != 1 {
-		t.Errorf("%d open: a connection is kept", p.open)
+		t.Errorf("%d open, want 1: a connection is kept after another proved dead", p.open)
 	}
-	c.Advance(doubtTime)
+	c.Advance(noReusePeriod)
 	if get() != a {
-		t.Error("connections are not used again in time")
+		t.Error("an idle connection is not reused after noReusePeriod")
 	}
 }
 
-// An attempt given up in the moment in which it fails must not take the process
-// down: what ends its connection then runs when the connection is cleared already.
-// On one processor it runs after, each time.
-func TestGivenUpInTheMomentOfAFailure(t *testing.T) {
+// An attempt whose context is cancelled at the moment in which it fails must not crash the
+// process: the cancellation callback may run after the connection variable has been set to nil.
+// With one processor it runs after that every time.
+func TestSend_CancelDuringFailure(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	e := NewEngines(ashwood.Settings{}, clock.System(), 16)
-	writer := engine(t, "w", "decode", func(seen) string { return "" })
+	target := engine(t, "w", "decode", func(seen) string { return "" })
 	for i := range 50 {
 		ctx, cancel := context.WithCancel(context.Background())
-		ans := e.Send(ctx, gateway.Attempt{
+		answer := e.Send(ctx, gateway.Attempt{
 			Request: &gateway.Request{Call: ashwood.Call{ID: ashwood.RequestID(fmt.Sprint(i))}, Method: "POST", Target: "/", Body: []byte("{}")},
-			Engine:  writer, Remaining: 1000, Sent: func() {},
+			Engine:  target, Remaining: 1000, Sent: func() {},
 			Ready: func() bool {
 				cancel()
 				return false
 			},
 		})
-		if ans.Status != ashwood.NotSent {
-			t.Fatalf("try %d: %v, %v", i, ans.Status, ans.Err)
+		if answer.Status != ashwood.NotSent {
+			t.Fatalf("attempt %d: status %v, error %v", i, answer.Status, answer.Err)
 		}
 		runtime.Gosched()
 	}
 }
 
-// While two processes serve one gateway, each keeps half of the connections to engines.
-func TestPoolIsSharedBetweenProcesses(t *testing.T) {
-	s := engine(t, "e", "", func(seen) string { return "HTTP/1.1 204 No Content\r\n\r\n" })
-	p := newPool(clock.System(), 1000, 15000, 4)
-	var conns []*conn
+// While two processes serve one gateway, each may have half of the connections to engines.
+func TestPool_SharedBetweenProcesses(t *testing.T) {
+	target := engine(t, "e", "", func(seen) string { return "HTTP/1.1 204 No Content\r\n\r\n" })
+	p := newConnPool(clock.System(), 1000, 15000, 4)
+	var conns []*engineConn
 	for range 4 {
-		c, err := p.get(t.Context(), s.Address, anyConn)
+		c, err := p.get(t.Context(), target.Address, anyConn)
 		if err != nil {
 			t.Fatal(err)
 		}
 		conns = append(conns, c)
 	}
 	p.put(conns[0], 0)
-	p.share(2)
+	p.setProcesses(2)
 	if p.open != 3 {
-		t.Errorf("%d open: an idle one beyond the part stays", p.open)
+		t.Errorf("%d open, want 3: an idle connection beyond the process limit stays open", p.open)
 	}
-	p.put(conns[1], 0) // beyond the part: it is closed
+	p.put(conns[1], 0) // beyond the process limit: it is closed
 	p.put(conns[2], 0)
-	if p.open != 2 || len(p.idle[s.Address]) != 1 {
-		t.Errorf("%d open, %d of them idle", p.open, len(p.idle[s.Address]))
+	if p.open != 2 || len(p.idle[target.Address]) != 1 {
+		t.Errorf("%d open, %d of them idle, want 2 and 1", p.open, len(p.idle[target.Address]))
 	}
-	p.share(1)
-	if p.max != 4 {
-		t.Errorf("%d for one alone", p.max)
+	p.setProcesses(1)
+	if p.processLimit != 4 {
+		t.Errorf("%d for a single process, want 4", p.processLimit)
 	}
 	p.put(conns[3], 0)
 	p.close()
--- a/internal/platform/lists_test.go
+++ b/internal/platform/lists_test.go
@@ -16,7 +16,7 @@
 	"ashwood.example/ashwood/internal/clock"
 )
 
-func entries(n int, id func(int) string) string {
+func membershipEntries(n int, id func(int) string) string {
 	var b strings.Builder
 	for i := range n {
 		fmt.Fprintf(&b, `,{"instanceId":%q,"hostPort":"127.0.0.1:9","zone":"a","machineType":"r","cell":%d,"lifecycle":"up","weight":1,"startedAtMs":0}`, id(i), i/8)
@@ -24,26 +24,26 @@
 	return b.String()[1:]
 }
 
-// A list that can't be used is told of in the log, with what is wrong, and the one
-// in hand stays; 1,024 engines are no trouble.
-func TestUnusableListsLeaveTheOneInHand(t *testing.T) {
+// A membership response that can't be used is logged with the reason, and the current
+// membership stays. A snapshot of 1,024 engines is accepted.
+func TestDiscovery_UnusableMembership(t *testing.T) {
 	name := func(i int) string { return fmt.Sprint("s", i) }
-	good := `{"generation":1,"reset":true,"instances":[` + entries(1024, name) + `]}`
-	for said, bad := range map[string]string{
-		`names \"s0\" twice`:     `{"generation":2,"reset":true,"instances":[` + entries(1024, func(i int) string { return name(i % 1017) }) + `]}`,
-		"unexpected end of JSON": good[:len(good)/2],
-		"body size exceeds":      good + strings.Repeat(" ", maxList),
+	valid := `{"generation":1,"reset":true,"instances":[` + membershipEntries(1024, name) + `]}`
+	for logged, invalid := range map[string]string{
+		`contains engine \"s0\" twice`: `{"generation":2,"reset":true,"instances":[` + membershipEntries(1024, func(i int) string { return name(i % 1017) }) + `]}`,
+		"unexpected end of JSON":       valid[:len(valid)/2],
+		"body size exceeds":            valid + strings.Repeat(" ", maxMembershipBytes),
 	} {
 		calls := make(chan int, 100)
-		asked := 0
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked++
-			calls <- asked
+		requests := 0
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			requests++
+			calls <- requests
 			switch {
-			case asked == 1:
-				io.WriteString(w, good)
-			case asked == 2:
-				io.WriteString(w, bad)
+			case requests == 1:
+				io.WriteString(w, valid)
+			case requests == 2:
+				io.WriteString(w, invalid)
 			default:
 				<-r.Context().Done()
 			}
@@ -51,17 +51,17 @@
 		var mu sync.Mutex
 		var log bytes.Buffer
 		c := clock.NewManual(0)
-		d := NewDiscovery(strings.TrimPrefix(s.URL, "http://"), c, slog.New(slog.NewTextHandler(writer(func(b []byte) {
+		d := NewDiscovery(strings.TrimPrefix(server.URL, "http://"), c, slog.New(slog.NewTextHandler(writerFunc(func(b []byte) {
 			mu.Lock()
 			defer mu.Unlock()
 			log.Write(b)
 		}), nil)))
 		ctx, cancel := context.WithCancel(context.Background())
-		var lists []int
-		over := make(chan struct{})
+		var updates []int
+		done := make(chan struct{})
 		go func() {
-			defer close(over)
-			d.Run(ctx, func(_ ashwood.ListForm, list []ashwood.Server) { lists = append(lists, len(list)) })
+			defer close(done)
+			d.Run(ctx, func(_ ashwood.ListForm, list []ashwood.Server) { updates = append(updates, len(list)) })
 		}()
 		for n := 0; n < 3; {
 			select {
@@ -71,21 +71,21 @@
 			}
 		}
 		cancel()
-		<-over
-		s.CloseClientConnections()
-		s.Close()
-		if len(lists) != 1 || lists[0] != 1024 {
-			t.Errorf("%s: lists of %v", said, lists)
+		<-done
+		server.CloseClientConnections()
+		server.Close()
+		if len(updates) != 1 || updates[0] != 1024 {
+			t.Errorf("%s: updates with %v engines, want one with 1024", logged, updates)
 		}
-		if !strings.Contains(log.String(), said) {
-			t.Errorf("%q is not in the log: %.300s", said, log.String())
+		if !strings.Contains(log.String(), logged) {
+			t.Errorf("the log does not contain %q: %.300s", logged, log.String())
 		}
 	}
 }
 
-type writer func([]byte)
+type writerFunc func([]byte)
 
-func (w writer) Write(b []byte) (int, error) {
+func (w writerFunc) Write(b []byte) (int, error) {
 	w(b)
 	return len(b), nil
 }
--- a/internal/platform/local.go
+++ b/internal/platform/local.go
@@ -6,12 +6,13 @@
 	"syscall"
 )
 
-// localFailures are the errors of connects that this machine could not begin. They say nothing of the engine.
-var localFailures = []error{
-	errTooMany, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
+// localErrors are the errors of connects that failed on this machine. They say nothing about
+// the engine's health.
+var localErrors = []error{
+	errTooManyConns, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
 }
 
-// isLocal tells whether a call was not made for want of something on this machine.
-func isLocal(err error) bool {
-	return slices.ContainsFunc(localFailures, func(local error) bool { return errors.Is(err, local) })
+// isLocalError reports whether a call was not made because this machine lacks a resource or a route.
+func isLocalError(err error) bool {
+	return slices.ContainsFunc(localErrors, func(localErr error) bool { return errors.Is(err, localErr) })
 }
--- a/internal/platform/pool.go
+++ b/internal/platform/pool.go
@@ -16,205 +16,211 @@
 	"ashwood.example/ashwood/internal/trend"
 )
 
-// errTooMany says that the gateway's share of sockets is used up.
-var errTooMany = errors.New("platform: too many connections to engines")
+// errTooManyConns is returned when the limit on connections to engines is reached.
+var errTooManyConns = errors.New("platform: too many connections to engines")
 
-// conn carries one request at a time.
-type conn struct {
+// engineConn is a connection to an engine. It carries one request at a time.
+type engineConn struct {
 	net.Conn
-	br   *bufio.Reader
-	addr string
-	idle float64 // since when; 0 = never yet
-	from float64 // when it may be used again
+	reader     *bufio.Reader
+	addr       string
+	idleSince  float64 // ms; 0 = it has not been idle yet
+	reusableAt float64 // ms; not reused before that
 }
 
-// endWith has the end of ctx end all reading and writing on the connection, until stop. That
-// tells whether it came before; else the end has been seen to, and disturbs nothing later.
-func (c *conn) endWith(ctx context.Context) (stop func() bool) {
-	ended := make(chan struct{})
+// interruptOnDone makes all reads and writes on the connection fail once ctx is done, until
+// stop is called. stop returns true if it came before that. Otherwise it waits until the
+// interruption has been applied, so that this can't affect a later use of the connection.
+func (c *engineConn) interruptOnDone(ctx context.Context) (stop func() bool) {
+	interrupted := make(chan struct{})
 	prevent := context.AfterFunc(ctx, func() {
 		c.SetDeadline(time.Unix(1, 0))
-		close(ended)
+		close(interrupted)
 	})
 	return sync.OnceValue(func() bool {
 		if prevent() {
 			return true
 		}
-		<-ended
+		<-interrupted
 		return false
 	})
 }
 
-// pool keeps connections to engines. It never sends anything: whoever takes a
-// connection knows when the last byte of a request has left, and nothing is
-// sent again behind its back.
-type pool struct {
-	clock   clock.Clock
-	maxIdle float64 // ms after which an idle connection is closed, well before the engine does
-	most    int     // connections open at once, for one process alone
-	log     *slog.Logger
+// connPool keeps the connections to engines. It never writes to them: the caller
+// knows when the last byte of a request has been written, and no request is resent
+// without its knowledge, as an HTTP client library might do.
+type connPool struct {
+	clock       clock.Clock
+	idleTimeout float64 // ms after which an idle connection is closed, well before the engine closes it
+	limit       int     // open connections, for all processes of this gateway
+	log         *slog.Logger
 
-	mu    sync.Mutex
-	max   int                // the same for this one of several
-	wait  trend.Patience     // for a connection
-	learn bool               // whether that is shortened by how long they take
-	idle  map[string][]*conn // by address, the latest used last
-	open  int
-	doubt float64 // until when no connection is kept
-	over  bool    // none is kept any more
+	mu             sync.Mutex
+	processLimit   int                      // open connections, for this process
+	connectTimeout trend.AdaptiveTimeout    // how long a connect may take
+	adaptTimeout   bool                     // whether connectTimeout adapts to how long connects take
+	idle           map[string][]*engineConn // by address, the most recently used last
+	open           int
+	noReuseUntil   float64 // ms; no idle connection is kept or reused before that
+	closed         bool    // connections that are returned are closed
 }
 
-// doubtTime is for how long no connection is kept, in ms, after a kept one had
-// died unnoticed: where machines forget connections, most of the kept are dead.
-const doubtTime = 2000.0
+// noReusePeriod is the time in ms for which no idle connection is kept or reused after
+// one turned out to be dead: if a machine on the path has dropped its connection state,
+// most of the other idle connections are dead too.
+const noReusePeriod = 2000.0
 
-// which connection a call may go on. Releases have some beyond the bound: what is
-// held is not to stay because attempts use all sockets up.
-type which int
+// connChoice says which connections a call may use. Releases may exceed the limit:
+// engines must not keep KV state and reservations because attempts use up all sockets.
+type connChoice int
 
 const (
-	anyConn  which = iota
-	newConn        // none that may have died unnoticed
-	anySpare       // any, with the spare ones
-	newSpare       // a new one, with the spare ones
+	anyConn          connChoice = iota
+	newConn                     // a new one, since an idle one may be dead
+	anyConnOverLimit            // any, over the limit if necessary
+	newConnOverLimit            // a new one, over the limit if necessary
 )
 
-// spareShare is the part of the bound by which releases may go beyond it; the
-// program leaves that many descriptors free.
-const spareShare = 1.0 / 16
+// overLimitShare is the share of the limit by which releases may exceed it. The
+// program leaves that many file descriptors free.
+const overLimitShare = 1.0 / 16
 
-func newPool(c clock.Clock, connect, maxIdle float64, limit int) *pool {
-	return &pool{clock: c, wait: trend.Patience{Most: connect}, maxIdle: maxIdle, most: limit, max: limit, idle: map[string][]*conn{}, log: slog.New(slog.DiscardHandler)}
+func newConnPool(c clock.Clock, connectTimeout, idleTimeout float64, limit int) *connPool {
+	return &connPool{clock: c, connectTimeout: trend.AdaptiveTimeout{Max: connectTimeout}, idleTimeout: idleTimeout, limit: limit, processLimit: limit, idle: map[string][]*engineConn{}, log: slog.New(slog.DiscardHandler)}
 }
 
-// get gives an idle connection that the engine has not closed, or a new one.
-func (p *pool) get(ctx context.Context, addr string, with which) (*conn, error) {
+// get returns an idle connection that the engine has not closed, or a new one.
+func (p *connPool) get(ctx context.Context, addr string, choice connChoice) (*engineConn, error) {
 	for {
-		c, err := p.reuse(addr, with)
+		c, err := p.takeIdleOrCount(addr, choice)
 		if err != nil {
 			return nil, err
 		}
 		if c == nil {
 			return p.dial(ctx, addr)
 		}
-		if c.alive() {
+		if c.isOpen() {
 			return c, nil
 		}
 		p.discard(c)
 	}
 }
 
-// reuse takes an idle connection, or counts a new one, which it leaves to dial.
-func (p *pool) reuse(addr string, with which) (*conn, error) {
+// takeIdleOrCount takes an idle connection. If there is none, it returns nil and counts
+// a new connection as open; the caller dials it.
+func (p *connPool) takeIdleOrCount(addr string, choice connChoice) (*engineConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now := p.clock.Now(); (with == anyConn || with == anySpare) && now >= p.doubt {
+	if now := p.clock.Now(); (choice == anyConn || choice == anyConnOverLimit) && now >= p.noReuseUntil {
 		for i, c := range slices.Backward(p.idle[addr]) {
-			if now >= c.from {
+			if now >= c.reusableAt {
 				p.idle[addr] = slices.Delete(p.idle[addr], i, i+1)
 				return c, nil
 			}
 		}
 	}
-	most := p.max
-	if with >= anySpare {
-		most += max(int(float64(p.max)*spareShare), 1)
+	limit := p.processLimit
+	if choice >= anyConnOverLimit {
+		limit += max(int(float64(p.processLimit)*overLimitShare), 1)
 	}
-	if p.open >= p.max && !p.dropOldest() && p.open >= most {
-		return nil, errTooMany
+	if p.open >= p.processLimit && !p.closeOldestIdle() && p.open >= limit {
+		return nil, errTooManyConns
 	}
 	p.open++
 	return nil, nil
 }
 
-func (p *pool) dial(ctx context.Context, addr string) (*conn, error) {
+func (p *connPool) dial(ctx context.Context, addr string) (*engineConn, error) {
 	p.mu.Lock()
-	d := net.Dialer{Timeout: clock.Duration(p.wait.Wait()), KeepAlive: -1}
+	dialer := net.Dialer{Timeout: clock.Duration(p.connectTimeout.Timeout()), KeepAlive: -1}
 	p.mu.Unlock()
-	begun := p.clock.Now()
-	nc, err := d.DialContext(ctx, "tcp", addr)
-	took := p.clock.Now() - begun
-	p.log.Debug("connect", "address", addr, "ms", took, "err", err)
+	start := p.clock.Now()
+	netConn, err := dialer.DialContext(ctx, "tcp", addr)
+	elapsed := p.clock.Now() - start
+	p.log.Debug("connect", "address", addr, "ms", elapsed, "err", err)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
 		p.open--
-		if ne, ok := err.(net.Error); ok && ne.Timeout() && ctx.Err() == nil {
-			p.wait.Missed()
+		if netErr, ok := err.(net.Error); ok && netErr.Timeout() && ctx.Err() == nil {
+			p.connectTimeout.TimedOut()
 		}
 		return nil, err
 	}
-	if p.learn {
-		p.wait.Came(took)
+	if p.adaptTimeout {
+		p.connectTimeout.Observe(elapsed)
 	}
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, 4096), addr: addr}, nil
+	return &engineConn{Conn: netConn, reader: bufio.NewReaderSize(netConn, 4096), addr: addr}, nil
 }
 
-// streamRest is how many ms a connection rests behind a stream. Engines may send more than
-// belongs to it, some ms late; the next request's answer would begin with that.
-const streamRest = 50.0
+// streamReuseDelay is the time in ms that a connection is not reused after a stream. Engines may
+// send surplus bytes some ms after its end, and the next request's response would begin with them.
+const streamReuseDelay = 50.0
 
-// put keeps a connection for another request, some ms from now on.
-func (p *pool) put(c *conn, rest float64) {
-	if c.br.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
+// put returns a connection to the pool. It is reused after delay ms at the earliest.
+func (p *connPool) put(c *engineConn, delay float64) {
+	if c.reader.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
 		p.discard(c)
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.idle = p.clock.Now(); c.idle < p.doubt || p.over || p.open > p.max {
+	if c.idleSince = p.clock.Now(); c.idleSince < p.noReuseUntil || p.closed || p.open > p.processLimit {
 		c.Close()
 		p.open--
 		return
 	}
-	c.from = c.idle + rest
+	c.reusableAt = c.idleSince + delay
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
-// broke tells of a connection that ended in place of an answer.
-func (p *pool) broke(c *conn) {
+// reportBroken records that a connection ended instead of bringing a response. If it was a
+// reused one, noReusePeriod begins.
+func (p *connPool) reportBroken(c *engineConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.idle > 0 {
-		p.doubt = p.clock.Now() + doubtTime
+	if c.idleSince > 0 {
+		p.noReuseUntil = p.clock.Now() + noReusePeriod
 	}
 }
 
-// discard closes a connection.
-func (p *pool) discard(c *conn) {
+// discard closes a connection and takes it out of the count.
+func (p *connPool) discard(c *engineConn) {
 	c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-// Bounds of giving up a request: what its engine has noticed no later is taken to be given up
-// all the same. A packet takes some ms between data centres; a machine that vanished says nothing.
+// Limits on waiting for an engine to notice that a request was abandoned. When they are reached,
+// the request counts as abandoned all the same: a packet takes some ms between data centres, and
+// a machine that is gone never responds.
 const (
-	noticeWait  = 20.0     // ms
-	noticeBytes = 64 << 10 // of an answer that still comes
+	abandonTimeout  = 20.0     // ms
+	abandonMaxBytes = 64 << 10 // of a response that still arrives
 )
 
-// abandon gives up a request whose last byte has been written, and returns once its engine
-// has noticed, or noticeWait later. An engine works for a request for as long as it sees the
-// connection open: the next attempt, or the answer that trying again does no harm, could come
-// before it has seen the end. The write side is shut, and the engine closes or resets in turn.
-func (p *pool) abandon(c *conn) {
+// abandon cancels a request whose last byte has been written, and returns once its engine has
+// noticed, or after abandonTimeout. An engine works on a request for as long as its connection is
+// open. Without the wait, the next attempt, or the reply that a retry is safe, could come before the
+// engine has stopped. abandon closes the write side; the engine then closes or resets the connection.
+func (p *connPool) abandon(c *engineConn) {
 	defer p.discard(c)
-	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil || c.SetDeadline(time.Time{}) != nil {
+	writeCloser, ok := c.Conn.(interface{ CloseWrite() error })
+	if !ok || writeCloser.CloseWrite() != nil || c.SetDeadline(time.Time{}) != nil {
 		return
 	}
-	defer p.clock.AfterFunc(noticeWait, func() { c.SetDeadline(time.Unix(1, 0)) })()
-	// Any error is the end that is waited for: the engine's, or that of the time.
-	_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, noticeBytes))
+	defer p.clock.AfterFunc(abandonTimeout, func() { c.SetDeadline(time.Unix(1, 0)) })()
+	// Any error ends the wait: the engine has closed the connection, or the time is up.
+	_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, abandonMaxBytes))
 }
 
-// dropOldest makes room for a new connection.
-func (p *pool) dropOldest() bool {
+// closeOldestIdle closes the connection that has been idle longest, to make room for a new
+// one. It returns false if no connection is idle.
+func (p *connPool) closeOldestIdle() bool {
 	oldest := ""
-	for addr, list := range p.idle {
-		if len(list) > 0 && (oldest == "" || list[0].idle < p.idle[oldest][0].idle) {
+	for addr, conns := range p.idle {
+		if len(conns) > 0 && (oldest == "" || conns[0].idleSince < p.idle[oldest][0].idleSince) {
 			oldest = addr
 		}
 	}
@@ -227,13 +233,13 @@
 	return true
 }
 
-// close closes idle connections, and has others closed when they are put back.
-func (p *pool) close() {
+// close closes the idle connections, and the others when they are returned.
+func (p *connPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.over = true
-	for _, list := range p.idle {
-		for _, c := range list {
+	p.closed = true
+	for _, conns := range p.idle {
+		for _, c := range conns {
 			c.Close()
 			p.open--
 		}
@@ -241,49 +247,50 @@
 	clear(p.idle)
 }
 
-// share leaves this process its part of the connections. Those beyond it that are in use
-// are closed when they are put back.
-func (p *pool) share(processes int) {
+// setProcesses divides the limit among the processes of this gateway. Connections beyond this
+// process's part are closed, those in use when they are returned.
+func (p *connPool) setProcesses(processes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.max = max(p.most/max(processes, 1), 1)
-	for p.open > p.max && p.dropOldest() {
+	p.processLimit = max(p.limit/max(processes, 1), 1)
+	for p.open > p.processLimit && p.closeOldestIdle() {
 	}
 }
 
-// sweep closes what has been idle too long.
-func (p *pool) sweep() {
+// sweep closes connections that have been idle for longer than idleTimeout.
+func (p *connPool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	for addr, list := range p.idle {
-		for len(list) > 0 && now-list[0].idle > p.maxIdle {
-			list[0].Close()
-			list = list[1:]
+	for addr, conns := range p.idle {
+		for len(conns) > 0 && now-conns[0].idleSince > p.idleTimeout {
+			conns[0].Close()
+			conns = conns[1:]
 			p.open--
 		}
-		if p.idle[addr] = list; len(list) == 0 {
+		if p.idle[addr] = conns; len(conns) == 0 {
 			delete(p.idle, addr)
 		}
 	}
 }
 
-// alive tells whether the engine has left an idle connection open. A request
-// written to a closed one would end as a reset, which proves nothing.
-func (c *conn) alive() bool {
-	sc, ok := c.Conn.(syscall.Conn)
+// isOpen reports whether an idle connection is still open at the engine's side and has
+// received no data. A request written to a closed one would end with a reset, which does
+// not show whether the engine ran it.
+func (c *engineConn) isOpen() bool {
+	syscallConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	open := false
 	err = raw.Read(func(fd uintptr) bool {
-		var b [1]byte
-		_, _, e := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		open = e == syscall.EAGAIN || e == syscall.EWOULDBLOCK
+		var buf [1]byte
+		_, _, errno := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		open = errno == syscall.EAGAIN || errno == syscall.EWOULDBLOCK
 		return true
 	})
 	return err == nil && open
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -14,97 +14,98 @@
 	"ashwood.example/ashwood/internal/wire"
 )
 
-// stream is an engine's answer. Its bytes go on as they came; only the load
-// report in the comment at its end is read.
-type stream struct {
-	pool  *pool
-	c     *conn
-	body  io.Reader
-	stop  func() bool
-	buf   [4096]byte
-	begun []byte // up to the end of the first event, read but not passed on
-	tail  []byte // the last bytes seen, for the report
-	keep  bool
-	done  bool
+// engineStream is a streamed answer from an engine. Its bytes are passed on unchanged;
+// only the load report in the comment at its end is parsed.
+type engineStream struct {
+	pool          *connPool
+	conn          *engineConn
+	body          io.Reader
+	stopInterrupt func() bool
+	buf           [4096]byte
+	firstEvent    []byte // bytes up to the end of the first event, until Next returns them
+	tail          []byte // the last bytes read, for the load report
+	reusable      bool
+	done          bool
 }
 
 const tailBytes = 512
 
-func (e *Engines) newStream(ctx context.Context, c *conn, head *fasthttp.ResponseHeader) *stream {
-	s := &stream{pool: e.pool, c: c, keep: !head.ConnectionClose()}
-	s.stop = c.endWith(ctx)
-	switch n := head.ContentLength(); {
+func (e *Engines) newStream(ctx context.Context, c *engineConn, response *fasthttp.ResponseHeader) *engineStream {
+	stream := &engineStream{pool: e.pool, conn: c, reusable: !response.ConnectionClose()}
+	stream.stopInterrupt = c.interruptOnDone(ctx)
+	switch n := response.ContentLength(); {
 	case n == -1:
-		s.body = &chunks{br: c.br, begin: func() func() { return e.within(c, wholeWait) }}
+		stream.body = &chunkedReader{reader: c.reader, startTimeout: func() func() { return e.startTimeout(c, completionTimeout) }}
 	case n >= 0:
-		s.body = &exactly{r: c.br, left: n}
+		stream.body = &fixedLengthReader{reader: c.reader, remaining: n}
 	default:
-		s.body, s.keep = c.br, false
+		stream.body, stream.reusable = c.reader, false
 	}
-	return s
+	return stream
 }
 
-// exactly reads a body of a length that was told; less is a broken one.
-type exactly struct {
-	r    io.Reader
-	left int
+// fixedLengthReader reads a body with a known length and returns an error if the connection
+// ends earlier.
+type fixedLengthReader struct {
+	reader    io.Reader
+	remaining int
 }
 
-func (b *exactly) Read(p []byte) (int, error) {
-	if b.left == 0 {
+func (b *fixedLengthReader) Read(p []byte) (int, error) {
+	if b.remaining == 0 {
 		return 0, io.EOF
 	}
-	n, err := b.r.Read(p[:min(len(p), b.left)])
-	b.left -= n
-	return n, unexpected(err)
+	n, err := b.reader.Read(p[:min(len(p), b.remaining)])
+	b.remaining -= n
+	return n, unexpectedEOF(err)
 }
 
-// first reads the answer up to the end of its first event, which may come in pieces: until
-// that is whole nothing has been answered, and what breaks is an attempt.
-func (s *stream) first() error {
-	var begun []byte
+// readFirstEvent reads up to the end of the first event, which may come in pieces. Until it
+// is complete nothing has been sent to the client, so a failure fails only this attempt.
+func (s *engineStream) readFirstEvent() error {
+	var event []byte
 	for {
 		piece, err := s.Next()
-		begun = append(begun, piece...)
+		event = append(event, piece...)
 		switch {
-		case errors.Is(err, io.EOF) && len(begun) == 0:
-			return io.ErrUnexpectedEOF // an answer without an event is none
+		case errors.Is(err, io.EOF) && len(event) == 0:
+			return io.ErrUnexpectedEOF // an answer without any event is no answer
 		case err != nil && !errors.Is(err, io.EOF):
 			return err
-		case err != nil || bytes.Contains(begun, []byte("\n\n")) || bytes.Contains(begun, []byte("\r\n\r\n")):
-			s.begun = begun
+		case err != nil || bytes.Contains(event, []byte("\n\n")) || bytes.Contains(event, []byte("\r\n\r\n")):
+			s.firstEvent = event
 			return nil
-		case len(begun) > maxChunk:
-			return fmt.Errorf("%w: an event does not end", errSpoilt)
+		case len(event) > maxChunkSize:
+			return fmt.Errorf("%w: the first event is too long", errMalformed)
 		}
 	}
 }
 
-// Next gives the next bytes of the answer.
-func (s *stream) Next() ([]byte, error) {
-	if piece := s.begun; piece != nil {
-		s.begun = nil
+// Next returns the next bytes of the answer.
+func (s *engineStream) Next() ([]byte, error) {
+	if piece := s.firstEvent; piece != nil {
+		s.firstEvent = nil
 		return piece, nil
 	}
 	if s.done {
 		return nil, io.EOF
 	}
 	n, err := s.body.Read(s.buf[:])
-	if n > 0 && !errors.Is(err, errSpoilt) { // of a chunk that does not fit, nothing goes on
+	if n > 0 && !errors.Is(err, errMalformed) { // nothing of a malformed chunk is passed on
 		piece := s.buf[:n]
 		s.tail = append(s.tail, piece...)
 		if extra := len(s.tail) - tailBytes; extra > 0 {
 			s.tail = append(s.tail[:0], s.tail[extra:]...)
 		}
-		return piece, nil // an error comes again with the next call
+		return piece, nil // the next call returns the error again
 	}
 	s.done = err == io.EOF
 	return nil, err
 }
 
-// Report is the load told at the stream's end.
-func (s *stream) Report() ashwood.Report {
-	_, line, ok := strings.Cut(string(s.tail), reportComment)
+// Report returns the load report at the end of the stream, or nil.
+func (s *engineStream) Report() ashwood.Report {
+	_, line, ok := strings.Cut(string(s.tail), loadReportComment)
 	if !ok {
 		return nil
 	}
@@ -112,23 +113,24 @@
 	return wire.ParseReport(line)
 }
 
-// abandon gives up an answer of which nothing has been passed on: another attempt may follow.
-func (s *stream) abandon() {
-	s.stop()
-	s.pool.abandon(s.c)
-	s.c = nil
+// abandon cancels an answer of which nothing has been passed on. Another attempt may follow.
+func (s *engineStream) abandon() {
+	s.stopInterrupt()
+	s.pool.abandon(s.conn)
+	s.conn = nil
 }
 
-// Close gives the connection back, or closes it to end the engine's work.
-func (s *stream) Close() error {
-	if s.c == nil {
+// Close returns the connection to the pool after a complete answer. Otherwise it closes the
+// connection, which makes the engine stop working on the request.
+func (s *engineStream) Close() error {
+	if s.conn == nil {
 		return nil
 	}
-	if s.stop() && s.done && s.keep {
-		s.pool.put(s.c, streamRest)
+	if s.stopInterrupt() && s.done && s.reusable {
+		s.pool.put(s.conn, streamReuseDelay)
 	} else {
-		s.pool.discard(s.c)
+		s.pool.discard(s.conn)
 	}
-	s.c = nil
+	s.conn = nil
 	return nil
 }
--- a/internal/prefix/table.go
+++ b/internal/prefix/table.go
@@ -1,6 +1,6 @@
-// Package prefix is the table of what servers keep of prompts: runs of leading
-// blocks, latest used first, bounded in blocks and in age. Looking a prompt up and
-// noting one costs the same whatever the table holds. Nothing is decided here.
+// Package prefix provides an LRU table of the prompt prefixes in the prefix caches of servers:
+// runs of leading blocks, limited in the number of blocks and in age. The cost of looking up or
+// recording a prompt does not depend on the size of the table. It makes no routing decisions.
 package prefix
 
 import (
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Key names a run: a beginning shared by sessions, or what follows it in one.
+// Key identifies a run: a prefix shared by sessions, or what follows it in one session.
 type Key struct {
-	Hash uint64
-	Own  bool // of a session, not of a shared prefix
+	Hash       uint64
+	PerSession bool // the run belongs to one session, not to a shared prefix
 }
 
 // Part is a run of a prompt's leading blocks.
@@ -20,99 +20,100 @@
 	Blocks int
 }
 
-// Held is what one server keeps, by run. A Table fills it.
-type Held map[Key]*list.Element
+// ServerRuns indexes the runs of one server by key. A Table fills it.
+type ServerRuns map[Key]*list.Element
 
-// run is an entry of the table.
+// run is a table entry: a run that one server has probably cached.
 type run struct {
 	Part
-	held Held
-	sure int           // of its blocks, those of reads that have finished
-	uses float64       // prompts sent there that begin with it
-	at   time.Duration // last used
+	server    ServerRuns
+	confirmed int     // how many of its blocks come from finished prefills
+	uses      float64 // prompts sent to the server that begin with it
+	lastUsed  time.Duration
 }
 
-// Table is the runs of all servers.
+// Table holds the runs of all servers.
 type Table struct {
 	MaxBlocks int
 	Expiry    time.Duration // since last use
 
-	runs   list.List // of *run, latest used first
+	runs   list.List // of *run, most recently used first
 	blocks int
 	uses   float64
 }
 
-// Len is the number of runs, Blocks that of their blocks, and Uses how often
+// Len returns the number of runs, Blocks the number of their blocks, and TotalUses how often
 // prompts were sent to a server that begin with one of its shared runs.
-func (t *Table) Len() int      { return t.runs.Len() }
-func (t *Table) Blocks() int   { return t.blocks }
-func (t *Table) Uses() float64 { return t.uses }
+func (t *Table) Len() int           { return t.runs.Len() }
+func (t *Table) Blocks() int        { return t.blocks }
+func (t *Table) TotalUses() float64 { return t.uses }
 
-// Match counts the leading blocks of a prompt that a server holds, and those
-// that it surely holds.
-func (t *Table) Match(now time.Duration, held Held, prompt []Part) (blocks, sure int) {
+// Match counts the leading blocks of a prompt that a server has probably cached, and how many of
+// these are confirmed by a finished prefill.
+func (t *Table) Match(now time.Duration, server ServerRuns, prompt []Part) (blocks, confirmed int) {
 	for _, part := range prompt {
-		has := run{}
-		if e := held[part.Key]; e != nil && now-e.Value.(*run).at < t.Expiry {
-			has = *e.Value.(*run)
+		found := run{}
+		if e := server[part.Key]; e != nil && now-e.Value.(*run).lastUsed < t.Expiry {
+			found = *e.Value.(*run)
 		}
-		if sure == blocks {
-			sure += min(has.sure, part.Blocks)
+		if confirmed == blocks {
+			confirmed += min(found.confirmed, part.Blocks)
 		}
-		if blocks += min(has.Blocks, part.Blocks); has.Blocks < part.Blocks {
+		if blocks += min(found.Blocks, part.Blocks); found.Blocks < part.Blocks {
 			break
 		}
 	}
-	return blocks, sure
+	return blocks, confirmed
 }
 
-// Record notes that a server reads a prompt, or, for sure, that it has. What
-// has expired is dropped, so that the table does not grow with time.
-func (t *Table) Record(now time.Duration, held Held, prompt []Part, sure bool) {
+// Record notes that a prompt was sent to a server or, if confirmed is set, that its prefill there
+// has finished. It also drops expired runs and those beyond MaxBlocks, so that the table does not
+// grow with time.
+func (t *Table) Record(now time.Duration, server ServerRuns, prompt []Part, confirmed bool) {
 	for _, part := range prompt {
 		if part.Blocks == 0 {
 			continue
 		}
-		if held[part.Key] == nil {
-			held[part.Key] = t.runs.PushFront(&run{Part: Part{Key: part.Key}, held: held})
+		if server[part.Key] == nil {
+			server[part.Key] = t.runs.PushFront(&run{Part: Part{Key: part.Key}, server: server})
 		}
-		t.runs.MoveToFront(held[part.Key])
-		e := held[part.Key].Value.(*run)
+		t.runs.MoveToFront(server[part.Key])
+		e := server[part.Key].Value.(*run)
 		t.blocks += max(part.Blocks-e.Blocks, 0)
-		if e.Blocks, e.at = max(e.Blocks, part.Blocks), now; sure {
-			e.sure = max(e.sure, part.Blocks)
-		} else if !part.Own {
+		if e.Blocks, e.lastUsed = max(e.Blocks, part.Blocks), now; confirmed {
+			e.confirmed = max(e.confirmed, part.Blocks)
+		} else if !part.PerSession {
 			e.uses++
 			t.uses++
 		}
 	}
 	for e := t.runs.Back(); e != nil; e = t.runs.Back() {
-		if t.blocks <= t.MaxBlocks && now-e.Value.(*run).at < t.Expiry {
+		if t.blocks <= t.MaxBlocks && now-e.Value.(*run).lastUsed < t.Expiry {
 			break
 		}
-		t.forget(e)
+		t.remove(e)
 	}
 }
 
-// Used is how many prompts were sent to a server that begin with a run.
-func (t *Table) Used(held Held, key Key) float64 {
-	if e := held[key]; e != nil {
+// UsesOf returns how many prompts were sent to a server that begin with a run.
+func (t *Table) UsesOf(server ServerRuns, key Key) float64 {
+	if e := server[key]; e != nil {
 		return e.Value.(*run).uses
 	}
 	return 0
 }
 
-// Void empties a server's runs that were last used before a time.
-func (t *Table) Void(held Held, before time.Duration) {
-	for _, e := range held {
-		if e.Value.(*run).at < before {
-			t.forget(e)
+// DropOlderThan drops the runs of a server that were last used before a time.
+func (t *Table) DropOlderThan(server ServerRuns, before time.Duration) {
+	for _, e := range server {
+		if e.Value.(*run).lastUsed < before {
+			t.remove(e)
 		}
 	}
 }
 
-func (t *Table) forget(e *list.Element) {
+func (t *Table) remove(e *list.Element) {
 	r := t.runs.Remove(e).(*run)
 	t.blocks, t.uses = t.blocks-r.Blocks, t.uses-r.uses
-	delete(r.held, r.Key)
+	delete(r.server, r.Key)
 }
--- a/internal/trend/patience.go
+++ b/internal/trend/patience.go
@@ -1,41 +1,41 @@
 package trend
 
-// Patience tells how long to wait for what mostly takes a moment or never comes,
-// such as a connection: a few times the slowest of late.
-type Patience struct {
-	Most float64 // ms to wait at most, and before anything is known
+// AdaptiveTimeout learns a timeout for operations that either complete quickly or never,
+// such as connects: a multiple of the slowest recent one.
+type AdaptiveTimeout struct {
+	Max float64 // ms; the longest timeout, also used until enough operations have completed
 
-	slowest float64 // ms, decaying with each that comes
-	seen    int
-	missed  int // since the last that was waited for in full
+	slowest      float64 // ms, decaying with each observation
+	observations int
+	timeouts     int // since the last timeout of length Max
 }
 
-// How a Patience learns.
+// Parameters of an AdaptiveTimeout.
 const (
-	patienceSeen   = 8       // that have come, from which on it is known
-	patienceTimes  = 4       // the slowest
-	patienceLeast  = 1.0 / 5 // of Most
-	patienceForget = 0.01    // of the slowest, with each that comes
-	patienceDoubt  = 8       // missed, after which one is waited for in full: all may have become slower
+	minObservations   = 8       // before the timeout may be shorter than Max
+	slowestMultiple   = 4       // the timeout as a multiple of the slowest recent operation
+	minShareOfMax     = 1.0 / 5 // the shortest timeout as a share of Max
+	slowestDecay      = 0.01    // share by which slowest decays with each observation
+	timeoutsBeforeMax = 8       // after so many timeouts one operation gets Max, since all may have become slower
 )
 
-// Came tells of one that came after some ms.
-func (p *Patience) Came(ms float64) {
-	p.slowest = max(ms, p.slowest*(1-patienceForget))
-	p.seen++
+// Observe records an operation that completed after ms milliseconds.
+func (t *AdaptiveTimeout) Observe(ms float64) {
+	t.slowest = max(ms, t.slowest*(1-slowestDecay))
+	t.observations++
 }
 
-// Missed tells of one that did not come in time.
-func (p *Patience) Missed() {
-	if p.missed++; p.missed > patienceDoubt {
-		p.missed = 0
+// TimedOut records an operation that did not complete in time.
+func (t *AdaptiveTimeout) TimedOut() {
+	if t.timeouts++; t.timeouts > timeoutsBeforeMax {
+		t.timeouts = 0
 	}
 }
 
-// Wait is the ms to wait for the next.
-func (p *Patience) Wait() float64 {
-	if p.seen < patienceSeen || p.missed == patienceDoubt {
-		return p.Most
+// Timeout returns the timeout of the next operation in ms.
+func (t *AdaptiveTimeout) Timeout() float64 {
+	if t.observations < minObservations || t.timeouts == timeoutsBeforeMax {
+		return t.Max
 	}
-	return min(max(p.slowest*patienceTimes, p.Most*patienceLeast), p.Most)
+	return min(max(t.slowest*slowestMultiple, t.Max*minShareOfMax), t.Max)
 }
--- a/internal/trend/patience_test.go
+++ b/internal/trend/patience_test.go
@@ -2,55 +2,55 @@
 
 import "testing"
 
-// What is known shortens the wait to a fifth at the least; a slow one that came makes
-// it longer again, up to the bound, for a while.
-func TestPatience(t *testing.T) {
-	p := Patience{Most: 250}
+// Fast operations shorten the timeout to a fifth of Max at the least. A slow one lengthens
+// it for a while, to Max at most.
+func TestAdaptiveTimeout(t *testing.T) {
+	timeout := AdaptiveTimeout{Max: 250}
 	for i, ms := range []float64{1, 2, 1, 1, 9, 1, 1, 1} {
-		if w := p.Wait(); w != 250 {
-			t.Errorf("after %d: %v", i, w)
+		if w := timeout.Timeout(); w != 250 {
+			t.Errorf("after %d observations: timeout %v, want 250", i, w)
 		}
-		p.Came(ms)
+		timeout.Observe(ms)
 	}
-	if w := p.Wait(); w != 50 {
-		t.Errorf("of fast ones: %v", w)
+	if w := timeout.Timeout(); w != 50 {
+		t.Errorf("after fast operations: timeout %v, want 50", w)
 	}
-	if p.Came(30); p.Wait() != 120 {
-		t.Errorf("after a slow one: %v", p.Wait())
+	if timeout.Observe(30); timeout.Timeout() != 120 {
+		t.Errorf("after a slow operation: timeout %v, want 120", timeout.Timeout())
 	}
-	if p.Came(100); p.Wait() != 250 {
-		t.Errorf("after a very slow one: %v", p.Wait())
+	if timeout.Observe(100); timeout.Timeout() != 250 {
+		t.Errorf("after a very slow operation: timeout %v, want 250", timeout.Timeout())
 	}
 	for range 300 {
-		p.Came(1)
+		timeout.Observe(1)
 	}
-	if w := p.Wait(); w != 50 {
-		t.Errorf("long after: %v", w)
+	if w := timeout.Timeout(); w != 50 {
+		t.Errorf("long after the slow operation: timeout %v, want 50", w)
 	}
 }
 
-// Where all have become slower than what is waited for, one that is waited for in full
-// tells: nothing is given up for good.
-func TestPatienceFindsOutThatAllIsSlower(t *testing.T) {
-	p, came := Patience{Most: 250}, 0
+// If all operations have become slower than the timeout, one with the full timeout reveals it,
+// so that they don't time out for ever.
+func TestAdaptiveTimeout_AllSlower(t *testing.T) {
+	timeout, observed := AdaptiveTimeout{Max: 250}, 0
 	for range 100 {
-		p.Came(1)
+		timeout.Observe(1)
 	}
 	for range 40 {
-		if p.Wait() < 80 {
-			p.Missed()
+		if timeout.Timeout() < 80 {
+			timeout.TimedOut()
 		} else {
-			p.Came(80)
-			came++
+			timeout.Observe(80)
+			observed++
 		}
 	}
-	if came != 40-patienceDoubt {
-		t.Errorf("%d of 40 came", came)
+	if observed != 40-timeoutsBeforeMax {
+		t.Errorf("%d of 40 operations completed", observed)
 	}
-	for range 2 * (patienceDoubt + 1) {
-		p.Missed()
+	for range 2 * (timeoutsBeforeMax + 1) {
+		timeout.TimedOut()
 	}
-	if p.Wait() < 80 {
-		t.Error("dead ones have made it forget")
+	if timeout.Timeout() < 80 {
+		t.Error("operations that never complete have shortened the timeout")
 	}
 }
--- a/internal/trend/trend.go
+++ b/internal/trend/trend.go
@@ -1,6 +1,6 @@
-// Package trend holds decaying estimates: a straight line through what was
-// observed, and a rate of work. Each costs a few words and a few operations an
-// observation, whatever the traffic. Nothing is decided here.
+// Package trend provides estimators that give recent observations more weight: a line
+// fitted to latencies, a rate of work and a timeout. Each takes a few words of memory
+// and a few operations per observation, whatever the traffic. It makes no decisions.
 package trend
 
 import (
@@ -8,61 +8,65 @@
 	"time"
 )
 
-// lineWeight is the least weight of a new observation in a Line.
-const lineWeight = 0.05
+// minLineWeight is the smallest weight of a new observation in a LatencyLine.
+const minLineWeight = 0.05
 
-// Line is what a stage takes for like work: a decaying straight line of latency
-// over the tokens that waited at the server when a request joined them, and the
-// mean error around it, as transports learn their time-outs.
-type Line struct {
-	N    float64       // observations
-	Y    float64       // mean latency, in ns
-	Dev  float64       // mean error, in ns
-	Last time.Duration // time of the latest observation
+// LatencyLine estimates the latency of a stage for similar work: a straight line, fitted
+// with decaying weights, of the latency over the tokens that were queued at the server
+// when a request joined the queue. It also estimates the mean error around the line, as
+// transport protocols do for their retransmission timeouts.
+type LatencyLine struct {
+	Count     float64       // observations
+	Mean      float64       // mean latency, in ns
+	MeanError float64       // mean absolute error, in ns
+	Last      time.Duration // time of the latest observation
 
-	x, xx, xy float64
+	meanX, meanXX, meanXY float64
 }
 
-// Expect is the latency in ns to expect behind so many tokens, 0 before any observation.
-func (p *Line) Expect(tokens float64) float64 {
+// Expect returns the latency in ns to expect behind so many queued tokens, at least a quarter of
+// the mean. It is 0 before the first observation.
+func (l *LatencyLine) Expect(tokens float64) float64 {
 	slope := 0.0
-	if v := p.xx - p.x*p.x; v > 0 {
-		slope = max(0, (p.xy-p.x*p.Y)/v)
+	if variance := l.meanXX - l.meanX*l.meanX; variance > 0 {
+		slope = max(0, (l.meanXY-l.meanX*l.Mean)/variance)
 	}
-	return max(p.Y+slope*(tokens-p.x), p.Y/4)
+	return max(l.Mean+slope*(tokens-l.meanX), l.Mean/4)
 }
 
-// Observe takes in a latency behind so many tokens.
-func (p *Line) Observe(now, latency time.Duration, tokens float64) {
-	p.N++
-	p.Last = now
-	w, y := max(1/p.N, lineWeight), float64(latency)
-	p.Dev += w * (math.Abs(y-p.Expect(tokens)) - p.Dev)
-	p.x += w * (tokens - p.x)
-	p.Y += w * (y - p.Y)
-	p.xx += w * (tokens*tokens - p.xx)
-	p.xy += w * (tokens*y - p.xy)
+// Observe adds a latency that was observed behind so many queued tokens.
+func (l *LatencyLine) Observe(now, latency time.Duration, tokens float64) {
+	l.Count++
+	l.Last = now
+	weight, observed := max(1/l.Count, minLineWeight), float64(latency)
+	l.MeanError += weight * (math.Abs(observed-l.Expect(tokens)) - l.MeanError)
+	l.meanX += weight * (tokens - l.meanX)
+	l.Mean += weight * (observed - l.Mean)
+	l.meanXX += weight * (tokens*tokens - l.meanXX)
+	l.meanXY += weight * (tokens*observed - l.meanXY)
 }
 
-// Rate is a decaying count of work, per second over some eight windows.
+// Rate is the rate of work per second, as a decaying average over about eight windows.
 type Rate struct {
 	sum  float64
 	last time.Duration
 }
 
-// Add counts work and gives the rate per second. One Rate is always asked with
+// Add counts work and returns the rate per second. All calls on one Rate must use
 // the same window.
-func (t *Rate) Add(now, window time.Duration, work float64) float64 {
-	t.sum = t.sum*math.Exp(-float64(now-t.last)/float64(8*window)) + work
-	t.last = now
-	return t.sum / (8 * window).Seconds()
+func (r *Rate) Add(now, window time.Duration, work float64) float64 {
+	r.sum = r.sum*math.Exp(-float64(now-r.last)/float64(8*window)) + work
+	r.last = now
+	return r.sum / (8 * window).Seconds()
 }
 
-// Fleet scales an own figure to so many nodes: the others are taken to be like the
-// mean, and like this one only as far as that rests on more than a request or so a
-// server, which counts each. With many nodes, one request in flight is chance.
-func Fleet(nodes int, own, mean, each float64) float64 {
-	crowd := max(1-2/float64(nodes), 0)
-	sure := mean / max(mean+each*crowd, math.SmallestNonzeroFloat64)
-	return own + float64(nodes-1)*(mean+sure*(own-mean))
+// FleetTotal estimates the sum over all nodes of a quantity at one server. own is this
+// node's value there, mean the mean of its values over the servers, and each the value of
+// one request. The other nodes are assumed to be at the mean, and to share this node's
+// deviation from it only as far as the mean rests on more than about one request per
+// server: with many nodes, one request in flight is chance.
+func FleetTotal(nodes int, own, mean, each float64) float64 {
+	shrinkage := max(1-2/float64(nodes), 0)
+	confidence := mean / max(mean+each*shrinkage, math.SmallestNonzeroFloat64)
+	return own + float64(nodes-1)*(mean+confidence*(own-mean))
 }
