--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,6 @@
-// Package clock is the program's one source of time: milliseconds as a
-// float64 since the Unix epoch, advancing with the system's monotonic clock.
+// Package clock is the program's only source of time: milliseconds as a float64
+// since the Unix epoch, advancing with the system's monotonic clock. It also has a
+// manual clock for tests.
 package clock
 
 import (
@@ -9,17 +10,17 @@
 	"time"
 )
 
-// Clock tells the time and calls back. Tests use a Manual one.
+// Clock tells the time and runs callbacks. Tests use a Manual clock.
 type Clock interface {
-	// Now is the time in milliseconds since the Unix epoch.
+	// Now returns the time in milliseconds since the Unix epoch.
 	Now() float64
-	// AfterFunc calls f on its own goroutine once ms milliseconds have gone
-	// by. Stop tells whether it prevented the call.
+	// AfterFunc calls f on its own goroutine after ms milliseconds. stop
+	// reports whether it prevented the call.
 	AfterFunc(ms float64, f func()) (stop func() bool)
 }
 
-// Duration converts milliseconds for the standard library, rounded up so
-// that nothing falls due early.
+// Duration converts milliseconds to a time.Duration, rounded up so that no
+// timer fires early.
 func Duration(ms float64) time.Duration {
 	if ms >= float64(math.MaxInt64)/1e6 {
 		return math.MaxInt64
@@ -27,15 +28,15 @@
 	return time.Duration(math.Ceil(ms*1000)) * time.Microsecond
 }
 
-// Millis converts a duration of the standard library.
+// Millis converts a time.Duration to milliseconds.
 func Millis(d time.Duration) float64 { return float64(d) / 1e6 }
 
-// Wait lets ms milliseconds go by, or less if ctx ends: then it gives its error.
+// Wait waits for ms milliseconds. If ctx ends earlier, it returns the error of ctx.
 func Wait(ctx context.Context, c Clock, ms float64) error {
-	over := make(chan struct{})
-	stop := c.AfterFunc(ms, func() { close(over) })
+	elapsed := make(chan struct{})
+	stop := c.AfterFunc(ms, func() { close(elapsed) })
 	select {
-	case <-over:
+	case <-elapsed:
 		return nil
 	case <-ctx.Done():
 		stop()
@@ -48,8 +49,8 @@
 	unix   float64
 }
 
-// System is the machine's clock. A step of the wall clock after the start
-// does not move it.
+// System returns the clock of the machine. Steps of the wall clock after this call
+// do not affect it.
 func System() Clock {
 	now := time.Now()
 	return system{origin: now, unix: float64(now.UnixMicro()) / 1000}
@@ -61,58 +62,58 @@
 	return time.AfterFunc(Duration(max(ms, 0)), f).Stop
 }
 
-// Manual is a clock that moves when it is told to.
+// Manual is a clock that moves only when Advance is called.
 type Manual struct {
-	mu   sync.Mutex
-	now  float64
-	next int
-	due  map[int]call
+	mu      sync.Mutex
+	now     float64
+	nextID  int
+	pending map[int]pendingCall
 }
 
-type call struct {
-	at float64
-	f  func()
+type pendingCall struct {
+	deadline float64
+	callback func()
 }
 
-// NewManual gives a clock that stands at a time.
-func NewManual(now float64) *Manual { return &Manual{now: now, due: map[int]call{}} }
+// NewManual returns a clock that stands at now.
+func NewManual(now float64) *Manual { return &Manual{now: now, pending: map[int]pendingCall{}} }
 
-// Now is the time last set.
+// Now returns the time of the clock.
 func (m *Manual) Now() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.now
 }
 
-// AfterFunc calls f once the clock has been moved ms milliseconds on.
+// AfterFunc calls f on its own goroutine once the clock has advanced by ms milliseconds.
 func (m *Manual) AfterFunc(ms float64, f func()) func() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.next++
-	n := m.next
-	m.due[n] = call{m.now + max(ms, 0), f}
+	m.nextID++
+	n := m.nextID
+	m.pending[n] = pendingCall{m.now + max(ms, 0), f}
 	return func() bool {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		_, ok := m.due[n]
-		delete(m.due, n)
+		_, ok := m.pending[n]
+		delete(m.pending, n)
 		return ok
 	}
 }
 
-// Advance moves the clock on and starts the calls that fall due.
+// Advance moves the clock forward by ms milliseconds and starts the calls that have expired.
 func (m *Manual) Advance(ms float64) {
 	m.mu.Lock()
 	m.now += ms
-	var run []func()
-	for n, c := range m.due {
-		if c.at <= m.now {
-			run = append(run, c.f)
-			delete(m.due, n)
+	var expired []func()
+	for n, c := range m.pending {
+		if c.deadline <= m.now {
+			expired = append(expired, c.callback)
+			delete(m.pending, n)
 		}
 	}
 	m.mu.Unlock()
-	for _, f := range run {
+	for _, f := range expired {
 		go f()
 	}
 }
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -17,7 +17,7 @@
 	return Top(hashes, n, func(hash uint64) uint64 { return Weight(hash, key) })
 }
 
-func TestTop_IsSpreadOverMembers(t *testing.T) {
+func TestTop_EvenSpread(t *testing.T) {
 	all, count := members(10), map[uint64]int{}
 	for key := range uint64(10000) {
 		count[top(all, 1, key*7919)[0]]++
@@ -32,27 +32,27 @@
 	}
 }
 
-func TestTop_OrderAndLossesChangeLittle(t *testing.T) {
+func TestTop_MemberOrderAndRemoval(t *testing.T) {
 	all := members(10)
-	turned := slices.Clone(all)
-	slices.Reverse(turned)
+	reversed := slices.Clone(all)
+	slices.Reverse(reversed)
 	for key := range uint64(1000) {
 		first := top(all, 3, key)
-		if got := top(turned, 3, key); !slices.Equal(got, first) {
-			t.Fatalf("key %d: %x in one order, %x in another", key, first, got)
+		if got := top(reversed, 3, key); !slices.Equal(got, first) {
+			t.Fatalf("key %d: top members %x, but %x after reversing the order of the members", key, first, got)
 		}
 		rest := slices.DeleteFunc(slices.Clone(all), func(hash uint64) bool { return hash == first[0] })
 		if got := top(rest, 2, key); !slices.Equal(got, first[1:]) {
-			t.Fatalf("key %d: %x without the first, want %x", key, got, first[1:])
+			t.Fatalf("key %d: top members %x after removing the first, want %x", key, got, first[1:])
 		}
 	}
 }
 
-func TestTop_FewerThanWanted(t *testing.T) {
+func TestTop_FewerMembersThanRequested(t *testing.T) {
 	if got := top(members(2), 5, 1); len(got) != 2 {
-		t.Errorf("%d members", len(got))
+		t.Errorf("%d members, want 2", len(got))
 	}
 	if got := top(nil, 5, 1); len(got) != 0 {
-		t.Errorf("%d of none", len(got))
+		t.Errorf("%d members out of none, want 0", len(got))
 	}
 }
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -1,42 +1,42 @@
-// Package slowstart counts what one gateway may send, and has sent, to a server in slow start.
-// How much that is, and when, is decided by its callers.
+// Package slowstart counts how many requests one gateway may send, and how much work it has sent,
+// to a server in slow start. Its callers decide how much may be sent and when.
 package slowstart
 
 import "time"
 
-// maxCredit is how many requests a Credit holds at most. Little is kept, since demand that turns
-// to a server at once would use up what all gateways have kept.
+// maxCredit is the largest number of requests that a Credit holds. It is small because demand that
+// shifts to a server suddenly could use up the credits of all gateways at once.
 const maxCredit = 1.5
 
-// Credit is the requests that a gateway may send to a server. Callers share a budget by earning
-// parts of a request each; a whole one is worth a send.
+// Credit is the number of requests that a gateway may send to a server, like the tokens of a token
+// bucket. Gateways share a budget by earning a fraction of a request each; a whole one permits a send.
 type Credit struct {
-	requests float64
-	last     time.Duration
+	requests    float64
+	lastElapsed time.Duration
 }
 
-// NewCredit is a credit that begins at a time with a part of a request.
+// NewCredit returns a credit that starts at now with a number of requests, often a fraction of one.
 func NewCredit(now time.Duration, requests float64) Credit {
-	return Credit{requests: requests, last: now}
+	return Credit{requests: requests, lastElapsed: now}
 }
 
-// Earn adds requests, or a part of one.
+// Earn adds requests, or a fraction of one, up to maxCredit.
 func (c *Credit) Earn(requests float64) { c.requests = min(c.requests+requests, maxCredit) }
 
-// Spend takes off a request that was sent.
+// Spend deducts a request that was sent.
 func (c *Credit) Spend() { c.requests-- }
 
-// Covers tells whether another request may be sent.
+// Covers reports whether another request may be sent.
 func (c *Credit) Covers() bool { return c.requests >= 1 }
 
-// Elapsed is the time since it was last asked for, or since the beginning.
+// Elapsed returns the time since the previous call, or since the start if there was none.
 func (c *Credit) Elapsed(now time.Duration) time.Duration {
-	elapsed := now - c.last
-	c.last = now
+	elapsed := now - c.lastElapsed
+	c.lastElapsed = now
 	return elapsed
 }
 
-// Sends is the work that was sent to a server, by time. The zero value is empty.
+// Sends records the work that was sent to a server, with its times. The zero value is empty.
 type Sends []send
 
 type send struct {
@@ -44,10 +44,10 @@
 	work float64
 }
 
-// Add notes work that is sent now.
+// Add records work that is sent now.
 func (s *Sends) Add(now time.Duration, work float64) { *s = append(*s, send{now, work}) }
 
-// Within is the work that was sent within a span up to now.
+// Within returns the work that was sent within the span before now.
 func (s Sends) Within(now, span time.Duration) (work float64) {
 	for _, sent := range s {
 		if now-sent.at < span {
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-func TestCredit_CoversWholeRequestsAlone(t *testing.T) {
+func TestCredit_FractionOfRequest(t *testing.T) {
 	c := NewCredit(0, 0.5)
 	if c.Covers() {
-		t.Error("half a request covers one")
+		t.Error("a credit of half a request permits a send")
 	}
 	if c.Earn(0.5); !c.Covers() {
-		t.Error("two halves do not cover one")
+		t.Error("a credit of two halves does not permit a send")
 	}
 	if c.Spend(); c.Covers() {
-		t.Error("one request covers two")
+		t.Error("a credit of one request permits two sends")
 	}
 }
 
-func TestCredit_IsCapped(t *testing.T) {
+func TestCredit_Cap(t *testing.T) {
 	c := NewCredit(0, 0)
 	for range 100 {
 		c.Earn(0.7)
@@ -28,11 +28,11 @@
 		c.Spend()
 	}
 	if sends != 1 {
-		t.Errorf("%d requests were kept, want 1", sends)
+		t.Errorf("%d requests permitted, want 1", sends)
 	}
 }
 
-func TestCredit_ElapsedCountsFromTheLastCall(t *testing.T) {
+func TestCredit_ElapsedSincePreviousCall(t *testing.T) {
 	c := NewCredit(time.Second, 0)
 	for i, want := range []time.Duration{2 * time.Second, 0, time.Second} {
 		now := []time.Duration{3 * time.Second, 3 * time.Second, 4 * time.Second}[i]
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestSends_WithinCountsTheSpanAlone(t *testing.T) {
+func TestSends_WithinSpan(t *testing.T) {
 	var s Sends
 	for i := range 5 {
 		s.Add(time.Duration(i)*time.Second, 10)
