--- a/gateway/types.go
+++ b/gateway/types.go
@@ -12,38 +12,39 @@
 	"ashwood.example/ashwood/internal/clock"
 )
 
-// Errors of replies and streams.
+// Errors of replies, streams and calls to engines.
 var (
-	ErrClientGone = errors.New("gateway: the client has left")
-	ErrTimedOut   = errors.New("gateway: no first token in time")
-	ErrStalled    = errors.New("gateway: the answer has stalled")
-
-	// ErrUnanswered is of a call that was written whole to a connection that stayed up, and got no answer in its time.
-	ErrUnanswered = errors.New("gateway: written, and not answered")
-	// ErrLocal is of a call that this machine could not make, for want of a socket for instance: it says nothing of the engine.
-	ErrLocal = errors.New("gateway: this machine could not make the call")
+	ErrClientGone        = errors.New("gateway: the client disconnected")
+	ErrFirstTokenTimeout = errors.New("gateway: timed out waiting for the first token")
+	ErrStalled           = errors.New("gateway: the answer stream stalled")
+
+	// ErrUnanswered reports a call that was written completely to a connection that stayed up, and was not answered in time.
+	ErrUnanswered = errors.New("gateway: the call was written but not answered in time")
+	// ErrLocalFailure reports a call that failed on this machine, for example because no socket was free. It says nothing about
+	// the engine.
+	ErrLocalFailure = errors.New("gateway: the call failed on this machine")
 )
 
-// Clock tells the time and calls back; see SystemClock.
+// Clock provides the current time and timers; see SystemClock.
 type Clock = clock.Clock
 
-// SystemClock is the machine's clock.
+// SystemClock returns the clock of this machine.
 func SystemClock() Clock { return clock.System() }
 
-// Request is a client's try in the form that its front and the transport share.
+// Request is one try of a client in the form that fronts and transports share.
 type Request struct {
 	ashwood.Call
-	Front  string     // by which it came, for limits
-	Client netip.Addr // of the client, for limits; zero = not known
-	Method string
-	Target string // path and query
-	Header [][2]string
-	Body   []byte // as it came
+	Front      string     // name of the front that took it, for limits
+	ClientAddr netip.Addr // for limits; the zero value = unknown
+	Method     string
+	Target     string // path and query
+	Header     [][2]string
+	Body       []byte // as received
 }
 
-// Key turns the opaque name of a session or a prefix into the number that
-// decisions take: hexadecimal digits as they read, else a hash. None gives 0.
-func Key(name string) uint64 {
+// AffinityKey converts the opaque name of a session or a prefix into the number that the
+// decision module uses: the value of a hexadecimal name, else its hash, and 0 for an empty name.
+func AffinityKey(name string) uint64 {
 	if name == "" {
 		return 0
 	}
@@ -55,11 +56,11 @@
 	return h.Sum64()
 }
 
-// Kind tells how a request ended, as far as Serve knows.
-type Kind int
+// ReplyKind is the outcome of a request at the time when Serve returns.
+type ReplyKind int
 
-// String names a kind in logs and records.
-func (k Kind) String() string {
+// String returns the name of a kind for logs.
+func (k ReplyKind) String() string {
 	switch k {
 	case Served:
 		return "served"
@@ -67,7 +68,7 @@
 		return "refused"
 	case Failed:
 		return "failed"
-	case Gone:
+	case ClientGone:
 		return "gone"
 	}
 	return "none"
@@ -75,93 +76,95 @@
 
 // The kinds of replies.
 const (
-	Served  Kind = iota + 1 // Stream brings the answer
-	Refused                 // trying again does no harm
-	Failed                  // it may have run
-	Gone                    // the client has left: no answer is owed
+	Served     ReplyKind = iota + 1 // Stream carries the answer
+	Refused                         // safe to try again
+	Failed                          // it may have run
+	ClientGone                      // the client disconnected and gets no answer
 )
 
-// Reply is the one final answer to a request.
+// Reply is the only final answer to a request.
 type Reply struct {
-	Kind       Kind
+	Kind       ReplyKind
 	Stream     Stream
 	RetryAfter float64     // ms, with Refused; 0 = no advice
-	Why        ashwood.Why // with Refused and Failed
-	Err        error       // of the last attempt, where an engine gave one
+	Reason     ashwood.Why // with Refused and Failed
+	Err        error       // of the last attempt that reported one
 }
 
-// Stream is an answer on its way. It is used by one goroutine.
+// Stream is an answer that is being received. Only one goroutine uses it.
 type Stream interface {
-	// Next gives the next piece as it came, valid until the next call. After
-	// a whole answer the error is io.EOF; with any other the answer is broken.
+	// Next returns the next piece as received, valid until the next call. After
+	// a complete answer the error is io.EOF; any other error means that the answer is broken.
 	Next() ([]byte, error)
-	// Report is the engine's load as told at the stream's end, if it was.
+	// Report returns the load report that the engine sent at the end of the stream, if any.
 	Report() ashwood.Report
-	// Close gives up what is left. It may be called at any time, and again.
+	// Close discards the rest of the answer. It may be called at any time and more than once.
 	Close() error
 }
 
-// Movable is a stream that another process of the same gateway can go on with.
-type Movable interface {
-	// Move hands give what the stream is made of, between two calls of Next. After nil the
-	// stream is over here without having ended; with an error it goes on.
-	Move(give func(Live) error) error
+// HandoverStream is a stream that another process of the same gateway can take over.
+type HandoverStream interface {
+	// HandOver passes the state of the stream to give, between two calls of Next. If it returns nil, this
+	// process must not use the stream any more, although the answer has not ended; after an error the
+	// stream continues here.
+	HandOver(give func(HandoverState) error) error
 }
 
-// Live is a begun answer as one process hands it to another.
-type Live struct {
-	ID     ashwood.RequestID
-	Class  string
-	Engine ashwood.Server
-	Begun  float64      // ms, when the request was taken
-	Wire   any          // where the transport stands in it
-	Conn   syscall.Conn // the engine's connection
+// HandoverState describes a begun answer that one process hands over to another.
+type HandoverState struct {
+	ID             ashwood.RequestID
+	Class          string
+	Engine         ashwood.Server
+	StartedAt      float64      // ms of the clock, when the request was accepted
+	TransportState any          // the transport's position in the stream
+	Conn           syscall.Conn // the engine's connection
 }
 
 // Attempt is one sending of a request to an engine.
 type Attempt struct {
 	*Request
-	Engine    ashwood.Server
-	Reads     bool        // a reader, which answers with a read state
-	Once      bool        // it may have an effect: not to be risked on a connection that may be dead
-	Remaining float64     // ms that the gateway will wait for the first token
-	Ready     func() bool // asked right before the first byte is written; false forbids it
-	Sent      func()      // called right after the last byte has been
+	Engine        ashwood.Server
+	Prefill       bool        // sent to a prefill engine, which answers once it holds the KV state
+	NonIdempotent bool        // the request may have an effect: it must not use a connection that may be dead
+	Remaining     float64     // ms that the gateway waits for the first token
+	MayWrite      func() bool // called right before the first byte is written; false forbids the write
+	OnSent        func()      // called right after the last byte has been written
 }
 
-// Answer is what came of an attempt. With Served, Stream has its first piece.
-type Answer struct {
+// AttemptResult is the outcome of an attempt. If Status is Served, Stream has received its first piece.
+type AttemptResult struct {
 	ashwood.Result
 	Stream Stream
-	Err    error // what the engine or the network said, for the front and the log
+	Err    error // reported by the engine or the network, for the front and the log
 }
 
-// Transport speaks to engines. A transport never sends anything twice by
-// itself. Its statuses are NotSent and NoConnection (the last byte has not
-// left), TurnedAway, Parsed, Served, ServerError and ConnectionLost.
+// Transport makes calls to engines. It never retries a call by
+// itself. Its statuses are NotSent and NoConnection (the last byte was not
+// written), TurnedAway, Parsed, Served, ServerError and ConnectionLost.
 type Transport interface {
-	// Send carries an attempt out until its first piece or its end. When ctx
-	// ends, it gives the attempt up at once, and returns when the engine has noticed
-	// where that can be seen, some ms later at most; ctx goes on to bound the stream.
-	Send(ctx context.Context, a Attempt) Answer
-	// Reserve asks a writer to hold a place for a request that is being read.
-	// Ready is asked right before the first byte is written.
-	Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, ready func() bool) Place
-	// Release lets go of all that is held for a request; nil once the engine has sent something back
-	// for it, ErrUnanswered where it was written and that is not known to have arrived, ErrLocal where this machine could not make it. After a try that got no answer, fresh asks for a connection
-	// that was not there then. It may use a few sockets beyond what attempts may.
+	// Send makes an attempt and returns at its first piece or its end. When ctx
+	// ends, it cancels the attempt at once. It then waits a few ms at most until the engine
+	// has noticed, where the protocol shows that. ctx also bounds the returned stream.
+	Send(ctx context.Context, a Attempt) AttemptResult
+	// Reserve asks a decode engine to hold a reservation for a request that is still in prefill.
+	// It calls ready right before the first byte is written; false forbids the write.
+	Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, ready func() bool) ReserveResult
+	// Release has KV state and reservations for a request dropped. It returns nil once the engine has sent
+	// something back, ErrUnanswered if the call was written but may not have arrived, and ErrLocalFailure if
+	// this machine could not make the call. After a try without an answer, fresh demands a connection that
+	// did not exist at that try. Release may use a few sockets beyond the limit for attempts.
 	Release(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, fresh bool) error
 	// Probe asks an engine for its load.
 	Probe(ctx context.Context, engine ashwood.Server) (ashwood.Status, ashwood.Report)
 }
 
-// Place tells what came of asking for a place.
-type Place int
+// ReserveResult is the outcome of a Reserve call.
+type ReserveResult int
 
-// What may come of asking for a place.
+// The outcomes of Reserve.
 const (
-	PlaceHeld    Place = iota + 1
-	PlaceRefused       // surely not held
-	PlaceUnknown       // no clear answer: it may be held
-	PlaceUnasked       // the call has not left: surely not held
+	ReserveHeld    ReserveResult = iota + 1
+	ReserveRefused               // certainly not held
+	ReserveUnknown               // no clear answer: the engine may hold a reservation
+	ReserveNotSent               // the call was not written: certainly not held
 )
--- a/internal/platform/abandon_test.go
+++ b/internal/platform/abandon_test.go
@@ -18,12 +18,12 @@
 )
 
 // attempt sends a request to an engine in the background, until ctx ends or it is answered.
-func attempt(ctx context.Context, e *Engines, engine ashwood.Server) <-chan gateway.Answer {
-	answer := make(chan gateway.Answer, 1)
+func attempt(ctx context.Context, e *Engines, engine ashwood.Server) <-chan gateway.AttemptResult {
+	answer := make(chan gateway.AttemptResult, 1)
 	go func() {
 		answer <- e.Send(ctx, gateway.Attempt{
 			Request: &gateway.Request{Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")}, Engine: engine,
-			Reads: true, Remaining: 5000, Ready: func() bool { return true }, Sent: func() {},
+			Prefill: true, Remaining: 5000, MayWrite: func() bool { return true }, OnSent: func() {},
 		})
 	}()
 	return answer
--- a/internal/platform/engines.go
+++ b/internal/platform/engines.go
@@ -194,7 +194,7 @@
 }
 
 // Send carries out an attempt.
-func (e *Engines) Send(ctx context.Context, a gateway.Attempt) gateway.Answer {
+func (e *Engines) Send(ctx context.Context, a gateway.Attempt) gateway.AttemptResult {
 	h := header(a.Method, a.Target, a.Engine.Address)
 	for _, f := range a.Header {
 		h.Add(f[0], f[1])
@@ -204,15 +204,15 @@
 	begun := e.clock.Now()
 	ready := func() bool { // a connect takes its time of what is left
 		h.Set(headerLeft, strconv.FormatFloat(max(a.Remaining-(e.clock.Now()-begun), 0)/1000, 'f', 3, 64))
-		return a.Ready()
+		return a.MayWrite()
 	}
 	var head fasthttp.ResponseHeader
 	with := anyConn
-	if a.Once {
+	if a.NonIdempotent {
 		with = newConn
 	}
 	c, wrote, err := e.exchange(ctx, call{
-		addr: a.Engine.Address, with: with, head: h, body: a.Body, ready: ready, sent: a.Sent, giveUp: e.pool.abandon,
+		addr: a.Engine.Address, with: with, head: h, body: a.Body, ready: ready, sent: a.OnSent, giveUp: e.pool.abandon,
 	}, &head)
 	if err != nil {
 		return failed(ctx, wrote, err)
@@ -229,12 +229,12 @@
 			return failed(ctx, true, err)
 		}
 		res.Status = ashwood.Served
-		return gateway.Answer{Result: res, Stream: s}
+		return gateway.AttemptResult{Result: res, Stream: s}
 	}
 	body, err := e.drain(ctx, c, &head, e.pool.abandon)
 	away := len(head.Peek(headerNotRun)) > 0
 	switch {
-	case code == fasthttp.StatusAccepted && a.Reads:
+	case code == fasthttp.StatusAccepted && a.Prefill:
 		var kept struct {
 			Tokens float64 `json:"cached_tokens"`
 		}
@@ -242,7 +242,7 @@
 			err = json.Unmarshal(body, &kept)
 		}
 		res.Status, res.Note = ashwood.Parsed, kept.Tokens
-		return gateway.Answer{Result: res, Err: err}
+		return gateway.AttemptResult{Result: res, Err: err}
 	case away && (code == fasthttp.StatusServiceUnavailable || code == fasthttp.StatusGatewayTimeout):
 		res.Status = ashwood.TurnedAway
 	case away && code == fasthttp.StatusGone:
@@ -250,11 +250,11 @@
 	default:
 		res.Status = ashwood.ServerError
 	}
-	return gateway.Answer{Result: res, Err: fmt.Errorf("platform: %s answered %d", a.Engine.ID, code)}
+	return gateway.AttemptResult{Result: res, Err: fmt.Errorf("platform: %s answered %d", a.Engine.ID, code)}
 }
 
 // failed tells what an attempt without an answer proves.
-func failed(ctx context.Context, wrote bool, err error) gateway.Answer {
+func failed(ctx context.Context, wrote bool, err error) gateway.AttemptResult {
 	st := ashwood.ConnectionLost
 	switch {
 	case wrote:
@@ -263,7 +263,7 @@
 	default:
 		st = ashwood.NoConnection
 	}
-	return gateway.Answer{Result: ashwood.Result{Status: st}, Err: fmt.Errorf("platform: no answer: %w", err)}
+	return gateway.AttemptResult{Result: ashwood.Result{Status: st}, Err: fmt.Errorf("platform: no answer: %w", err)}
 }
 
 // drain reads a short answer's body and gives the connection back.
@@ -300,7 +300,7 @@
 }
 
 // Reserve asks a writer to hold a place.
-func (e *Engines) Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, ready func() bool) gateway.Place {
+func (e *Engines) Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, ready func() bool) gateway.ReserveResult {
 	var head fasthttp.ResponseHeader
 	h := header(fasthttp.MethodPost, roomsPath+string(id), engine.Address)
 	h.SetContentLength(0)
@@ -310,15 +310,15 @@
 	}
 	switch code := head.StatusCode(); {
 	case !wrote:
-		return gateway.PlaceUnasked
+		return gateway.ReserveNotSent
 	case err != nil:
-		return gateway.PlaceUnknown
+		return gateway.ReserveUnknown
 	case code == fasthttp.StatusOK:
-		return gateway.PlaceHeld
+		return gateway.ReserveHeld
 	case code == fasthttp.StatusConflict:
-		return gateway.PlaceRefused
+		return gateway.ReserveRefused
 	}
-	return gateway.PlaceUnknown
+	return gateway.ReserveUnknown
 }
 
 // Release lets go of what an engine holds for a request. Without an answer the
@@ -338,7 +338,7 @@
 	case wrote && ctx.Err() != nil:
 		return fmt.Errorf("platform: %s: %w: %w", engine.ID, gateway.ErrUnanswered, err)
 	case !wrote && isLocal(err):
-		return fmt.Errorf("platform: %s: %w: %w", engine.ID, gateway.ErrLocal, err)
+		return fmt.Errorf("platform: %s: %w: %w", engine.ID, gateway.ErrLocalFailure, err)
 	}
 	return fmt.Errorf("platform: %s: %w", engine.ID, err)
 }
--- a/internal/platform/engines_test.go
+++ b/internal/platform/engines_test.go
@@ -324,8 +324,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		ans := e.Send(ctx, gateway.Attempt{
 			Request: &gateway.Request{Call: ashwood.Call{ID: ashwood.RequestID(fmt.Sprint(i))}, Method: "POST", Target: "/", Body: []byte("{}")},
-			Engine:  writer, Remaining: 1000, Sent: func() {},
-			Ready: func() bool {
+			Engine:  writer, Remaining: 1000, OnSent: func() {},
+			MayWrite: func() bool {
 				cancel()
 				return false
 			},
--- a/internal/platform/move.go
+++ b/internal/platform/move.go
@@ -58,7 +58,7 @@
 }
 
 // Move hands the stream's parts to give, between two pieces.
-func (s *stream) Move(give func(gateway.Live) error) error {
+func (s *stream) HandOver(give func(gateway.HandoverState) error) error {
 	state := moving{Keep: s.keep, Tail: s.tail}
 	switch b := s.body.(type) {
 	case *chunks:
@@ -73,7 +73,7 @@
 		return errors.New("platform: this answer can't be moved")
 	}
 	state.Buffered, _ = s.c.br.Peek(s.c.br.Buffered())
-	if err := give(gateway.Live{Wire: state, Conn: sc}); err != nil {
+	if err := give(gateway.HandoverState{TransportState: state, Conn: sc}); err != nil {
 		return err
 	}
 	s.stop()
@@ -111,7 +111,7 @@
 	}
 	give := b.conn.l.give.Load()
 	client, ok := b.conn.Conn.(syscall.Conn)
-	m, can := b.stream.(gateway.Movable)
+	m, can := b.stream.(gateway.HandoverStream)
 	if give == nil || !ok || !can {
 		return false
 	}
@@ -121,12 +121,12 @@
 		b.conn.watch(b.gone)
 		return false
 	}
-	err := m.Move(func(v gateway.Live) error {
+	err := m.HandOver(func(v gateway.HandoverState) error {
 		if b.client.Err() != nil {
 			return b.client.Err() // it has left: there is nothing to go on with
 		}
 		message, err := json.Marshal(moved{
-			ID: v.ID, Class: v.Class, Engine: v.Engine, Begun: v.Begun, Closes: b.closes, Ahead: b.conn.ahead, Body: v.Wire.(moving),
+			ID: v.ID, Class: v.Class, Engine: v.Engine, Begun: v.StartedAt, Closes: b.closes, Ahead: b.conn.ahead, Body: v.TransportState.(moving),
 		})
 		if err != nil {
 			return fmt.Errorf("platform: %w", err)
@@ -146,7 +146,7 @@
 type Adopter interface {
 	Handler
 	// Adopt counts a request in whose answer make goes on with; client is its client's life.
-	Adopt(client context.Context, live gateway.Live, make func(context.Context, gateway.Transport) (gateway.Stream, error)) (gateway.Stream, error)
+	Adopt(client context.Context, live gateway.HandoverState, make func(context.Context, gateway.Transport) (gateway.Stream, error)) (gateway.Stream, error)
 }
 
 // Adopt goes on with an answer that another process has handed over, to its end, and then
@@ -167,7 +167,7 @@
 	}
 	c := s.in.adopt(clientConn, m.Ahead)
 	client, gone := context.WithCancel(context.Background())
-	live := gateway.Live{ID: m.ID, Class: m.Class, Engine: m.Engine, Begun: m.Begun}
+	live := gateway.HandoverState{ID: m.ID, Class: m.Class, Engine: m.Engine, StartedAt: m.Begun}
 	stream, err := gw.Adopt(client, live, func(ctx context.Context, t gateway.Transport) (gateway.Stream, error) {
 		e, ok := t.(*Engines)
 		if !ok {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -126,7 +126,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gw.Update(ashwood.ListWhole, list)
+	gw.UpdateMembership(ashwood.ListWhole, list)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go gw.Run(ctx)
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -85,7 +85,7 @@
 		return nil, fmt.Errorf("header %s: %w", headerLeft, cmp.Or(err, errTooLong))
 	}
 	req.Remaining = left * 1000
-	req.Session = gateway.Key(fields[headerSession])
+	req.Session = gateway.AffinityKey(fields[headerSession])
 	return req, labels(req, fields[headerLabels])
 }
 
@@ -96,7 +96,7 @@
 		var into *float64
 		switch name {
 		case "prefix":
-			req.Prefix = gateway.Key(value)
+			req.Prefix = gateway.AffinityKey(value)
 		case "prompt_len":
 			into = &req.PromptTokens
 		case "prefix_len":
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gw.Update(ashwood.ListWhole, []ashwood.Server{v})
+	gw.UpdateMembership(ashwood.ListWhole, []ashwood.Server{v})
 	go gw.Run(t.Context())
 	host := httptest.NewServer(&NetHTTP{Handler: gw, Log: log})
 	defer host.Close()
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -185,7 +185,7 @@
 	}
 	req.Front = front
 	if addr, ok := netip.AddrFromSlice(ctx.RemoteIP()); ok {
-		req.Client = addr.Unmap()
+		req.ClientAddr = addr.Unmap()
 	}
 	client, gone := context.WithCancel(context.Background())
 	conn, _ := ctx.Conn().(*clientConn)
@@ -232,7 +232,7 @@
 		refuse(ctx, reply.RetryAfter)
 	case gateway.Failed:
 		ctx.Error(failedText(reply.Err), fasthttp.StatusBadGateway)
-	case gateway.Gone:
+	case gateway.ClientGone:
 		ctx.SetConnectionClose()
 		ctx.SetStatusCode(499)
 	}
