--- a/gateway/arrival.go
+++ b/gateway/arrival.go
@@ -2,113 +2,116 @@
 
 import "ashwood.example/ashwood"
 
-// This file follows an attempt from its last byte, written here, to its end: whether it has arrived is not known
-// before its engine answers, and releases must neither overtake it nor wait for one that never arrives.
+// This file tracks an attempt from the write of its last byte to its end. Whether it has arrived is unknown
+// until its engine answers. A release must not overtake an attempt on its way, and must not wait for an
+// attempt that never arrives.
 
-// arrivalWait is how many ms a send that was written shortly before the time of what is held was up
-// has to reach its engine: a release that overtakes it would cost the request its state.
-const arrivalWait = 100
+// arrivalTimeout is the time in ms in which an attempt that was written shortly before the hold deadline
+// may reach its engine. A release that overtakes it would drop the request's KV state.
+const arrivalTimeout = 100
 
-// readSignAfter is how many ms after the asking for a place the read's engine is looked at, where the
-// read has no answer yet: an engine at work may take 250 ms to answer, and the place is to be released in time.
-const readSignAfter = 300
+// prefillCheckAfter is the time in ms from a reservation call until the prefill engine is checked, if the
+// prefill has no answer yet. A busy engine may take 250 ms to answer, and the reservation has to be released in time.
+const prefillCheckAfter = 300
 
-// readSignWait is how many ms it has then to answer a probe.
-const readSignWait = 200
+// prefillCheckTimeout is the time in ms in which the prefill engine must then answer a probe.
+const prefillCheckTimeout = 200
 
-// outAttempt is an attempt whose last byte has been written.
-type outAttempt struct {
-	engine  ashwood.Server
-	reads   bool
-	written float64
+// inFlightAttempt is an attempt whose last byte has been written and that has not ended.
+type inFlightAttempt struct {
+	engine    ashwood.Server
+	prefill   bool
+	writtenAt float64
 }
 
-// sent notes an engine to which an attempt has been written. Whether it has arrived there is not known.
-func (h *holds) sent(v ashwood.Server, reads bool) {
-	now := h.owner.g.clock.Now()
-	out := &outAttempt{engine: v, reads: reads, written: now}
+// attemptSent records that an attempt has been written to an engine. Whether it has arrived is unknown.
+func (h *requestHolds) attemptSent(engine ashwood.Server, prefill bool) {
+	now := h.releaser.gateway.clock.Now()
+	attempt := &inFlightAttempt{engine: engine, prefill: prefill, writtenAt: now}
 	h.mu.Lock()
-	h.out, h.unread, h.known = out, false, false
-	if reached := now + arrivalWait; reached > h.fires {
-		h.arm(h.due, min(reached, h.due+arrivalWait))
+	h.inFlight, h.prefillMissing, h.prefillKnown = attempt, false, false
+	if arrivesBy := now + arrivalTimeout; arrivesBy > h.timerAt {
+		h.armTimer(h.deadline, min(arrivesBy, h.deadline+arrivalTimeout))
 	}
 	h.mu.Unlock()
-	if h.add(v, holdAttempt) {
-		h.resumeUnlessArrived(out)
+	if h.add(engine, holdAttempt) {
+		h.resumeUnlessArrived(attempt)
 	}
 }
 
-// pause has releases wait that engines have been told of before, or others are to be told of, while an attempt is being written or is
-// on its way; paused is false where it has not left, or gives no sign. It tells whether any wait.
-func (h *holds) pause(paused bool) (waits bool) {
-	repeats := h.owner.pauseRepeats(h.id, h.toldBefore(), paused)
-	return h.owner.pauseFallback(h.id, paused) || repeats
+// pauseReleases holds back repeated and fallback releases while an attempt is being written or is on its way.
+// With paused false it resumes them: the attempt was not written, or its engine gives no sign that it has
+// arrived. It reports whether any such release is pending.
+func (h *requestHolds) pauseReleases(paused bool) (pending bool) {
+	repeats := h.releaser.pauseRepeats(h.id, h.unconfirmedEngines(), paused)
+	return h.releaser.pauseFallback(h.id, paused) || repeats
 }
 
-// toldBefore gives the engines that were told while the request goes on, in doubt or not yet.
-func (h *holds) toldBefore() []ashwood.Server {
+// unconfirmedEngines returns the engines whose release during the request is uncertain or undelivered.
+func (h *requestHolds) unconfirmedEngines() []ashwood.Server {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.told
+	return h.unconfirmed
 }
 
-// isOut tells whether an attempt has not ended, nor another been written since.
-func (h *holds) isOut(out *outAttempt) bool {
+// isInFlight reports whether an attempt has neither ended nor been followed by another.
+func (h *requestHolds) isInFlight(attempt *inFlightAttempt) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.out == out
+	return h.inFlight == attempt
 }
 
-// resumeUnlessArrived has releases that were paused go on beside an attempt that gives no sign of having arrived. At a decode
-// engine, a release lets go of nothing that an attempt waits for. At a prefill engine, it takes the state of a prompt that is
-// being read, and goes on only where that engine does not answer a probe.
-func (h *holds) resumeUnlessArrived(out *outAttempt) {
-	after := float64(arrivalWait)
-	if out.reads {
-		after = readSignAfter
+// resumeUnlessArrived resumes paused releases if the attempt gives no sign that it has arrived. At a decode
+// engine, a release never drops what an attempt waits for. At a prefill engine, it would drop the KV state
+// of a running prefill, so releases resume only if that engine does not answer a probe.
+func (h *requestHolds) resumeUnlessArrived(attempt *inFlightAttempt) {
+	delay := float64(arrivalTimeout)
+	if attempt.prefill {
+		delay = prefillCheckAfter
 	}
-	h.owner.g.clock.AfterFunc(after, func() {
-		h.owner.g.spawn(func() {
-			if !h.isOut(out) || out.reads && h.owner.g.arrived(out, false, out.written+readSignAfter+readSignWait) {
+	h.releaser.gateway.clock.AfterFunc(delay, func() {
+		h.releaser.gateway.runInBackground(func() {
+			if !h.isInFlight(attempt) || attempt.prefill && h.releaser.gateway.prefillArrived(attempt, false, attempt.writtenAt+prefillCheckAfter+prefillCheckTimeout) {
 				return
 			}
-			if h.isOut(out) {
-				h.pause(false)
+			if h.isInFlight(attempt) {
+				h.pauseReleases(false)
 			}
 		})
 	})
 }
 
-// ended tells that the attempt which was written last is out no more. Only an engine's answer begins
-// the time of what is held anew; without one the attempt may never have been there.
-func (h *holds) ended(answered bool) {
-	if answered { // the attempt has arrived, and what was held before goes with what it has come to hold
-		h.owner.taken(h.id, h.toldBefore())
+// attemptEnded records that the last written attempt has ended. Only an answer of its engine restarts
+// the hold deadline: without one, the attempt may never have arrived.
+func (h *requestHolds) attemptEnded(answered bool) {
+	if answered { // the attempt has arrived, and earlier holds now belong to it
+		h.releaser.attemptArrived(h.id, h.unconfirmedEngines())
 	} else {
-		h.pause(false)
+		h.pauseReleases(false)
 	}
-	h.restart(answered)
+	h.restartDeadline(answered)
 }
 
-// turnedAway tells that the engine has answered the attempt which was written last and taken nothing of the request: what
-// was to be released before still is.
-func (h *holds) turnedAway() {
-	h.pause(false)
-	h.restart(true)
+// attemptTurnedAway records that the engine has answered the last written attempt without accepting it. Releases
+// that were pending before stay pending.
+func (h *requestHolds) attemptTurnedAway() {
+	h.pauseReleases(false)
+	h.restartDeadline(true)
 }
 
-// restart begins the time of what is held anew, behind an attempt that is out no more.
-func (h *holds) restart(answered bool) {
-	limit := h.owner.g.holdTime
+// restartDeadline restarts the hold deadline after an attempt has ended. Without an answer,
+// an earlier deadline stays.
+func (h *requestHolds) restartDeadline(answered bool) {
+	limit := h.releaser.gateway.holdLimit
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.out = nil
+	h.inFlight = nil
 	if limit <= 0 {
 		return
 	}
-	due := h.owner.g.clock.Now() + limit
+	deadline := h.releaser.gateway.clock.Now() + limit
 	if !answered {
-		due = min(due, h.due)
+		deadline = min(deadline, h.deadline)
 	}
-	h.arm(due, due)
+	h.armTimer(deadline, deadline)
 }
--- a/gateway/fallback.go
+++ b/gateway/fallback.go
@@ -10,137 +10,142 @@
 	"ashwood.example/ashwood/internal/release"
 )
 
-// This file makes the calls for releases that no engine has taken; release.Fallback decides on them.
+// This file makes the calls for fallback releases: those that no engine has taken and that any engine may
+// take. release.Fallback decides which calls are made.
 
-// searching tells whether releases wait for an engine that answers, and none is known.
-func (o *owner) searching() bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.fallback.Searching()
+// searching reports whether releases are pending for any engine that answers, and no such engine is known.
+func (r *releaser) searching() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.fallback.Searching()
 }
 
-// waitForOthers has a release wait for the first engine that takes it; the lock is held. The holders'
-// own stay owed. To some engines it has been written without an answer.
-func (o *owner) waitForOthers(id ashwood.RequestID, unanswered []ashwood.ServerID) {
-	if o.fallback.Len() == 0 {
-		o.g.log.Info("engines that hold take no release; all are asked in turn", "id", id, "engines", len(o.listed))
+// enqueueFallback makes a release pending for the first engine that takes it; the caller holds the lock. The
+// releases at the holders stay pending. The engines in unanswered were sent this release and did not answer.
+func (r *releaser) enqueueFallback(id ashwood.RequestID, unanswered []ashwood.ServerID) {
+	if r.fallback.Len() == 0 {
+		r.gateway.log.Info("no holder takes the release; trying all engines in turn", "id", id, "engines", len(r.listed))
 	}
-	o.fallback.Wait(o.g.clock.Now(), id, unanswered)
+	r.fallback.Wait(r.gateway.clock.Now(), id, unanswered)
 }
 
-// passOnRepeats has other engines make the repeats that could not be made at their own, as any engine releases what all hold; the
-// lock is held.
-func (o *owner) passOnRepeats() {
-	for _, r := range o.ledger.Repeats() {
-		if o.fallback.Waits(r.Request) {
+// moveRepeatsToFallback has other engines take the repeats that their own engines could not take, since a release
+// at any engine has all engines drop their holds. The caller holds the lock.
+func (r *releaser) moveRepeatsToFallback() {
+	for _, repeat := range r.ledger.Repeats() {
+		if r.fallback.Waits(repeat.Request) {
 			continue
 		}
-		o.waitForOthers(r.Request, nil)
-		o.fallback.Pause(r.Request, r.Paused)
-		if v, ok := o.lastHeard(); ok { // it is told before any are searched for
-			o.fallback.Answered(v)
+		r.enqueueFallback(repeat.Request, nil)
+		r.fallback.Pause(repeat.Request, repeat.Paused)
+		if engine, ok := r.lastAnswering(); ok { // it is tried before any search for an engine
+			r.fallback.Answered(engine)
 		}
 	}
 }
 
-// lastHeard gives the listed engine that answered last, of those that take releases; the lock is held.
-func (o *owner) lastHeard() (ashwood.Server, bool) {
-	for _, v := range o.recent {
-		if _, listed := o.listed[v.ID]; listed && !o.ledger.Failing(v.ID) {
-			return v, true
+// lastAnswering returns the listed engine that answered last, of those that take releases. The caller holds the lock.
+func (r *releaser) lastAnswering() (ashwood.Server, bool) {
+	for _, engine := range r.recentlyAnswered {
+		if _, listed := r.listed[engine.ID]; listed && !r.ledger.Failing(engine.ID) {
+			return engine, true
 		}
 	}
 	return ashwood.Server{}, false
 }
 
-// askOthers makes the calls for what waits that are due, with the lock held, and gives in how many ms to look again.
-func (o *owner) askOthers() (next float64) {
-	calls, next := o.fallback.Due(o.g.clock.Now(), o.candidates)
-	for _, c := range calls {
+// startFallbackCalls starts the fallback calls that are due and returns the ms until the next check. The caller
+// holds the lock.
+func (r *releaser) startFallbackCalls() (next float64) {
+	calls, next := r.fallback.Due(r.gateway.clock.Now(), r.candidates)
+	for _, call := range calls {
 		ctx, cancel := context.WithCancelCause(context.Background())
-		o.asked[c] = cancel
-		o.g.spawn(func() { o.askOther(ctx, cancel, c) })
+		r.fallbackCalls[call] = cancel
+		r.gateway.runInBackground(func() { r.callSubstitute(ctx, cancel, call) })
 	}
 	return next
 }
 
-// candidates gives the engines of the list that answered last, and all of the list; the lock is held.
-func (o *owner) candidates() (latest, all []ashwood.Server) {
-	for _, v := range o.recent {
-		if _, ok := o.listed[v.ID]; ok {
-			latest = append(latest, v)
+// candidates returns the listed engines that answered last, the latest first, and all listed engines. The caller
+// holds the lock.
+func (r *releaser) candidates() (latest, all []ashwood.Server) {
+	for _, engine := range r.recentlyAnswered {
+		if _, ok := r.listed[engine.ID]; ok {
+			latest = append(latest, engine)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(o.listed)) {
-		all = append(all, o.listed[id])
+	for _, id := range slices.Sorted(maps.Keys(r.listed)) {
+		all = append(all, r.listed[id])
 	}
 	return latest, all
 }
 
-// askOther makes one call at an engine that need not hold anything for the request.
-func (o *owner) askOther(ctx context.Context, cancel context.CancelCauseFunc, c release.FallbackCall) {
-	err := o.try(ctx, cancel, c.Engine, c.Request, 1, releaseWait)
-	o.mu.Lock()
-	delete(o.asked, c)
-	end := release.CallMade
+// callSubstitute makes one release call to an engine that need not hold anything for the request.
+func (r *releaser) callSubstitute(ctx context.Context, cancel context.CancelCauseFunc, call release.FallbackCall) {
+	err := r.callRelease(ctx, cancel, call.Engine, call.Request, 1, holderTimeout)
+	r.mu.Lock()
+	delete(r.fallbackCalls, call)
+	outcome := release.CallMade
 	switch {
 	case err == nil:
-		o.dropFallback(c.Request)
+		r.dropFallback(call.Request)
 	case errors.Is(err, ErrUnanswered):
-		end = release.CallUnanswered
+		outcome = release.CallUnanswered
 	default:
-		end = release.CallFailed
-		if context.Cause(ctx) != errWithdrawn && !errors.Is(err, ErrLocalFailure) { // a call that was ended or failed here tells nothing of its engine
-			o.fallback.Unreachable(c.Engine.ID)
+		outcome = release.CallFailed
+		if context.Cause(ctx) != errWithdrawn && !errors.Is(err, ErrLocalFailure) { // a call that was cancelled or failed here says nothing about its engine
+			r.fallback.Unreachable(call.Engine.ID)
 		}
 	}
-	o.fallback.Done(c, end)
-	o.act()
+	r.fallback.Done(call, outcome)
+	r.dispatchAndUnlock()
 }
 
-// dropFallback ends the wait of a request's release for other engines, and the calls that are out for it; the
-// lock is held. It tells whether there was one.
-func (o *owner) dropFallback(id ashwood.RequestID) bool {
-	waited := o.fallback.Drop(id)
-	if waited {
-		o.cancelAsked(id)
+// dropFallback removes a request's fallback release and cancels its calls in flight. It reports whether
+// there was one. The caller holds the lock.
+func (r *releaser) dropFallback(id ashwood.RequestID) bool {
+	pending := r.fallback.Drop(id)
+	if pending {
+		r.cancelFallbackCalls(id)
 	}
-	return waited
+	return pending
 }
 
-func (o *owner) cancelAsked(id ashwood.RequestID) {
-	for c, cancel := range o.asked {
-		if c.Request == id {
+// cancelFallbackCalls cancels the fallback calls in flight for a request. The caller holds the lock.
+func (r *releaser) cancelFallbackCalls(id ashwood.RequestID) {
+	for call, cancel := range r.fallbackCalls {
+		if call.Request == id {
 			cancel(errWithdrawn)
 		}
 	}
 }
 
-// pauseFallback has no other engine told to release a request while an attempt is being written or is on its way, which a release
-// must not overtake; paused is false where the attempt has not left, or gives no sign. It tells whether a release waits.
-func (o *owner) pauseFallback(id ashwood.RequestID, paused bool) bool {
-	o.mu.Lock()
-	if !o.fallback.Pause(id, paused) {
-		o.mu.Unlock()
+// pauseFallback holds back a request's fallback release while an attempt is being written or is on its way, since
+// a release must not overtake it. With paused false it resumes the release: the attempt was not written, or gives
+// no sign of having arrived. It reports whether a fallback release is pending.
+func (r *releaser) pauseFallback(id ashwood.RequestID, paused bool) bool {
+	r.mu.Lock()
+	if !r.fallback.Pause(id, paused) {
+		r.mu.Unlock()
 		return false
 	}
 	if paused {
-		o.cancelAsked(id)
+		r.cancelFallbackCalls(id)
 	}
-	o.act()
+	r.dispatchAndUnlock()
 	return true
 }
 
-// taken tells that a request's attempt has arrived, or its answer begun: what was held for it before is that attempt's, and
-// engines that were told in doubt are not told again.
-func (o *owner) taken(id ashwood.RequestID, told []ashwood.Server) {
-	o.mu.Lock()
-	if waited := o.dropFallback(id); !waited && len(told) == 0 {
-		o.mu.Unlock()
+// attemptArrived records that a request's attempt has arrived, or that its answer has begun: earlier holds now belong to
+// that attempt, and uncertain releases are not repeated.
+func (r *releaser) attemptArrived(id ashwood.RequestID, unconfirmed []ashwood.Server) {
+	r.mu.Lock()
+	if pending := r.dropFallback(id); !pending && len(unconfirmed) == 0 {
+		r.mu.Unlock()
 		return
 	}
-	for _, v := range told {
-		o.ledger.Resumed(o.g.clock.Now(), release.Key{Engine: v.ID, Request: id})
+	for _, engine := range unconfirmed {
+		r.ledger.Resumed(r.gateway.clock.Now(), release.Key{Engine: engine.ID, Request: id})
 	}
-	o.act()
+	r.dispatchAndUnlock()
 }
--- a/gateway/fallback_engine_test.go
+++ b/gateway/fallback_engine_test.go
@@ -9,19 +9,19 @@
 )
 
 // waitAtAnEngine has two releases wait for an engine that was heard and answers no more, and their calls out there.
-func (p *peer) waitAtAnEngine(t *testing.T, g *Gateway, hangs bool) (waiting *holds, engine ashwood.ServerID) {
+func (p *fakeTransport) queueReleasesAtEngine(t *testing.T, g *Gateway, hangs bool) (waiting *requestHolds, engine ashwood.ServerID) {
 	t.Helper()
-	engine = fleetOf(p, g, 3)[1]
-	waiting = held(g, "q0", "r1")
+	engine = listSilentEngines(p, g, 3)[1]
+	waiting = newTestHolds(g, "q0", "r1")
 	waiting.release(false)
-	held(g, "q1", "r1").release(true)
+	newTestHolds(g, "q1", "r1").release(true)
 	time.Sleep(time.Second)
 	if hangs {
-		p.hangs(engine)
+		p.makeHang(engine)
 	}
-	g.owner.heard(ashwood.Server{ID: engine, Zone: "z1"})
+	g.releaser.engineAnswered(ashwood.Server{ID: engine, Zone: "z1"})
 	synctest.Wait()
-	if g.owner.searching() {
+	if g.releaser.searching() {
 		t.Fatal("others are searched for beside an engine that was heard")
 	}
 	return waiting, engine
@@ -29,14 +29,14 @@
 
 // What becomes of an engine that releases wait for: a call that is ended here, as its request is being sent, tells nothing of it, and
 // the others go on waiting for its answers. Once it leaves the list, others are searched for at once.
-func TestHolds_EngineThatIsWaitedFor(t *testing.T) {
-	sends := func(_ *Gateway, h *holds, _ ashwood.ServerID) { h.pause(true) }
-	leaves := func(g *Gateway, _ *holds, id ashwood.ServerID) {
+func TestFallback_EngineWithPendingCalls(t *testing.T) {
+	sends := func(_ *Gateway, h *requestHolds, _ ashwood.ServerID) { h.pauseReleases(true) }
+	leaves := func(g *Gateway, _ *requestHolds, id ashwood.ServerID) {
 		g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{{ID: id, Kind: "w", State: ashwood.StateOff}})
 	}
 	for name, tt := range map[string]struct {
 		hangs     bool
-		happens   func(*Gateway, *holds, ashwood.ServerID)
+		happens   func(*Gateway, *requestHolds, ashwood.ServerID)
 		searching bool
 	}{
 		"a call that was written is ended here":     {true, sends, false},
@@ -45,12 +45,12 @@
 		"one that no connection comes up to leaves": {false, leaves, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := &peer{silent: map[ashwood.ServerID]int{"r1": 1e6, "w1": 1e6}}
-			in(t, p, func(t *testing.T, g *Gateway) {
-				h, engine := p.waitAtAnEngine(t, g, tt.hangs)
+			p := &fakeTransport{silentFor: map[ashwood.ServerID]int{"r1": 1e6, "w1": 1e6}}
+			runInBubble(t, p, func(t *testing.T, g *Gateway) {
+				h, engine := p.queueReleasesAtEngine(t, g, tt.hangs)
 				tt.happens(g, h, engine)
 				synctest.Wait()
-				if got := g.owner.searching(); got != tt.searching {
+				if got := g.releaser.searching(); got != tt.searching {
 					t.Errorf("others are searched for: %v, want %v", got, tt.searching)
 				}
 			})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,6 +1,8 @@
-// Package gateway takes a request through its life: pick an engine, attempt,
-// ask for a place ahead, report, let go, and give one final answer. It knows
-// no wire: fronts call Serve, transports carry its attempts to engines.
+// Package gateway runs a request from its acceptance to its one final answer: it asks the
+// decision module for the next step, makes attempts and reservations through a Transport,
+// reports the outcomes, and releases KV state and reservations. It also owns the releases that
+// outlive a request. It makes no decisions of its own and knows no wire protocol: fronts call
+// Serve, and transports make the calls to engines.
 package gateway
 
 import (
@@ -18,55 +20,55 @@
 	"ashwood.example/ashwood/internal/reqlog"
 )
 
-// Times of the calls around an attempt, in milliseconds.
+// Timeouts of reservations, probes and streams, in milliseconds.
 const (
-	reserveWait = 400  // for the answer to a place asked ahead
-	probeWait   = 800  // as long as the decisions wait for one: an engine at work answers late
-	stopWait    = 3500 // of a begun answer's silence, from when on it may have stopped
-	stopLook    = 250  // between looks at it then
-	stallWait   = 4500 // for its next piece in any case: a client may be left waiting for 5 s (PROTOCOL, Figures)
+	reserveTimeout     = 400  // for the answers to all reservation calls of an attempt
+	probeTimeout       = 800  // the decision module waits as long for a probe, since a busy engine answers late
+	stallSuspectAfter  = 3500 // silence after which a begun answer is checked for a stall
+	stallCheckInterval = 250  // between two such checks
+	stallTimeout       = 4500 // for the next piece in any case: a client may wait for at most 5 s (PROTOCOL, Figures)
 )
 
-// Gateway routes requests.
+// Gateway serves requests over a Transport as the decision module directs.
 type Gateway struct {
-	router    *ashwood.Router
-	transport Transport
-	clock     Clock
-	log       *slog.Logger
-	holdTime  float64        // ms in which what is held must be taken; 0 = not told
-	probes    bool           // are allowed
-	beside    sync.WaitGroup // what runs beside requests: places, releases, probes
-	owner     *owner         // of what is held and wanted no more
-	live      *liveness
-	holdLog   *holdLog
-	metrics   *metrics.Set
-	endsAt    atomic.Uint64 // by when all have their answer, as the process ends; bits of ms, 0 = not told
-	pulses    pulses        // of engines with answers open
+	router         *ashwood.Router
+	transport      Transport
+	clock          Clock
+	log            *slog.Logger
+	holdLimit      float64        // ms for which engines may hold KV state and reservations that no attempt uses; 0 = no limit
+	probesAllowed  bool           // the site allows probes
+	background     sync.WaitGroup // reservations, releases and probes, which run outside Serve
+	releaser       *releaser      // makes all release calls
+	liveness       *liveness
+	holdLog        *holdLog
+	metrics        *metrics.Set
+	answerDeadline atomic.Uint64   // ms of the clock (bits of a float64) by which all requests are answered because the process ends; 0 = not set
+	progress       progressTracker // of engines with open answers
 }
 
-// New makes a gateway. Run must be running for it to serve.
-func New(set ashwood.Settings, seed int64, transport Transport, c Clock, log *slog.Logger) (*Gateway, error) {
-	g := &Gateway{transport: transport, clock: c, log: log, holdTime: clock.Millis(set.Rules.Release), probes: set.Limits.Probes}
-	names := make([]string, len(set.Classes))
-	for i, class := range set.Classes {
+// New returns a gateway. Run must be running while it serves.
+func New(settings ashwood.Settings, seed int64, transport Transport, c Clock, log *slog.Logger) (*Gateway, error) {
+	g := &Gateway{transport: transport, clock: c, log: log, holdLimit: clock.Millis(settings.Rules.Release), probesAllowed: settings.Limits.Probes}
+	names := make([]string, len(settings.Classes))
+	for i, class := range settings.Classes {
 		names[i] = class.Name
 	}
 	g.metrics = metrics.New(names)
-	g.live, g.holdLog = newLiveness(log, c), newHoldLog(log, c, g.metrics)
-	g.owner = newOwner(g, set, seed)
+	g.liveness, g.holdLog = newLiveness(log, c), newHoldLog(log, c, g.metrics)
+	g.releaser = newReleaser(g, settings, seed)
 	var err error
-	g.router, err = ashwood.NewRouter(set, seed, c, func(v ashwood.Server) { g.spawn(func() { g.probe(v) }) })
+	g.router, err = ashwood.NewRouter(settings, seed, c, func(engine ashwood.Server) { g.runInBackground(func() { g.probe(engine) }) })
 	return g, err
 }
 
 // Run runs the router's timers until ctx ends.
 func (g *Gateway) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		g.guard(func() { g.tick(ctx) })
+		g.recoverPanic(func() { g.runTimers(ctx) })
 	}
 }
 
-func (g *Gateway) tick(ctx context.Context) {
+func (g *Gateway) runTimers(ctx context.Context) {
 	due := make(chan struct{}, 1)
 	for {
 		stop := func() bool { return true }
@@ -90,33 +92,33 @@
 }
 
 // UpdateMembership applies a membership update.
-func (g *Gateway) UpdateMembership(form ashwood.ListForm, list []ashwood.Server) {
-	g.router.Update(form, list)
-	g.owner.update(form, list)
+func (g *Gateway) UpdateMembership(form ashwood.ListForm, engines []ashwood.Server) {
+	g.router.Update(form, engines)
+	g.releaser.updateMembership(form, engines)
 	if g.log.Enabled(context.Background(), slog.LevelDebug) {
-		for _, v := range list {
-			g.log.Debug("news", "engine", v.ID, "address", v.Address, "kind", v.Kind, "zone", v.Zone, "cell", v.Cell, "state", int(v.State), "started", clock.Millis(v.Started))
+		for _, engine := range engines {
+			g.log.Debug("news", "engine", engine.ID, "address", engine.Address, "kind", engine.Kind, "zone", engine.Zone, "cell", engine.Cell, "state", int(engine.State), "started", clock.Millis(engine.Started))
 		}
 	}
 }
 
-// Metrics are this gateway's counts. Attempts are counted here, the ends of requests by
-// who gives the answers.
+// Metrics returns this gateway's counters. The gateway counts attempts, and its callers, which
+// give the answers, count how requests end.
 func (g *Gateway) Metrics() *metrics.Set { return g.metrics }
 
-// Holds tells how many holds engines may have for requests, and for how many ms the oldest has stood.
-func (g *Gateway) Holds() (open int, oldest float64) { return g.holdLog.figures() }
+// Holds returns the number of holds that engines may have for requests, and the age of the oldest in ms.
+func (g *Gateway) Holds() (open int, oldest float64) { return g.holdLog.gauges() }
 
-// Engines counts the engines in the list and those avoided now; see ashwood.Router.
+// Engines returns the number of engines in the membership and how many of them are avoided now; see ashwood.Router.
 func (g *Gateway) Engines() (listed, avoided int) { return g.router.Engines() }
 
-// Share says how many processes count as this one gateway; see ashwood.Router.
+// Share sets how many processes count as this one gateway; see ashwood.Router.
 func (g *Gateway) Share(processes int) { g.router.Share(processes) }
 
 // SetAnswerDeadline sets the time, in ms of the clock, by which each request must have its answer
 // because the process ends; see ashwood.Router.
 func (g *Gateway) SetAnswerDeadline(at float64) {
-	g.endsAt.Store(math.Float64bits(at))
+	g.answerDeadline.Store(math.Float64bits(at))
 	g.router.EndBy(at)
 }
 
@@ -131,149 +133,149 @@
 // refuses because it has no capacity left; 0 = no advice.
 func (g *Gateway) RetryAfter() float64 { return g.router.Pause() }
 
-// Serve takes a request to its final answer, or to the beginning of one. When
-// ctx ends, the client has left; ctx bounds a served stream too, which the
-// caller must close. An error means that the request was not taken.
-func (g *Gateway) Serve(ctx context.Context, req *Request) (Reply, error) {
-	begun := g.clock.Now()
-	reply, err := g.serve(ctx, req)
-	if s, ok := reply.Stream.(*stream); ok {
-		s.class, s.begun = req.Class, begun
+// Serve handles a request until it has its final answer or the first piece of one. The end of
+// ctx means that the client has disconnected. ctx bounds a served stream too, which the
+// caller must close. An error means that the request was not accepted.
+func (g *Gateway) Serve(ctx context.Context, request *Request) (Reply, error) {
+	startedAt := g.clock.Now()
+	reply, err := g.serve(ctx, request)
+	if served, ok := reply.Stream.(*stream); ok {
+		served.class, served.startedAt = request.Class, startedAt
 	}
-	g.log.Debug("answer", "id", req.ID, "class", req.Class, "kind", reply.Kind, "ms", g.clock.Now()-begun,
+	g.log.Debug("answer", "id", request.ID, "class", request.Class, "kind", reply.Kind, "ms", g.clock.Now()-startedAt,
 		"why", reply.Reason, "err", err)
 	return reply, err
 }
 
-func (g *Gateway) serve(ctx context.Context, req *Request) (Reply, error) {
-	step, err := g.router.Pick(ctx, req.Call)
+func (g *Gateway) serve(ctx context.Context, request *Request) (Reply, error) {
+	step, err := g.router.Pick(ctx, request.Call)
 	if err != nil {
 		return Reply{}, err
 	}
-	planned := g.clock.Now() // the step
-	h := g.owner.holds(req.ID)
-	var last error
+	decidedAt := g.clock.Now()
+	holds := g.releaser.newHolds(request.ID)
+	var lastErr error
 	reason := "first"
 	for {
 		final := step.Kind != ashwood.StepSend && step.Kind != ashwood.StepRelease
 		if step.Release {
-			h.release(final)
+			holds.release(final)
 		}
 		switch step.Kind {
 		case ashwood.StepSend:
-			h.overdue()
-			step.Timeout -= g.clock.Now() - planned // releases may have taken their time
-			g.record(req, step, reqlog.Attempt, reason)
-			ans, next := g.attempt(ctx, req, step, h)
-			reason = "after " + statusName(ans.Status)
-			if answered(ans.Status) {
-				g.owner.heard(step.Engine)
-			} else if ans.Status != ashwood.NotSent && ans.Status != ashwood.CalledOff {
-				g.owner.unheard(step.Engine, "attempt", false)
+			holds.releaseExpired()
+			step.Timeout -= g.clock.Now() - decidedAt // releases may have used up a part of it
+			g.logRequestState(request, step, reqlog.Attempt, reason)
+			result, next := g.attempt(ctx, request, step, holds)
+			reason = "after " + statusName(result.Status)
+			if showsEngineRuns(result.Status) {
+				g.releaser.engineAnswered(step.Engine)
+			} else if result.Status != ashwood.NotSent && result.Status != ashwood.CalledOff {
+				g.releaser.noteUnanswered(step.Engine, "attempt", false)
 			}
-			if ans.Err != nil {
-				last = ans.Err
+			if result.Err != nil {
+				lastErr = result.Err
 			}
-			if ans.Stream != nil {
-				return Reply{Kind: Served, Stream: ans.Stream}, nil
+			if result.Stream != nil {
+				return Reply{Kind: Served, Stream: result.Stream}, nil
 			}
-			step, planned = next, g.clock.Now()
+			step, decidedAt = next, g.clock.Now()
 		case ashwood.StepRelease:
-			step, planned = g.router.Next(req.ID), g.clock.Now()
+			step, decidedAt = g.router.Next(request.ID), g.clock.Now()
 		case ashwood.StepRefuse:
-			return Reply{Kind: Refused, RetryAfter: step.RetryAfter, Reason: step.Why, Err: last}, nil
+			return Reply{Kind: Refused, RetryAfter: step.RetryAfter, Reason: step.Why, Err: lastErr}, nil
 		case ashwood.StepFail:
-			return Reply{Kind: Failed, Reason: step.Why, Err: last}, nil
+			return Reply{Kind: Failed, Reason: step.Why, Err: lastErr}, nil
 		default:
 			return Reply{Kind: ClientGone, Err: ErrClientGone}, nil
 		}
 	}
 }
 
-// attempt sends a request once. It gives either a begun answer's stream or,
-// after it has reported how the attempt ended, the next step.
-func (g *Gateway) attempt(ctx context.Context, req *Request, step ashwood.Step, h *holds) (AttemptResult, ashwood.Step) {
-	begun := g.clock.Now()
-	actx, cancel := context.WithCancelCause(step.Context)
+// attempt sends a request once. It returns either the stream of a begun answer or, after it has
+// reported how the attempt ended, the next step.
+func (g *Gateway) attempt(ctx context.Context, request *Request, step ashwood.Step, holds *requestHolds) (AttemptResult, ashwood.Step) {
+	startedAt := g.clock.Now()
+	attemptCtx, cancel := context.WithCancelCause(step.Context)
 	stop := g.clock.AfterFunc(step.Timeout, func() { cancel(ErrFirstTokenTimeout) })
-	ans := g.transport.Send(actx, Attempt{
-		Request: req, Engine: step.Engine, Prefill: step.Reads, NonIdempotent: step.Once, Remaining: step.Timeout,
+	result := g.transport.Send(attemptCtx, Attempt{
+		Request: request, Engine: step.Engine, Prefill: step.Reads, NonIdempotent: step.Once, Remaining: step.Timeout,
 		MayWrite: func() bool {
 			late := step.Until > 0 && g.clock.Now() >= step.Until
-			if late || actx.Err() != nil || !g.router.Accepts(step.Engine.ID) {
+			if late || attemptCtx.Err() != nil || !g.router.Accepts(step.Engine.ID) {
 				return false
 			}
-			h.pause(true)
+			holds.pauseReleases(true)
 			return true
 		},
 		OnSent: func() {
-			g.record(req, step, reqlog.Sent, "")
-			h.sent(step.Engine, step.Reads)
-			g.metrics.Relayed(req.Class)
+			g.logRequestState(request, step, reqlog.Sent, "")
+			holds.attemptSent(step.Engine, step.Reads)
+			g.metrics.Relayed(request.Class)
 			if step.Place.ID != "" {
-				g.spawn(func() { g.reserve(actx, step, h) })
+				g.runInBackground(func() { g.reserve(attemptCtx, step, holds) })
 			}
 		},
 	})
-	inTime := stop() && actx.Err() == nil
-	g.log.Debug("attempt", "id", req.ID, "class", req.Class, "engine", step.Engine.ID, "kind", step.Engine.Kind,
-		"attempt", step.Attempt, "status", ans.Status, "ms", g.clock.Now()-begun, "err", ans.Err)
-	if ans.Status == ashwood.Served {
-		if inTime && g.router.Begun(req.ID, step.Attempt) {
-			h.begin()
-			ans.Stream = &stream{Stream: ans.Stream, g: g, ctx: ctx, id: req.ID, attempt: step.Attempt, engine: step.Engine, pulse: g.pulses.enter(step.Engine.ID), cancel: cancel}
-			return ans, ashwood.Step{}
+	inTime := stop() && attemptCtx.Err() == nil
+	g.log.Debug("attempt", "id", request.ID, "class", request.Class, "engine", step.Engine.ID, "kind", step.Engine.Kind,
+		"attempt", step.Attempt, "status", result.Status, "ms", g.clock.Now()-startedAt, "err", result.Err)
+	if result.Status == ashwood.Served {
+		if inTime && g.router.Begun(request.ID, step.Attempt) {
+			holds.markAnswerBegun()
+			result.Stream = &stream{Stream: result.Stream, gateway: g, clientCtx: ctx, id: request.ID, attempt: step.Attempt, engine: step.Engine, progress: g.progress.join(step.Engine.ID), cancel: cancel}
+			return result, ashwood.Step{}
 		}
-		ans.Stream.Close()
-		ans.Stream, ans.Status = nil, ashwood.ConnectionLost
+		result.Stream.Close()
+		result.Stream, result.Status = nil, ashwood.ConnectionLost
 	}
-	// An attempt that was given up may have run, unless its last byte never left.
-	if ans.Status == ashwood.ConnectionLost && !inTime {
-		ans.Status = ashwood.CalledOff
-		if errors.Is(context.Cause(actx), ErrFirstTokenTimeout) {
-			ans.Status, ans.Err = ashwood.NoAnswer, ErrFirstTokenTimeout
+	// A cancelled attempt may have run, unless its last byte was not written.
+	if result.Status == ashwood.ConnectionLost && !inTime {
+		result.Status = ashwood.CalledOff
+		if errors.Is(context.Cause(attemptCtx), ErrFirstTokenTimeout) {
+			result.Status, result.Err = ashwood.NoAnswer, ErrFirstTokenTimeout
 		}
 	}
 	cancel(nil)
-	switch ans.Status {
+	switch result.Status {
 	case ashwood.NoConnection, ashwood.NotSent:
-		h.pause(false)
+		holds.pauseReleases(false)
 	case ashwood.TurnedAway, ashwood.ServerError:
-		h.turnedAway()
+		holds.attemptTurnedAway()
 	default:
-		h.ended(answered(ans.Status))
+		holds.attemptEnded(showsEngineRuns(result.Status))
 	}
-	if ans.Status == ashwood.ConnectionLost || ans.Status == ashwood.CalledOff || ans.Status == ashwood.NoAnswer {
-		h.doubt(step.Engine)
+	if result.Status == ashwood.ConnectionLost || result.Status == ashwood.CalledOff || result.Status == ashwood.NoAnswer {
+		holds.markAbandoned(step.Engine)
 	}
-	return ans, g.router.Report(req.ID, step.Attempt, ans.Result)
+	return result, g.router.Report(request.ID, step.Attempt, result.Result)
 }
 
-// record logs what has become of a request's attempt, with the time that its engine is told.
-func (g *Gateway) record(req *Request, step ashwood.Step, state reqlog.State, reason string) {
+// logRequestState logs the state of a request's attempt, with the remaining time that the engine is given.
+func (g *Gateway) logRequestState(request *Request, step ashwood.Step, state reqlog.State, reason string) {
 	reqlog.Write(g.log, reqlog.Change{
-		ID: string(req.ID), Class: req.Class, State: state, Attempt: step.Attempt, Engine: string(step.Engine.ID), Left: step.Timeout, Reason: reason,
+		ID: string(request.ID), Class: request.Class, State: state, Attempt: step.Attempt, Engine: string(step.Engine.ID), Left: step.Timeout, Reason: reason,
 	})
 }
 
-func (g *Gateway) spawn(f func()) { g.beside.Go(func() { g.guard(f) }) }
+func (g *Gateway) runInBackground(f func()) { g.background.Go(func() { g.recoverPanic(f) }) }
 
-// Wait waits for what runs beside requests: places asked for, releases, probes.
-// Each ends by itself, releases after releaseStop, or where the process has longer to live, then. It is
-// called once nothing is served any more.
+// Wait waits until reservations, releases and probes in the background have ended. Releases that are
+// still pending are given up after releaseShutdownTimeout, or later where the process has longer to
+// live. Wait must be called after the last request has been served.
 func (g *Gateway) Wait() {
-	patience := float64(releaseStop)
-	if at := math.Float64frombits(g.endsAt.Load()); at > 0 {
-		patience = min(max(patience, at+releaseRest-g.clock.Now()), releaseStopMost)
+	timeout := float64(releaseShutdownTimeout)
+	if deadline := math.Float64frombits(g.answerDeadline.Load()); deadline > 0 {
+		timeout = min(max(timeout, deadline+releaseShutdownGrace-g.clock.Now()), releaseShutdownMax)
 	}
-	defer g.clock.AfterFunc(patience, g.owner.abandon)()
-	g.owner.wait()
-	g.beside.Wait()
+	defer g.clock.AfterFunc(timeout, g.releaser.abandon)()
+	g.releaser.waitUntilIdle()
+	g.background.Wait()
 }
 
-// statusName names how an attempt ended, for records.
-func statusName(s ashwood.Status) string {
-	switch s {
+// statusName returns the name of an attempt's status for logs.
+func statusName(status ashwood.Status) string {
+	switch status {
 	case ashwood.Served:
 		return "served"
 	case ashwood.ServerError:
@@ -296,59 +298,62 @@
 	return "unknown"
 }
 
-// answered tells whether an attempt's end shows that its engine runs and is heard.
-func answered(s ashwood.Status) bool {
-	return s == ashwood.Served || s == ashwood.Parsed || s == ashwood.TurnedAway || s == ashwood.ServerError
+// showsEngineRuns reports whether a status proves that the engine runs and can be reached.
+func showsEngineRuns(status ashwood.Status) bool {
+	return status == ashwood.Served || status == ashwood.Parsed || status == ashwood.TurnedAway || status == ashwood.ServerError
 }
 
-// reserve asks for places ahead while a read is out. Each writer is let go of by
-// itself, once its own answer is there: a release before might be overtaken by the call.
-func (g *Gateway) reserve(reading context.Context, step ashwood.Step, h *holds) {
+// reserve asks decode engines for reservations while a prefill is in flight. Each of these engines
+// becomes subject to release only after its own answer: a release before that could arrive
+// ahead of the reservation call.
+func (g *Gateway) reserve(prefillCtx context.Context, step ashwood.Step, holds *requestHolds) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	defer g.clock.AfterFunc(reserveWait, cancel)()
-	for v, ok := step.Place, true; ok; {
-		ready := func() bool { return reading.Err() == nil && g.router.Accepts(v.ID) }
-		asked := g.clock.Now()
-		place := g.transport.Reserve(ctx, v, h.id, ready)
-		g.log.Debug("place", "id", h.id, "engine", v.ID, "answer", int(place))
-		switch place {
+	defer g.clock.AfterFunc(reserveTimeout, cancel)()
+	for engine, ok := step.Place, true; ok; {
+		ready := func() bool { return prefillCtx.Err() == nil && g.router.Accepts(engine.ID) }
+		askedAt := g.clock.Now()
+		result := g.transport.Reserve(ctx, engine, holds.id, ready)
+		g.log.Debug("place", "id", holds.id, "engine", engine.ID, "answer", int(result))
+		switch result {
 		case ReserveHeld, ReserveRefused:
-			g.owner.heard(v)
+			g.releaser.engineAnswered(engine)
 		}
-		if place == ReserveUnknown && ctx.Err() != nil { // given up; an answer that tells nothing ends the call
-			h.doubt(v)
-			g.live.unanswered(v.ID, "reservation")
+		if result == ReserveUnknown && ctx.Err() != nil { // timed out; an unclear answer ends the call without that
+			holds.markAbandoned(engine)
+			g.liveness.unanswered(engine.ID, "reservation")
 		}
 		switch {
-		case place != ReserveHeld && place != ReserveUnknown:
-		case reading.Err() != nil:
-			h.addLate(v)
+		case result != ReserveHeld && result != ReserveUnknown:
+		case prefillCtx.Err() != nil:
+			holds.addLateReservation(engine)
 		default:
-			h.reserved(v, asked, reservationAnswer(place, ctx.Err() != nil))
+			holds.addReservation(engine, askedAt, classifyReservation(result, ctx.Err() != nil))
 		}
-		if place == ReserveUnknown || place == ReserveNotSent {
+		if result == ReserveUnknown || result == ReserveNotSent {
 			return
 		}
-		v, ok = g.router.Place(h.id, step.Attempt, v.ID, place == ReserveHeld)
+		engine, ok = g.router.Place(holds.id, step.Attempt, engine.ID, result == ReserveHeld)
 	}
 }
 
-func reservationAnswer(place ReserveResult, givenUp bool) reservation {
+// classifyReservation translates the outcome of a Reserve call after which the engine may hold a
+// reservation.
+func classifyReservation(result ReserveResult, timedOut bool) reservationState {
 	switch {
-	case place == ReserveHeld:
-		return reservationHeld
-	case givenUp:
-		return reservationNoAnswer
+	case result == ReserveHeld:
+		return reservationConfirmed
+	case timedOut:
+		return reservationUnanswered
 	}
-	return reservationUnknown
+	return reservationWithoutPrefill
 }
 
-// guard keeps a panic beside a request from ending the process.
-func (g *Gateway) guard(f func()) {
+// recoverPanic runs f and logs a panic in it, so that background work cannot end the process.
+func (g *Gateway) recoverPanic(f func()) {
 	defer func() {
-		if p := recover(); p != nil {
-			g.log.Error("panic", "value", p, "stack", string(debug.Stack()))
+		if value := recover(); value != nil {
+			g.log.Error("panic", "value", value, "stack", string(debug.Stack()))
 		}
 	}()
 	f()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -28,7 +28,7 @@
 
 // wantFreed waits until each of these engines was told to let go, maybe twice:
 // a place still asked for at the first call is let go of after its answer.
-func (p *peer) wantFreed(t *testing.T, want ...string) {
+func (p *fakeTransport) wantReleasedAt(t *testing.T, want ...string) {
 	t.Helper()
 	left := map[string]bool{}
 	for _, w := range want {
@@ -36,7 +36,7 @@
 	}
 	for len(left) > 0 {
 		select {
-		case v := <-p.freed:
+		case v := <-p.releasedAt:
 			delete(left, v)
 		case <-time.After(20 * time.Second):
 			t.Fatalf("not let go at %v", left)
@@ -44,10 +44,10 @@
 	}
 }
 
-func TestServedAnswerPassesAllPieces(t *testing.T) {
-	p := &peer{place: ReserveHeld, answers: map[ashwood.ServerID][]AttemptResult{
-		"r1": {answer(ashwood.Parsed)}, "w1": {streams(io.EOF, "a", "b")}}}
-	g, _ := start(t, p)
+func TestServe_AnswerPassesAllPieces(t *testing.T) {
+	p := &fakeTransport{reserveResult: ReserveHeld, results: map[ashwood.ServerID][]AttemptResult{
+		"r1": {resultOf(ashwood.Parsed)}, "w1": {streamResult(io.EOF, "a", "b")}}}
+	g, _ := startManualClock(t, p)
 	r := serve(t, g, context.Background(), "order")
 	got := ""
 	for {
@@ -70,10 +70,10 @@
 }
 
 // A choice that waits for a load goes on after 12 ms without the news.
-func TestProbesAreCarriedOutBesideTheRequest(t *testing.T) {
-	p := &peer{nodes: 4, place: ReserveHeld, answers: map[ashwood.ServerID][]AttemptResult{
-		"r1": {answer(ashwood.Parsed)}, "w1": {streams(io.EOF, "a")}}}
-	in(t, p, func(t *testing.T, g *Gateway) {
+func TestServe_ProbeBesideRequest(t *testing.T) {
+	p := &fakeTransport{gatewayCount: 4, reserveResult: ReserveHeld, results: map[ashwood.ServerID][]AttemptResult{
+		"r1": {resultOf(ashwood.Parsed)}, "w1": {streamResult(io.EOF, "a")}}}
+	runInBubble(t, p, func(t *testing.T, g *Gateway) {
 		begun := time.Now()
 		end := make(chan Reply, 1)
 		go func() {
@@ -83,7 +83,7 @@
 		if v := <-p.probed; v != "r1" {
 			t.Errorf("probed %s", v)
 		}
-		if sends := p.sends(); len(sends) > 0 {
+		if sends := p.recordedCalls(); len(sends) > 0 {
 			t.Errorf("sent already: %v", sends)
 		}
 		r := <-end
@@ -96,7 +96,7 @@
 
 // Once an order may have run, one failure follows and nothing is sent again;
 // what is proved never to have run goes on.
-func TestOrderIsSentAgainOnlyOnProof(t *testing.T) {
+func TestServe_SideEffectRetry(t *testing.T) {
 	for _, tt := range []struct {
 		first ashwood.Status
 		kind  ReplyKind
@@ -107,30 +107,30 @@
 		{ashwood.NoConnection, Served, []string{"send r1", "send w1", "send w2"}},
 		{ashwood.TurnedAway, Served, []string{"send r1", "send w1", "send w2"}},
 	} {
-		p := &peer{place: ReserveUnknown, answers: map[ashwood.ServerID][]AttemptResult{ // so that w1 comes first
-			"r1": {answer(ashwood.Parsed)}, "w1": {answer(tt.first)}, "w2": {streams(io.EOF, "a")}}}
-		g, _ := start(t, p)
+		p := &fakeTransport{reserveResult: ReserveUnknown, results: map[ashwood.ServerID][]AttemptResult{ // so that w1 comes first
+			"r1": {resultOf(ashwood.Parsed)}, "w1": {resultOf(tt.first)}, "w2": {streamResult(io.EOF, "a")}}}
+		g, _ := startManualClock(t, p)
 		g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{{ID: "w2", Kind: "w", Cell: 1, State: ashwood.StateOn}})
 		r := serve(t, g, context.Background(), "order")
-		if diff := cmp.Diff(tt.sends, p.sends()); r.Kind != tt.kind || diff != "" {
+		if diff := cmp.Diff(tt.sends, p.recordedCalls()); r.Kind != tt.kind || diff != "" {
 			t.Errorf("after %v: kind %v, want %v\n%s", tt.first, r.Kind, tt.kind, diff)
 		}
 		if r.Kind == Failed {
-			p.wantFreed(t, "r1", "w1")
+			p.wantReleasedAt(t, "r1", "w1")
 		}
 	}
 }
 
 // While connections to writers fail to come up, nothing is out: the state goes
 // within its time, and what is sent after that is read anew.
-func TestStateIsLetGoWhileConnectsFail(t *testing.T) {
-	noState := answer(ashwood.TurnedAway)
+func TestServe_KVStateReleasedWhileConnectsFail(t *testing.T) {
+	noState := resultOf(ashwood.TurnedAway)
 	noState.Note = 1
-	p := &peer{noteFrees: true, place: ReserveNotSent, answers: map[ashwood.ServerID][]AttemptResult{
-		"r1": {answer(ashwood.Parsed), answer(ashwood.Parsed)}, "w1": {answer(ashwood.NoConnection), streams(io.EOF, "a")},
-		"w2": {answer(ashwood.NoConnection)}, "w3": {noState}}}
-	g, c := start(t, p)
-	p.before = func(v ashwood.Server) {
+	p := &fakeTransport{recordReleases: true, reserveResult: ReserveNotSent, results: map[ashwood.ServerID][]AttemptResult{
+		"r1": {resultOf(ashwood.Parsed), resultOf(ashwood.Parsed)}, "w1": {resultOf(ashwood.NoConnection), streamResult(io.EOF, "a")},
+		"w2": {resultOf(ashwood.NoConnection)}, "w3": {noState}}}
+	g, c := startManualClock(t, p)
+	p.beforeWrite = func(v ashwood.Server) {
 		if v.ID == "w1" || v.ID == "w2" {
 			c.Advance(250)
 		}
@@ -143,10 +143,10 @@
 	select {
 	case r = <-ended:
 	case <-p.hanging:
-		t.Fatalf("an attempt that was not expected: %v", p.sends())
+		t.Fatalf("an attempt that was not expected: %v", p.recordedCalls())
 	}
 	want := []string{"send r1", "send w1", "send w2", "free r1", "send w3", "send r1", "send w1"}
-	got := slices.DeleteFunc(p.sends(), func(s string) bool { return s != "free r1" && s[:4] == "free" })
+	got := slices.DeleteFunc(p.recordedCalls(), func(s string) bool { return s != "free r1" && s[:4] == "free" })
 	if diff := cmp.Diff(want, got); r.Kind != Served || diff != "" {
 		t.Errorf("kind %v\n%s", r.Kind, diff)
 	}
@@ -154,27 +154,27 @@
 
 // A client that leaves while an attempt is out ends it, and what may be held
 // is let go of, even where the first call does not get through.
-func TestClientGoneLetsGo(t *testing.T) {
-	p := &peer{place: ReserveUnknown, answers: map[ashwood.ServerID][]AttemptResult{}, refuse: map[ashwood.ServerID]int{"r1": 1}}
-	g := startAt(t, p, SystemClock()) // the second try comes after a pause
+func TestServe_ClientGoneReleasesHolds(t *testing.T) {
+	p := &fakeTransport{reserveResult: ReserveUnknown, results: map[ashwood.ServerID][]AttemptResult{}, refuseReleases: map[ashwood.ServerID]int{"r1": 1}}
+	g := startGateway(t, p, SystemClock()) // the second try comes after a pause
 	ctx, leave := context.WithCancel(context.Background())
 	done := make(chan Reply)
 	go func() { done <- serve(t, g, ctx, "chat") }()
 	<-p.hanging
-	<-p.asked
+	<-p.reserving
 	leave()
 	if r := <-done; r.Kind != ClientGone {
 		t.Errorf("kind %v", r.Kind)
 	}
-	p.wantFreed(t, "w1", "r1")
+	p.wantReleasedAt(t, "w1", "r1")
 }
 
 // No answer in time is one answer at once: a failure for an order that may
 // have run, a refusal with a pause for one whose last byte has not left.
-func TestTimeOut(t *testing.T) {
+func TestServe_FirstTokenTimeout(t *testing.T) {
 	for _, unsent := range []bool{false, true} {
-		p := &peer{place: ReserveRefused, answers: map[ashwood.ServerID][]AttemptResult{"r1": {answer(ashwood.Parsed)}}}
-		g, c := start(t, p)
+		p := &fakeTransport{reserveResult: ReserveRefused, results: map[ashwood.ServerID][]AttemptResult{"r1": {resultOf(ashwood.Parsed)}}}
+		g, c := startManualClock(t, p)
 		done := make(chan Reply)
 		p.unsent = unsent
 		go func() { done <- serve(t, g, context.Background(), "order") }()
@@ -192,13 +192,13 @@
 }
 
 // A server that starts to drain between the choice and the first byte gets nothing.
-func TestDrainIsSeenAtTheMomentOfWriting(t *testing.T) {
-	p := &peer{place: ReserveRefused, answers: map[ashwood.ServerID][]AttemptResult{
-		"r1": {answer(ashwood.Parsed)}, "w1": {streams(io.EOF, "a")}, "w2": {streams(io.EOF, "a")}}}
-	g, _ := start(t, p)
+func TestServe_DrainBeforeFirstByte(t *testing.T) {
+	p := &fakeTransport{reserveResult: ReserveRefused, results: map[ashwood.ServerID][]AttemptResult{
+		"r1": {resultOf(ashwood.Parsed)}, "w1": {streamResult(io.EOF, "a")}, "w2": {streamResult(io.EOF, "a")}}}
+	g, _ := startManualClock(t, p)
 	g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{{ID: "w2", Kind: "w", State: ashwood.StateOn}})
 	var drained ashwood.ServerID
-	p.before = func(v ashwood.Server) {
+	p.beforeWrite = func(v ashwood.Server) {
 		if v.Kind == "w" && drained == "" {
 			drained = v.ID
 			v.State = ashwood.StateFading
@@ -206,18 +206,18 @@
 		}
 	}
 	r := serve(t, g, context.Background(), "order")
-	left := p.answers[drained]
-	if r.Kind != Served || len(left) != 1 || len(p.sends()) != 3 {
-		t.Errorf("kind %v; %s drained; sends %v", r.Kind, drained, p.sends())
+	left := p.results[drained]
+	if r.Kind != Served || len(left) != 1 || len(p.recordedCalls()) != 3 {
+		t.Errorf("kind %v; %s drained; sends %v", r.Kind, drained, p.recordedCalls())
 	}
 }
 
 // A stream that breaks is not ended as if it were whole.
-func TestBrokenStreamIsPassedOnAsBroken(t *testing.T) {
+func TestStream_BrokenByEngine(t *testing.T) {
 	broken := errors.New("reset")
-	p := &peer{place: ReserveRefused, answers: map[ashwood.ServerID][]AttemptResult{
-		"r1": {answer(ashwood.Parsed)}, "w1": {streams(broken, "a")}}}
-	g, _ := start(t, p)
+	p := &fakeTransport{reserveResult: ReserveRefused, results: map[ashwood.ServerID][]AttemptResult{
+		"r1": {resultOf(ashwood.Parsed)}, "w1": {streamResult(broken, "a")}}}
+	g, _ := startManualClock(t, p)
 	r := serve(t, g, context.Background(), "chat")
 	if piece, err := r.Stream.Next(); string(piece) != "a" || err != nil {
 		t.Fatal(string(piece), err)
@@ -226,7 +226,7 @@
 		t.Errorf("end %v", err)
 	}
 	r.Stream.Close()
-	if len(p.sends()) != 2 {
-		t.Errorf("sent more: %v", p.sends())
+	if len(p.recordedCalls()) != 2 {
+		t.Errorf("sent more: %v", p.recordedCalls())
 	}
 }
--- a/gateway/holdlog.go
+++ b/gateway/holdlog.go
@@ -8,89 +8,91 @@
 	"ashwood.example/ashwood/internal/release"
 )
 
-// holdReason is why an engine may have come to hold something for a request.
+// holdReason is why an engine may hold KV state or a reservation for a request.
 type holdReason string
 
-// The reasons.
+// The reasons of holds.
 const (
-	holdAttempt     holdReason = "attempt"     // the request was written to it
-	holdReservation holdReason = "reservation" // a place was asked for there
+	holdAttempt     holdReason = "attempt"     // the request was written to the engine
+	holdReservation holdReason = "reservation" // the engine was asked for a reservation
 )
 
-// unsettledEvery is the least time in ms between two log lines on holds that are released while
-// an attempt is out: with many engines silent or slow there are many.
-const unsettledEvery = 10000
+// inFlightLogInterval is the minimum time in ms between two log lines on holds that are released while an
+// attempt is in flight: with many silent or slow engines there are many such releases.
+const inFlightLogInterval = 10000
 
-// holdLog keeps what engines may hold for requests, for records and metrics alone: nothing is
-// decided by it. It holds an entry until the hold ends, as holds and the release ledger do.
+// holdLog tracks what engines may hold for requests, for logs and metrics only: nothing is
+// decided by it. It keeps an entry until the hold ends, as requestHolds and the release ledger do.
 type holdLog struct {
 	log     *slog.Logger
 	clock   Clock
 	metrics *metrics.Set
 
-	mu     sync.Mutex
-	open   map[release.Key]openHold
-	untold int     // holds released while an attempt was out, since the last line on them
-	nextAt float64 // ms, from when on there may be another
+	mu            sync.Mutex
+	open          map[release.Key]openHold
+	unloggedCount int     // holds released while an attempt was in flight, since the last log line
+	nextLogAt     float64 // ms of the clock, earliest time of the next log line
 }
 
+// openHold is a hold that has not ended.
 type openHold struct {
 	since  float64
 	reason holdReason
 }
 
-func newHoldLog(log *slog.Logger, c Clock, set *metrics.Set) *holdLog {
-	return &holdLog{log: log, clock: c, metrics: set, open: map[release.Key]openHold{}}
+func newHoldLog(log *slog.Logger, clock Clock, counts *metrics.Set) *holdLog {
+	return &holdLog{log: log, clock: clock, metrics: counts, open: map[release.Key]openHold{}}
 }
 
-// began notes that an engine may hold something for a request from now on.
-func (l *holdLog) began(k release.Key, reason holdReason) {
+// began records that an engine may hold something for a request from now on.
+func (l *holdLog) began(key release.Key, reason holdReason) {
 	l.mu.Lock()
-	_, known := l.open[k]
+	_, known := l.open[key]
 	if !known {
-		l.open[k] = openHold{since: l.clock.Now(), reason: reason}
+		l.open[key] = openHold{since: l.clock.Now(), reason: reason}
 	}
 	l.mu.Unlock()
 	if !known {
-		l.log.Debug("hold", "id", k.Request, "engine", k.Engine, "state", "began", "reason", string(reason))
+		l.log.Debug("hold", "id", key.Request, "engine", key.Engine, "state", "began", "reason", string(reason))
 	}
 }
 
-// ended notes that the engine holds nothing for the request any more, as far as can be known.
-func (l *holdLog) ended(k release.Key, how metrics.HoldEnd) {
+// ended records that the engine holds nothing for the request any more, as far as the gateway can know.
+func (l *holdLog) ended(key release.Key, how metrics.HoldEnd) {
 	now := l.clock.Now()
 	l.mu.Lock()
-	hold, known := l.open[k]
-	delete(l.open, k)
+	hold, known := l.open[key]
+	delete(l.open, key)
 	l.mu.Unlock()
 	if known {
 		l.metrics.HoldEnded(how)
-		l.log.Debug("hold", "id", k.Request, "engine", k.Engine, "state", "ended", "reason", string(hold.reason),
+		l.log.Debug("hold", "id", key.Request, "engine", key.Engine, "state", "ended", "reason", string(hold.reason),
 			"why", how.String(), "ms", now-hold.since)
 	}
 }
 
-// unsettled tells that holds are being released while an attempt for their request is out, of
-// which its engine has given no sign yet. Lines are bounded in rate, and tell the count since the last.
-func (l *holdLog) unsettled(k release.Key, holds int) {
+// releasedWithAttemptInFlight records that holds are being released while an attempt of their request is in
+// flight and its engine has given no sign of it yet. Log lines are rate-limited and report the count
+// since the last one.
+func (l *holdLog) releasedWithAttemptInFlight(attempt release.Key, holds int) {
 	l.metrics.ReleasedBeside(holds)
 	now := l.clock.Now()
 	l.mu.Lock()
-	l.untold += holds
-	count := l.untold
-	due := now >= l.nextAt
-	if due {
-		l.nextAt, l.untold = now+unsettledEvery, 0
+	l.unloggedCount += holds
+	count := l.unloggedCount
+	logNow := now >= l.nextLogAt
+	if logNow {
+		l.nextLogAt, l.unloggedCount = now+inFlightLogInterval, 0
 	}
 	l.mu.Unlock()
-	if due {
-		l.log.Info("holds released while an attempt was out and unanswered", "count", count,
-			"last_id", k.Request, "last_attempt_at", k.Engine)
+	if logNow {
+		l.log.Info("holds released while an attempt was in flight and unanswered", "count", count,
+			"last_id", attempt.Request, "last_attempt_at", attempt.Engine)
 	}
 }
 
-// figures are how many holds there are, and for how many ms the oldest has stood.
-func (l *holdLog) figures() (open int, oldest float64) {
+// gauges returns the number of open holds and the age of the oldest in ms.
+func (l *holdLog) gauges() (open int, oldest float64) {
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/holds.go
+++ b/gateway/holds.go
@@ -11,288 +11,294 @@
 	"ashwood.example/ashwood/internal/release"
 )
 
-// holds are the engines that may hold a state or a place for a request that still
-// wants them. What is held has a time, which counts from the last sign of an engine that an attempt
-// has ended, or from the asking for a place. Nothing that this side writes stops it: bytes written
-// are not bytes arrived, and a silent engine reads them much later. When the time is up, all are told
-// but the engine at which an attempt is out. A release lets go only of what no attempt waits for,
-// so that it costs a call where an attempt for an answer has arrived, and the state alone where it has
-// not. A prompt that is being read waits for nothing, and a release then takes its state in advance:
-// a place is released beside a read only where the read's engine gives no sign.
-type holds struct {
-	owner *owner
-	id    ashwood.RequestID
+// requestHolds tracks the engines that may hold KV state or a reservation for a running request.
+//
+// Holds have a deadline. It counts from the last answer by which an engine showed that an attempt has
+// ended, or from the reservation call. Nothing that the gateway writes stops it: written bytes may not
+// have arrived, and a silent engine may read them much later. At the deadline, all engines are sent a
+// release except the one with the attempt in flight. An engine drops only what no attempt waits for:
+// if the decode attempt has arrived, the release costs one call, and if it has not, the KV state.
+// A running prefill does not wait for its KV state, so a release drops that state in advance. A reservation is
+// therefore released during a prefill only if the prefill engine gives no sign.
+//
+// A release is uncertain if its engine may receive it before it notices that an attempt or a reservation
+// call was cancelled, or may read a cancelled call later. Uncertain releases are repeated.
+type requestHolds struct {
+	releaser *releaser
+	id       ashwood.RequestID
 
-	letting  sync.Mutex // held while overdue lets go
-	mu       sync.Mutex
-	engines  map[ashwood.ServerID]ashwood.Server
-	late     []ashwood.Server                    // places answered after the read
-	told     []ashwood.Server                    // in doubt, or not yet, while the request goes on
-	doubtful bool                                // an engine may not have seen an attempt or a call to end
-	givenUp  map[ashwood.ServerID]ashwood.Server // these engines; they may come to hold something yet
-	begun    bool                                // the answer has
-	over     bool                                // the request has its final answer
-	out      *outAttempt                         // that was written and has not ended; nil = none
-	unread   bool                                // an engine asked for a place knows of no read
-	known    bool                                // one that holds a place knows of it
-	due      float64                             // when the time of what is held is up; +Inf = nothing is held, or it has been released
-	fires    float64                             // when that is seen to: then, arrivalWait later at most, or sooner beside a read
-	stop     func() bool                         // the timer of that
+	releasing        sync.Mutex // held while expired holds are released
+	mu               sync.Mutex
+	holders          map[ashwood.ServerID]ashwood.Server
+	lateReservations []ashwood.Server                    // reservations answered after the prefill
+	unconfirmed      []ashwood.Server                    // engines whose release during the request is uncertain or undelivered; released again at its end
+	uncertain        bool                                // an engine may not have noticed that an attempt or a call has ended
+	abandoned        map[ashwood.ServerID]ashwood.Server // engines at which an attempt or a call was cancelled; they may hold something later
+	answerBegun      bool                                // the first piece of the answer has arrived
+	finished         bool                                // the request has its final answer
+	inFlight         *inFlightAttempt                    // nil = none
+	prefillMissing   bool                                // an engine asked for a reservation knows of no prefill
+	prefillKnown     bool                                // an engine that holds a reservation knows of the prefill
+	deadline         float64                             // ms of the clock; +Inf = nothing is held, or it has been released
+	timerAt          float64                             // when releaseExpired runs: at the deadline, up to arrivalTimeout later, or earlier during a prefill
+	stopTimer        func() bool                         // stops the timer of releaseExpired
 }
 
-// reservation is what an engine has answered to the asking for a place that it may hold.
-type reservation int
+// reservationState is what the gateway knows about a reservation that an engine may hold.
+type reservationState int
 
 const (
-	reservationHeld     reservation = iota
-	reservationUnknown              // it knows of no read; it may hold a place all the same
-	reservationNoAnswer             // in time
+	reservationConfirmed      reservationState = iota
+	reservationWithoutPrefill                  // the engine knows of no prefill, but may hold a reservation
+	reservationUnanswered                      // no answer in time
 )
 
-func (o *owner) holds(id ashwood.RequestID) *holds {
-	return &holds{
-		owner: o, id: id, engines: map[ashwood.ServerID]ashwood.Server{}, stop: func() bool { return true }, due: math.Inf(1), fires: math.Inf(1),
+// newHolds returns the empty holds of a request.
+func (r *releaser) newHolds(id ashwood.RequestID) *requestHolds {
+	return &requestHolds{
+		releaser: r, id: id, holders: map[ashwood.ServerID]ashwood.Server{}, stopTimer: func() bool { return true }, deadline: math.Inf(1), timerAt: math.Inf(1),
 	}
 }
 
-// arm sets the time by which what is held has to be released, and when that is done. The lock is held.
-func (h *holds) arm(due, fires float64) {
-	h.stop()
-	h.due, h.fires = due, fires
-	h.stop = func() bool { return true }
-	if !math.IsInf(fires, 1) {
-		h.stop = h.owner.g.clock.AfterFunc(max(fires-h.owner.g.clock.Now(), 0), func() {
-			h.owner.g.spawn(h.overdue)
+// armTimer sets the hold deadline and the time at which releaseExpired runs. The caller holds the lock.
+func (h *requestHolds) armTimer(deadline, at float64) {
+	h.stopTimer()
+	h.deadline, h.timerAt = deadline, at
+	h.stopTimer = func() bool { return true }
+	if !math.IsInf(at, 1) {
+		h.stopTimer = h.releaser.gateway.clock.AfterFunc(max(at-h.releaser.gateway.clock.Now(), 0), func() {
+			h.releaser.gateway.runInBackground(h.releaseExpired)
 		})
 	}
 }
 
-// reserved notes an engine that may hold a place asked for at a time, while the prompt is being read:
-// one that has answered that it does, that it knows of no read, which has not arrived then, or nothing.
-func (h *holds) reserved(v ashwood.Server, asked float64, answer reservation) {
-	limit := h.owner.g.holdTime
+// addReservation adds an engine that may hold a reservation since a call at askedAt, during the prefill. The
+// engine has confirmed it, has not answered, or knows of no prefill, which then has not arrived.
+func (h *requestHolds) addReservation(engine ashwood.Server, askedAt float64, answer reservationState) {
+	limit := h.releaser.gateway.holdLimit
 	h.mu.Lock()
-	h.unread = h.unread || answer == reservationUnknown
-	h.known = h.known || answer == reservationHeld
-	if due := asked + limit; limit > 0 && due < h.due {
-		fires := due
-		if answer != reservationUnknown && h.owner.g.probes {
-			fires = min(asked+readSignAfter, due)
+	h.prefillMissing = h.prefillMissing || answer == reservationWithoutPrefill
+	h.prefillKnown = h.prefillKnown || answer == reservationConfirmed
+	if deadline := askedAt + limit; limit > 0 && deadline < h.deadline {
+		timerAt := deadline
+		if answer != reservationWithoutPrefill && h.releaser.gateway.probesAllowed {
+			timerAt = min(askedAt+prefillCheckAfter, deadline)
 		}
-		h.arm(due, fires)
+		h.armTimer(deadline, timerAt)
 	}
 	h.mu.Unlock()
-	h.add(v, holdReservation)
+	h.add(engine, holdReservation)
 }
 
-// overdue releases what has been held for as long as it may. It comes before a send
-// too, which waits for one that is under way; a timer that fires late finds nothing due.
-func (h *holds) overdue() {
-	h.letting.Lock()
-	defer h.letting.Unlock()
+// releaseExpired releases what is held at the deadline. It also runs before each send, so
+// that a send waits for a release that is under way; a timer that fires late finds nothing expired.
+func (h *requestHolds) releaseExpired() {
+	h.releasing.Lock()
+	defer h.releasing.Unlock()
 	h.mu.Lock()
-	out, due := h.out, h.owner.g.clock.Now() >= h.fires
-	beside := out != nil && out.reads && !h.unread
-	if due { // what was given up may have come to be held since it was last told to be released
-		maps.Copy(h.engines, h.givenUp)
+	attempt, expired := h.inFlight, h.releaser.gateway.clock.Now() >= h.timerAt
+	besidePrefill := attempt != nil && attempt.prefill && !h.prefillMissing
+	if expired { // engines with cancelled calls may hold something since their last release
+		maps.Copy(h.holders, h.abandoned)
 	}
 	switch {
-	case !due:
-	case beside:
-		h.arm(h.due, math.Inf(1))
+	case !expired:
+	case besidePrefill:
+		h.armTimer(h.deadline, math.Inf(1))
 	default:
-		h.arm(math.Inf(1), math.Inf(1))
+		h.armTimer(math.Inf(1), math.Inf(1))
 	}
-	by, known := h.due+arrivalWait, h.known
+	by, prefillKnown := h.deadline+arrivalTimeout, h.prefillKnown
 	h.mu.Unlock()
 	switch {
-	case !due:
-	case out == nil:
+	case !expired:
+	case attempt == nil:
 		h.release(false)
-	case beside:
-		h.owner.g.spawn(func() { h.releaseUnlessRead(out, known, by) })
+	case besidePrefill:
+		h.releaser.gateway.runInBackground(func() { h.releaseUnlessPrefillArrived(attempt, prefillKnown, by) })
 	default:
-		h.releaseBeside(out.engine.ID)
+		h.releaseAllExcept(attempt.engine.ID)
 	}
 }
 
-// releaseUnlessRead releases what is held beside a read whose engine gives no sign, by a time if it can.
-func (h *holds) releaseUnlessRead(out *outAttempt, known bool, by float64) {
-	if h.owner.g.arrived(out, known, by) {
+// releaseUnlessPrefillArrived releases the holds of other engines if the prefill engine gives no sign,
+// before the time by if possible.
+func (h *requestHolds) releaseUnlessPrefillArrived(attempt *inFlightAttempt, prefillKnown bool, by float64) {
+	if h.releaser.gateway.prefillArrived(attempt, prefillKnown, by) {
 		return
 	}
-	h.letting.Lock()
-	defer h.letting.Unlock()
+	h.releasing.Lock()
+	defer h.releasing.Unlock()
 	h.mu.Lock()
-	still := h.out == out
+	inFlight := h.inFlight == attempt
 	h.mu.Unlock()
-	if still {
-		h.releaseBeside(out.engine.ID)
+	if inFlight {
+		h.releaseAllExcept(attempt.engine.ID)
 	}
 }
 
-// releaseBeside has all engines told but the one at which an attempt is out. They stay noted: where the
-// attempt has arrived, they go on holding what it waits for. At those where an attempt was given up
-// before, the release is in doubt until the request is sent somewhere else.
-func (h *holds) releaseBeside(out ashwood.ServerID) {
+// releaseAllExcept sends a release to all holders except the engine with the attempt in flight. They stay
+// holders: if the attempt has arrived, they keep what it waits for. At engines where an attempt was
+// cancelled before, the release is uncertain until the request is sent somewhere else.
+func (h *requestHolds) releaseAllExcept(attemptAt ashwood.ServerID) {
 	h.mu.Lock()
-	var sure, doubtful []ashwood.Server
-	for id, v := range h.engines {
-		_, givenUp := h.givenUp[id]
+	var certain, uncertain []ashwood.Server
+	for id, engine := range h.holders {
+		_, abandoned := h.abandoned[id]
 		switch {
-		case id == out:
-		case givenUp:
-			doubtful = append(doubtful, v)
+		case id == attemptAt:
+		case abandoned:
+			uncertain = append(uncertain, engine)
 		default:
-			sure = append(sure, v)
+			certain = append(certain, engine)
 		}
 	}
-	h.told = append(h.told, doubtful...)
+	h.unconfirmed = append(h.unconfirmed, uncertain...)
 	h.mu.Unlock()
-	if len(sure)+len(doubtful) == 0 {
+	if len(certain)+len(uncertain) == 0 {
 		return
 	}
-	h.owner.g.holdLog.unsettled(h.key(out), len(sure)+len(doubtful))
-	h.settle(sure, doubtful)
+	h.releaser.gateway.holdLog.releasedWithAttemptInFlight(h.key(attemptAt), len(certain)+len(uncertain))
+	h.releaseAndWait(certain, uncertain)
 }
 
-// add notes an engine. After the final answer it is to be told at once. Behind an attempt that was written there,
-// it tells whether releases wait for a sign of its arrival.
-func (h *holds) add(v ashwood.Server, why holdReason) (paused bool) {
+// add adds a holder. After the final answer, it is sent a release at once. If an attempt was written
+// to the engine, add reports whether releases now wait for a sign that the attempt has arrived.
+func (h *requestHolds) add(engine ashwood.Server, reason holdReason) (paused bool) {
 	h.mu.Lock()
-	over, doubtful := h.over, h.inDoubt(v.ID)
-	if !over {
-		h.engines[v.ID] = v
+	finished, uncertain := h.finished, h.isUncertain(engine.ID)
+	if !finished {
+		h.holders[engine.ID] = engine
 	}
 	h.mu.Unlock()
-	if !over {
-		h.owner.withdraw(h.id, v.ID)
-		paused = why == holdAttempt && h.pause(true)
+	if !finished {
+		h.releaser.withdraw(h.id, engine.ID)
+		paused = reason == holdAttempt && h.pauseReleases(true)
 	}
-	h.owner.g.holdLog.began(h.key(v.ID), why)
-	if over {
-		h.owner.tell(h.id, []ashwood.Server{v}, doubtful)
+	h.releaser.gateway.holdLog.began(h.key(engine.ID), reason)
+	if finished {
+		h.releaser.releaseInBackground(h.id, []ashwood.Server{engine}, uncertain)
 	}
 	return paused
 }
 
-func (h *holds) key(engine ashwood.ServerID) release.Key {
+func (h *requestHolds) key(engine ashwood.ServerID) release.Key {
 	return release.Key{Engine: engine, Request: h.id}
 }
 
-// doubt tells that an attempt or a call for a place was given up: its engine may
-// see that only after a release, and one that is silent may read and carry out what was
+// markAbandoned records that an attempt or a reservation call was cancelled. Its engine may
+// notice that only after a release, and a silent engine may read and execute what was
 // written to it much later.
-func (h *holds) doubt(v ashwood.Server) {
+func (h *requestHolds) markAbandoned(engine ashwood.Server) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.doubtful = true
-	if h.givenUp == nil {
-		h.givenUp = map[ashwood.ServerID]ashwood.Server{}
+	h.uncertain = true
+	if h.abandoned == nil {
+		h.abandoned = map[ashwood.ServerID]ashwood.Server{}
 	}
-	h.givenUp[v.ID] = v
+	h.abandoned[engine.ID] = engine
 }
 
-// addLate notes a writer whose place was answered only after the read. The call
-// may have come there after the answer's first token, which then did not let go
-// of the place: it is let go of by itself once the answer has begun.
-func (h *holds) addLate(v ashwood.Server) {
+// addLateReservation adds a decode engine that answered a reservation call only after the prefill.
+// The call may have arrived there after the first token of the answer, which then did not free
+// the reservation. It is released separately once the answer has begun.
+func (h *requestHolds) addLateReservation(engine ashwood.Server) {
 	h.mu.Lock()
-	begun, doubtful := h.begun, h.inDoubt(v.ID)
-	if !begun {
-		h.late = append(h.late, v)
+	answerBegun, uncertain := h.answerBegun, h.isUncertain(engine.ID)
+	if !answerBegun {
+		h.lateReservations = append(h.lateReservations, engine)
 	}
 	h.mu.Unlock()
-	if begun {
-		h.owner.g.holdLog.began(h.key(v.ID), holdReservation)
-		h.owner.tell(h.id, []ashwood.Server{v}, doubtful)
+	if answerBegun {
+		h.releaser.gateway.holdLog.began(h.key(engine.ID), holdReservation)
+		h.releaser.releaseInBackground(h.id, []ashwood.Server{engine}, uncertain)
 	} else {
-		h.add(v, holdReservation)
+		h.add(engine, holdReservation)
 	}
 }
 
-// begin tells that the answer has begun, with which all else that is held goes. What engines may
-// come to hold later, for attempts and calls that were given up, does not.
-func (h *holds) begin() {
+// markAnswerBegun records the first piece of the answer, with which engines drop all other holds. They do not
+// drop what they may hold later for cancelled attempts and calls, so these engines are sent a release.
+func (h *requestHolds) markAnswerBegun() {
 	h.mu.Lock()
-	late, doubtful, told := h.late, h.doubtful, h.told
-	givenUp := slices.Collect(maps.Values(h.givenUp))
-	h.begun, h.late, h.told, h.out = true, nil, nil, nil
-	h.arm(math.Inf(1), math.Inf(1))
-	taken := slices.Collect(maps.Keys(h.engines))
+	lateReservations, uncertain, unconfirmed := h.lateReservations, h.uncertain, h.unconfirmed
+	abandoned := slices.Collect(maps.Values(h.abandoned))
+	h.answerBegun, h.lateReservations, h.unconfirmed, h.inFlight = true, nil, nil, nil
+	h.armTimer(math.Inf(1), math.Inf(1))
+	holders := slices.Collect(maps.Keys(h.holders))
 	h.mu.Unlock()
-	h.owner.taken(h.id, told)
-	for _, engine := range taken {
-		h.owner.g.holdLog.ended(h.key(engine), metrics.HoldTaken)
+	h.releaser.attemptArrived(h.id, unconfirmed)
+	for _, engine := range holders {
+		h.releaser.gateway.holdLog.ended(h.key(engine), metrics.HoldTaken)
 	}
-	h.owner.tell(h.id, late, doubtful)
-	h.owner.tell(h.id, givenUp, true)
+	h.releaser.releaseInBackground(h.id, lateReservations, uncertain)
+	h.releaser.releaseInBackground(h.id, abandoned, true)
 }
 
-// inDoubt tells whether an engine may see an attempt or a call to end only behind a release, or, where that was given up, read
-// it later: it is told again. The lock is held.
-func (h *holds) inDoubt(engine ashwood.ServerID) bool {
-	_, givenUp := h.givenUp[engine]
-	return h.doubtful || givenUp
+// isUncertain reports whether a release at an engine has to be repeated: the engine may notice the end of an attempt or a
+// call only after the release, or may read a cancelled one later. The caller holds the lock.
+func (h *requestHolds) isUncertain(engine ashwood.ServerID) bool {
+	_, abandoned := h.abandoned[engine]
+	return h.uncertain || abandoned
 }
 
-// take empties the set, for its engines to be told. Those told in doubt while the
-// request went on are told again at its end.
-func (h *holds) take(final bool) (sure, doubtful []ashwood.Server) {
+// takeHolders removes and returns all holders, for a release. The final one includes the engines whose
+// release during the request is unconfirmed.
+func (h *requestHolds) takeHolders(final bool) (certain, uncertain []ashwood.Server) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.over = h.over || final
+	h.finished = h.finished || final
 	if final {
-		h.arm(math.Inf(1), math.Inf(1))
-		for _, v := range h.told {
-			h.engines[v.ID] = v
+		h.armTimer(math.Inf(1), math.Inf(1))
+		for _, engine := range h.unconfirmed {
+			h.holders[engine.ID] = engine
 		}
 	}
-	for id, v := range h.engines {
-		if h.inDoubt(id) {
-			doubtful = append(doubtful, v)
+	for id, engine := range h.holders {
+		if h.isUncertain(id) {
+			uncertain = append(uncertain, engine)
 		} else {
-			sure = append(sure, v)
+			certain = append(certain, engine)
 		}
 	}
-	clear(h.engines)
+	clear(h.holders)
 	if !final {
-		h.told = append(h.told, doubtful...)
-		h.doubtful = false
+		h.unconfirmed = append(h.unconfirmed, uncertain...)
+		h.uncertain = false
 	}
-	return sure, doubtful
+	return certain, uncertain
 }
 
-// release has all engines told that may hold something. While the request goes on,
-// its next send waits a little, so that the release does not overtake it.
-func (h *holds) release(final bool) {
-	sure, doubtful := h.take(final)
+// release sends a release to all holders. While the request is running, release blocks for a
+// short time, so that the release does not overtake the next send.
+func (h *requestHolds) release(final bool) {
+	certain, uncertain := h.takeHolders(final)
 	if final {
-		h.owner.tell(h.id, sure, false)
-		h.owner.tell(h.id, doubtful, true)
+		h.releaser.releaseInBackground(h.id, certain, false)
+		h.releaser.releaseInBackground(h.id, uncertain, true)
 		return
 	}
-	h.settle(sure, doubtful)
-	h.noteUnmade(sure)
+	h.releaseAndWait(certain, uncertain)
+	h.noteUndelivered(certain)
 }
 
-// noteUnmade has engines told again at the request's end that could not be told by now: a release that comes beside the next
-// attempt lets go of nothing that this waits for.
-func (h *holds) noteUnmade(engines []ashwood.Server) {
-	unmade := h.owner.unmade(h.id, engines)
+// noteUndelivered has the engines that have not received their release yet released again at the end of the
+// request: a release that arrives beside the next attempt does not drop what that attempt waits for.
+func (h *requestHolds) noteUndelivered(engines []ashwood.Server) {
+	undelivered := h.releaser.undelivered(h.id, engines)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.told = append(h.told, unmade...)
+	h.unconfirmed = append(h.unconfirmed, undelivered...)
 }
 
-// settle waits a little for the releases at engines, of which some are in doubt.
-func (h *holds) settle(sure, doubtful []ashwood.Server) {
-	var all sync.WaitGroup
-	if len(sure) > 0 {
-		all.Go(h.owner.settle(h.id, sure, false))
+// releaseAndWait releases at engines, some of them uncertain, and waits a short time for the outcome.
+func (h *requestHolds) releaseAndWait(certain, uncertain []ashwood.Server) {
+	var releases sync.WaitGroup
+	if len(certain) > 0 {
+		releases.Go(h.releaser.startRelease(h.id, certain, false))
 	}
-	if len(doubtful) > 0 {
-		all.Go(h.owner.settle(h.id, doubtful, true))
+	if len(uncertain) > 0 {
+		releases.Go(h.releaser.startRelease(h.id, uncertain, true))
 	}
-	all.Wait()
+	releases.Wait()
 }
--- a/gateway/holds_test.go
+++ b/gateway/holds_test.go
@@ -16,18 +16,18 @@
 )
 
 // in plays on a clock that moves only while all else waits.
-func in(t *testing.T, p *peer, play func(*testing.T, *Gateway)) {
+func runInBubble(t *testing.T, p *fakeTransport, play func(*testing.T, *Gateway)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		g := startAt(t, p, SystemClock())
+		g := startGateway(t, p, SystemClock())
 		defer g.Wait() // also where play fails: what is left in the bubble would end the whole process
-		defer g.owner.abandon()
+		defer g.releaser.abandon()
 		play(t, g)
 	})
 }
 
-func held(g *Gateway, id ashwood.RequestID, engines ...ashwood.ServerID) *holds {
-	h := g.owner.holds(id)
+func newTestHolds(g *Gateway, id ashwood.RequestID, engines ...ashwood.ServerID) *requestHolds {
+	h := g.releaser.newHolds(id)
 	for _, id := range engines {
 		h.add(ashwood.Server{ID: id}, holdAttempt)
 	}
@@ -35,21 +35,21 @@
 }
 
 // releasedInDoubt notes an engine at which an attempt was given up, and has it told while the request goes on.
-func (p *peer) releasedInDoubt(t *testing.T, g *Gateway, id ashwood.RequestID, engine ashwood.ServerID) *holds {
+func (p *fakeTransport) releaseUncertain(t *testing.T, g *Gateway, id ashwood.RequestID, engine ashwood.ServerID) *requestHolds {
 	t.Helper()
-	h := held(g, id, engine)
-	h.doubt(ashwood.Server{ID: engine})
+	h := newTestHolds(g, id, engine)
+	h.markAbandoned(ashwood.Server{ID: engine})
 	h.release(false)
-	p.wantNext(t, string(engine))
+	p.wantNextRelease(t, string(engine))
 	return h
 }
 
 // wantNext waits for the next engine told to let go, and gives the time that took.
-func (p *peer) wantNext(t *testing.T, want string) time.Duration {
+func (p *fakeTransport) wantNextRelease(t *testing.T, want string) time.Duration {
 	t.Helper()
 	begun := time.Now()
 	select {
-	case v := <-p.freed:
+	case v := <-p.releasedAt:
 		if v != want {
 			t.Fatalf("%s was told, want %s", v, want)
 		}
@@ -59,28 +59,28 @@
 	return time.Since(begun)
 }
 
-func (p *peer) hear(id ashwood.ServerID) {
+func (p *fakeTransport) makeReachable(id ashwood.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.silent, id)
+	delete(p.silentFor, id)
 }
 
 // A release written to a connection gone silent is made again on a new one, while
 // the other engines have got theirs.
-func TestSilentEngineIsToldOnANewConnection(t *testing.T) {
-	p := &peer{silent: map[ashwood.ServerID]int{"r1": 2}}
-	in(t, p, func(t *testing.T, g *Gateway) {
-		held(g, "q", "r1", "w1").release(true)
-		if d := p.wantNext(t, "w1"); d > 0 {
+func TestRelease_SilentEngineNewConnection(t *testing.T) {
+	p := &fakeTransport{silentFor: map[ashwood.ServerID]int{"r1": 2}}
+	runInBubble(t, p, func(t *testing.T, g *Gateway) {
+		newTestHolds(g, "q", "r1", "w1").release(true)
+		if d := p.wantNextRelease(t, "w1"); d > 0 {
 			t.Errorf("it waited %v for another engine", d)
 		}
-		if d := p.wantNext(t, "r1"); d > 2*(releaseTry+releaseLast)*time.Millisecond {
+		if d := p.wantNextRelease(t, "r1"); d > 2*(releaseCallTimeout+releaseBackoffMax)*time.Millisecond {
 			t.Errorf("told after %v", d)
 		}
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if n := len(p.fresh); n != 4 || p.fresh[0] || p.fresh[1] || !p.fresh[2] || !p.fresh[3] {
-			t.Errorf("calls on new connections: %v", p.fresh)
+		if n := len(p.freshConnections); n != 4 || p.freshConnections[0] || p.freshConnections[1] || !p.freshConnections[2] || !p.freshConnections[3] {
+			t.Errorf("calls on new connections: %v", p.freshConnections)
 		}
 	})
 }
@@ -88,95 +88,95 @@
 // An engine that could not be told while the request went on is not forgotten:
 // neither when it is sent elsewhere nor at its end. Sent there again, it is told
 // at the end alone.
-func TestEngineNotToldIsNotForgotten(t *testing.T) {
+func TestRelease_PendingAfterUnansweredCall(t *testing.T) {
 	for _, back := range []bool{false, true} {
-		p := &peer{silent: map[ashwood.ServerID]int{"r1": 1e6}}
-		in(t, p, func(t *testing.T, g *Gateway) {
-			h, begun := held(g, "q", "r1", "w1"), time.Now()
+		p := &fakeTransport{silentFor: map[ashwood.ServerID]int{"r1": 1e6}}
+		runInBubble(t, p, func(t *testing.T, g *Gateway) {
+			h, begun := newTestHolds(g, "q", "r1", "w1"), time.Now()
 			h.release(false)
-			p.wantNext(t, "w1")
-			if d := time.Since(begun); d > releaseWait*time.Millisecond {
+			p.wantNextRelease(t, "w1")
+			if d := time.Since(begun); d > holderTimeout*time.Millisecond {
 				t.Errorf("the request waited %v", d)
 			}
 			if back {
 				h.add(ashwood.Server{ID: "r1"}, holdAttempt)
 			}
-			p.hear("r1")
+			p.makeReachable("r1")
 			if !back {
-				p.wantNext(t, "r1")
+				p.wantNextRelease(t, "r1")
 				return
 			}
 			time.Sleep(time.Second)
-			if len(p.freed) > 0 {
+			if len(p.releasedAt) > 0 {
 				t.Error("a release has overtaken what was sent after it")
 			}
 			h.release(true)
-			p.wantNext(t, "r1")
+			p.wantNextRelease(t, "r1")
 		})
 	}
 }
 
 // Where no engine that holds can be told in time, one that is heard is told, as a
 // call releases at whatever engine; theirs stays owed. Where one could, none is.
-func TestHeardEngineIsToldForSilentOnes(t *testing.T) {
-	p := &peer{silent: map[ashwood.ServerID]int{"r1": 1e6, "w1": 1e6}}
-	in(t, p, func(t *testing.T, g *Gateway) {
+func TestRelease_SubstituteForSilentHolders(t *testing.T) {
+	p := &fakeTransport{silentFor: map[ashwood.ServerID]int{"r1": 1e6, "w1": 1e6}}
+	runInBubble(t, p, func(t *testing.T, g *Gateway) {
 		for _, id := range []ashwood.ServerID{"w3", "w2"} {
 			v := ashwood.Server{ID: id, Kind: "w", Zone: "another", State: ashwood.StateOn}
 			g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{v})
-			g.owner.heard(v)
+			g.releaser.engineAnswered(v)
 		}
-		held(g, "q", "r1", "w1").release(true)
-		if d := p.wantNext(t, "w2"); d > releaseWait*time.Millisecond {
+		newTestHolds(g, "q", "r1", "w1").release(true)
+		if d := p.wantNextRelease(t, "w2"); d > holderTimeout*time.Millisecond {
 			t.Errorf("told after %v", d)
 		}
-		p.hear("r1")
-		p.wantNext(t, "r1")
-		held(g, "another", "r1", "w1").release(true)
-		p.wantNext(t, "r1")
+		p.makeReachable("r1")
+		p.wantNextRelease(t, "r1")
+		newTestHolds(g, "another", "r1", "w1").release(true)
+		p.wantNextRelease(t, "r1")
 		time.Sleep(time.Second)
-		if len(p.freed) > 0 {
-			t.Errorf("%s was told for no reason", <-p.freed)
+		if len(p.releasedAt) > 0 {
+			t.Errorf("%s was told for no reason", <-p.releasedAt)
 		}
 	})
 }
 
 // Engines heard before a cut may all be behind it: other zones are asked next, this
 // gateway's own first, though nothing was heard from there.
-func TestEnginesOfOtherZonesAreToldNext(t *testing.T) {
-	p := &peer{silent: map[ashwood.ServerID]int{"r1": 1e6}}
-	in(t, p, func(t *testing.T, g *Gateway) {
-		g.owner.zone = "home"
+func TestRelease_SubstituteInOtherZone(t *testing.T) {
+	p := &fakeTransport{silentFor: map[ashwood.ServerID]int{"r1": 1e6}}
+	runInBubble(t, p, func(t *testing.T, g *Gateway) {
+		g.releaser.zone = "home"
 		for i, zone := range []string{"cut", "cut", "cut", "off", "home"} {
 			v := ashwood.Server{ID: ashwood.ServerID(fmt.Sprint("w", i+2)), Kind: "w", Zone: zone, State: ashwood.StateOn}
 			g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{v})
 			if zone != "home" {
-				p.silent[v.ID] = 1e6
-				g.owner.heard(v)
+				p.silentFor[v.ID] = 1e6
+				g.releaser.engineAnswered(v)
 			}
 		}
 		g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{{ID: "w1", Kind: "w", State: ashwood.StateOff}})
-		h := held(g, "q")
+		h := newTestHolds(g, "q")
 		h.add(ashwood.Server{ID: "r1", Zone: "cut"}, holdAttempt)
 		h.release(true)
-		if d := p.wantNext(t, "w6"); d > 2*releaseWait*time.Millisecond {
+		if d := p.wantNextRelease(t, "w6"); d > 2*holderTimeout*time.Millisecond {
 			t.Errorf("told after %v", d)
 		}
 	})
 }
 
 // The time of what is held runs on in the middle of a connect that does not come up.
-func TestStateIsLetGoInMidConnect(t *testing.T) {
-	p := &peer{place: ReserveNotSent, answers: map[ashwood.ServerID][]AttemptResult{
-		"r1": {answer(ashwood.Parsed)}, "w1": {answer(ashwood.NoConnection)}}}
-	in(t, p, func(t *testing.T, g *Gateway) {
-		p.before = func(v ashwood.Server) {
+func TestServe_KVStateReleasedDuringConnect(t *testing.T) {
+	p := &fakeTransport{reserveResult: ReserveNotSent, results: map[ashwood.ServerID][]AttemptResult{
+		"r1": {resultOf(ashwood.Parsed)}, "w1": {resultOf(ashwood.NoConnection)}}}
+	runInBubble(t, p, func(t *testing.T, g *Gateway) {
+		p.beforeWrite = func(v ashwood.Server) {
 			if v.ID == "w1" {
 				time.Sleep(700 * time.Millisecond)
 			}
 		}
 		go g.Serve(t.Context(), request("chat"))
-		if d := p.wantNext(t, "r1"); d != 500*time.Millisecond {
+		if d := p.wantNextRelease(t, "r1"); d != 500*time.Millisecond {
 			t.Errorf("let go of after %v", d)
 		}
 		time.Sleep(10 * time.Second)
@@ -185,31 +185,31 @@
 
 // A place whose answer comes after the request's end is let go of then, and no
 // other engine's release has waited for it.
-func TestPlaceAnsweredAfterTheEnd(t *testing.T) {
-	p := &peer{}
-	in(t, p, func(t *testing.T, g *Gateway) {
-		h := held(g, "q", "r1")
+func TestHolds_ReservationAnsweredAfterEnd(t *testing.T) {
+	p := &fakeTransport{}
+	runInBubble(t, p, func(t *testing.T, g *Gateway) {
+		h := newTestHolds(g, "q", "r1")
 		h.release(true)
-		p.wantNext(t, "r1")
-		h.addLate(ashwood.Server{ID: "w1"})
-		p.wantNext(t, "w1")
+		p.wantNextRelease(t, "r1")
+		h.addLateReservation(ashwood.Server{ID: "w1"})
+		p.wantNextRelease(t, "w1")
 	})
 }
 
 // A place that a silent writer may hold, known of only after the answer has begun or
 // ended, is let go of by way of another engine like any other.
-func TestLatePlaceAtASilentWriter(t *testing.T) {
-	for name, late := range map[string]func(*holds, ashwood.Server){
-		"told after the begin": func(h *holds, v ashwood.Server) { h.begin(); h.addLate(v) },
-		"told before it":       func(h *holds, v ashwood.Server) { h.addLate(v); h.begin() },
-		"told after the end":   func(h *holds, v ashwood.Server) { h.release(true); h.add(v, holdReservation) },
+func TestHolds_LateReservationAtSilentEngine(t *testing.T) {
+	for name, late := range map[string]func(*requestHolds, ashwood.Server){
+		"told after the begin": func(h *requestHolds, v ashwood.Server) { h.markAnswerBegun(); h.addLateReservation(v) },
+		"told before it":       func(h *requestHolds, v ashwood.Server) { h.addLateReservation(v); h.markAnswerBegun() },
+		"told after the end":   func(h *requestHolds, v ashwood.Server) { h.release(true); h.add(v, holdReservation) },
 	} {
-		p := &peer{silent: map[ashwood.ServerID]int{"w1": 1e6}}
-		in(t, p, func(t *testing.T, g *Gateway) {
+		p := &fakeTransport{silentFor: map[ashwood.ServerID]int{"w1": 1e6}}
+		runInBubble(t, p, func(t *testing.T, g *Gateway) {
 			v := ashwood.Server{ID: "w2", Kind: "w", Zone: "another", State: ashwood.StateOn}
 			g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{v, {ID: "r1", Kind: "r", State: ashwood.StateOff}})
-			late(held(g, "q"), ashwood.Server{ID: "w1"})
-			if d := p.wantNext(t, "w2"); d > releaseWait*time.Millisecond {
+			late(newTestHolds(g, "q"), ashwood.Server{ID: "w1"})
+			if d := p.wantNextRelease(t, "w2"); d > holderTimeout*time.Millisecond {
 				t.Errorf("%s: after %v", name, d)
 			}
 		})
@@ -219,7 +219,7 @@
 // An engine may see that an attempt was given up only after the release, which then
 // lets go of nothing: it is told again, and once more. After an attempt that it has
 // answered it is told once; told in doubt while the request went on, again at its end.
-func TestDoubtfulReleaseIsMadeAgain(t *testing.T) {
+func TestRelease_UncertainIsRepeated(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		class string
@@ -227,32 +227,32 @@
 		want  map[string]int
 	}{
 		{"given up", "order", nil, map[string]int{"r1": 4, "w1": 3}}, // r1 once more while the attempt is out
-		{"connection lost", "order", []AttemptResult{answer(ashwood.ConnectionLost)}, map[string]int{"r1": 3, "w1": 3}},
-		{"answered", "order", []AttemptResult{answer(ashwood.ServerError)}, map[string]int{"r1": 1, "w1": 1}},
+		{"connection lost", "order", []AttemptResult{resultOf(ashwood.ConnectionLost)}, map[string]int{"r1": 3, "w1": 3}},
+		{"answered", "order", []AttemptResult{resultOf(ashwood.ServerError)}, map[string]int{"r1": 1, "w1": 1}},
 	} {
-		p := &peer{place: ReserveNotSent, answers: map[ashwood.ServerID][]AttemptResult{"r1": {answer(ashwood.Parsed)}, "w1": tt.w1}}
-		in(t, p, func(t *testing.T, g *Gateway) {
+		p := &fakeTransport{reserveResult: ReserveNotSent, results: map[ashwood.ServerID][]AttemptResult{"r1": {resultOf(ashwood.Parsed)}, "w1": tt.w1}}
+		runInBubble(t, p, func(t *testing.T, g *Gateway) {
 			serve(t, g, t.Context(), tt.class)
-			time.Sleep((releaseWait + againFirst + againNext) * time.Millisecond)
+			time.Sleep((holderTimeout + firstRepeatDelay + secondRepeatDelay) * time.Millisecond)
 			got := map[string]int{}
-			for len(p.freed) > 0 {
-				got[<-p.freed]++
+			for len(p.releasedAt) > 0 {
+				got[<-p.releasedAt]++
 			}
 			if diff := cmp.Diff(tt.want, got); diff != "" {
 				t.Errorf("%s: %s", tt.name, diff)
 			}
 		})
 	}
-	p := &peer{}
-	in(t, p, func(t *testing.T, g *Gateway) {
-		h := p.releasedInDoubt(t, g, "q", "r1")
+	p := &fakeTransport{}
+	runInBubble(t, p, func(t *testing.T, g *Gateway) {
+		h := p.releaseUncertain(t, g, "q", "r1")
 		h.add(ashwood.Server{ID: "r2"}, holdAttempt)
 		time.Sleep(time.Second)
-		if len(p.freed) > 0 {
+		if len(p.releasedAt) > 0 {
 			t.Error("told again while what is sent since may be held")
 		}
 		h.release(true)
-		got := []string{<-p.freed, <-p.freed}
+		got := []string{<-p.releasedAt, <-p.releasedAt}
 		slices.Sort(got)
 		if diff := cmp.Diff([]string{"r1", "r2"}, got); diff != "" {
 			t.Errorf("at the end: %s", diff)
@@ -262,9 +262,9 @@
 
 // A read may have ended well as its connection broke: its reader is told. A whole list, as
 // after a reload, takes nothing back of what is owed to an engine that is on it.
-func TestLostReadAndReload(t *testing.T) {
-	p := &peer{place: ReserveNotSent, silent: map[ashwood.ServerID]int{"r1": 1e6}, answers: map[ashwood.ServerID][]AttemptResult{"r1": {answer(ashwood.ConnectionLost)}}}
-	in(t, p, func(t *testing.T, g *Gateway) {
+func TestServe_LostPrefillAndWholeSnapshot(t *testing.T) {
+	p := &fakeTransport{reserveResult: ReserveNotSent, silentFor: map[ashwood.ServerID]int{"r1": 1e6}, results: map[ashwood.ServerID][]AttemptResult{"r1": {resultOf(ashwood.ConnectionLost)}}}
+	runInBubble(t, p, func(t *testing.T, g *Gateway) {
 		ctx, leave := context.WithCancel(t.Context())
 		end := make(chan Reply)
 		go func() {
@@ -278,20 +278,20 @@
 		}
 		g.UpdateMembership(ashwood.ListWhole, []ashwood.Server{{ID: "r1", Kind: "r", State: ashwood.StateOn}})
 		time.Sleep(10 * time.Millisecond) // of the test's clock: the call is out
-		p.hear("r1")
-		p.wantFreed(t, "r1")
+		p.makeReachable("r1")
+		p.wantReleasedAt(t, "r1")
 	})
 }
 
 // At the gateway's end what can't be let go of is given up after releaseStop.
-func TestStopGivesUpWhatNoEngineTakes(t *testing.T) {
-	for answersBy, want := range map[float64]float64{0: releaseStop, 100: releaseStop, 3000: 3000 + releaseRest, 20000: releaseStopMost} {
-		p := &peer{silent: map[ashwood.ServerID]int{"r1": 1e6}}
-		in(t, p, func(t *testing.T, g *Gateway) {
+func TestWait_GivesUpUndeliveredReleases(t *testing.T) {
+	for answersBy, want := range map[float64]float64{0: releaseShutdownTimeout, 100: releaseShutdownTimeout, 3000: 3000 + releaseShutdownGrace, 20000: releaseShutdownMax} {
+		p := &fakeTransport{silentFor: map[ashwood.ServerID]int{"r1": 1e6}}
+		runInBubble(t, p, func(t *testing.T, g *Gateway) {
 			if answersBy > 0 {
 				g.SetAnswerDeadline(g.clock.Now() + answersBy)
 			}
-			held(g, "q", "r1").release(true)
+			newTestHolds(g, "q", "r1").release(true)
 			begun := time.Now()
 			g.Wait()
 			if d := time.Since(begun); d != time.Duration(want)*time.Millisecond {
@@ -303,16 +303,16 @@
 
 // An answer that brought one event and no more has stopped where its engine says
 // that nothing waits there; one whose work waits may hang, and is waited for.
-func TestStoppedAnswerIsToldFromAHang(t *testing.T) {
-	for waits, want := range map[float64]time.Duration{0: stopWait + stopLook, 5: stallWait} {
-		stalled := &stalls{pieces: pieces{left: []string{"a"}}, waiting: make(chan struct{})}
-		p := &peer{nodes: 300, place: ReserveRefused, load: ashwood.Report{ashwood.ReportQueue: waits, ashwood.ReportInFlight: 9},
-			answers: map[ashwood.ServerID][]AttemptResult{
-				"r1": {answer(ashwood.Parsed)}, "w1": {{Result: ashwood.Result{Status: ashwood.Served}, Stream: stalled}}}}
+func TestStream_StoppedOrHanging(t *testing.T) {
+	for waits, want := range map[float64]time.Duration{0: stallSuspectAfter + stallCheckInterval, 5: stallTimeout} {
+		stalled := &hangingStream{pieceStream: pieceStream{remaining: []string{"a"}}, hanging: make(chan struct{})}
+		p := &fakeTransport{gatewayCount: 300, reserveResult: ReserveRefused, loadReport: ashwood.Report{ashwood.ReportQueue: waits, ashwood.ReportInFlight: 9},
+			results: map[ashwood.ServerID][]AttemptResult{
+				"r1": {resultOf(ashwood.Parsed)}, "w1": {{Result: ashwood.Result{Status: ashwood.Served}, Stream: stalled}}}}
 		synctest.Test(t, func(t *testing.T) {
-			g := startAt(t, p, SystemClock())
+			g := startGateway(t, p, SystemClock())
 			p.probed = make(chan string, 99)
-			stalled.waiting = make(chan struct{})
+			stalled.hanging = make(chan struct{})
 			r := serve(t, g, t.Context(), "chat")
 			if piece, err := r.Stream.Next(); string(piece) != "a" || err != nil {
 				t.Fatal(string(piece), err)
@@ -332,14 +332,14 @@
 
 // A place call that comes to its writer after the answer's first token holds a
 // place that this token did not let go of.
-func TestLatePlaceIsLetGo(t *testing.T) {
+func TestServe_LateReservationReleased(t *testing.T) {
 	for _, place := range []ReserveResult{ReserveHeld, ReserveUnknown} {
-		p := &peer{place: place, answer: make(chan struct{}), answers: map[ashwood.ServerID][]AttemptResult{
-			"r1": {answer(ashwood.Parsed)}, "w1": {streams(io.EOF, "a")}}}
-		g, _ := start(t, p)
+		p := &fakeTransport{reserveResult: place, reserveGate: make(chan struct{}), results: map[ashwood.ServerID][]AttemptResult{
+			"r1": {resultOf(ashwood.Parsed)}, "w1": {streamResult(io.EOF, "a")}}}
+		g, _ := startManualClock(t, p)
 		r := serve(t, g, context.Background(), "chat")
-		close(p.answer)
-		p.wantFreed(t, "w1")
+		close(p.reserveGate)
+		p.wantReleasedAt(t, "w1")
 		r.Stream.Close()
 	}
 }
--- a/gateway/liveness.go
+++ b/gateway/liveness.go
@@ -7,12 +7,12 @@
 	"ashwood.example/ashwood"
 )
 
-// silentAfter is how many calls in a row an engine leaves without an answer until operators are
-// told that it is silent: a single one may be a lost packet or a busy moment.
-const silentAfter = 3
+// silentThreshold is the number of unanswered calls in a row after which an engine is logged as
+// silent: a single one may be due to a lost packet or a busy moment.
+const silentThreshold = 3
 
-// liveness tells operators which engines have gone silent, and when they are heard again. It
-// decides nothing. It holds an entry for each engine that owes an answer, and for no other.
+// liveness logs which engines stop answering and when they answer again. It decides nothing.
+// It keeps an entry only for engines that left their last call unanswered.
 type liveness struct {
 	log   *slog.Logger
 	clock Clock
@@ -21,28 +21,28 @@
 	engines map[ashwood.ServerID]*missedAnswers
 }
 
-// missedAnswers are the calls in a row that an engine has left without an answer.
+// missedAnswers counts the calls in a row that an engine has not answered.
 type missedAnswers struct {
 	count int
 	since float64 // when the first of them ended
 }
 
-func newLiveness(log *slog.Logger, c Clock) *liveness {
-	return &liveness{log: log, clock: c, engines: map[ashwood.ServerID]*missedAnswers{}}
+func newLiveness(log *slog.Logger, clock Clock) *liveness {
+	return &liveness{log: log, clock: clock, engines: map[ashwood.ServerID]*missedAnswers{}}
 }
 
-// answered notes that an engine has sent something back.
+// answered records that an engine has sent something back.
 func (l *liveness) answered(id ashwood.ServerID) {
 	l.mu.Lock()
 	missed := l.engines[id]
 	delete(l.engines, id)
 	l.mu.Unlock()
-	if missed != nil && missed.count >= silentAfter {
-		l.log.Info("engine heard again", "engine", id, "unanswered", missed.count, "silent_ms", l.clock.Now()-missed.since)
+	if missed != nil && missed.count >= silentThreshold {
+		l.log.Info("engine answers again", "engine", id, "unanswered", missed.count, "silent_ms", l.clock.Now()-missed.since)
 	}
 }
 
-// unanswered notes a call of some kind that an engine has left without an answer.
+// unanswered records a call that an engine has not answered; call names its kind.
 func (l *liveness) unanswered(id ashwood.ServerID, call string) {
 	now := l.clock.Now()
 	l.mu.Lock()
@@ -54,12 +54,12 @@
 	missed.count++
 	count, since := missed.count, missed.since
 	l.mu.Unlock()
-	if count == silentAfter {
+	if count == silentThreshold {
 		l.log.Warn("engine silent", "engine", id, "unanswered", count, "ms", now-since, "last_call", call)
 	}
 }
 
-// forget drops an engine that has left the list.
+// forget drops an engine that has left the membership.
 func (l *liveness) forget(id ashwood.ServerID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/liveness_test.go
+++ b/gateway/liveness_test.go
@@ -15,17 +15,17 @@
 
 // At the usual level an operator sees an engine go silent and come back, once each, whatever
 // number of calls it leaves without an answer, and nothing of one that misses a single one.
-func TestLiveness_SilentAndHeardAgain(t *testing.T) {
+func TestLiveness_SilentThenAnswering(t *testing.T) {
 	var text bytes.Buffer
 	l := newLiveness(slog.New(slog.NewTextHandler(&text, nil)), clock.NewManual(0))
 	l.unanswered("once", "probe")
 	l.answered("once")
-	for range 5 * silentAfter {
+	for range 5 * silentThreshold {
 		l.unanswered("w1", "attempt")
 	}
 	l.answered("w1")
 	l.answered("w1")
-	for line, want := range map[string]int{"engine silent": 1, "engine heard again": 1, "engine=w1": 2, "once": 0} {
+	for line, want := range map[string]int{"engine silent": 1, "engine answers again": 1, "engine=w1": 2, "once": 0} {
 		if got := strings.Count(text.String(), line); got != want {
 			t.Errorf("%q is logged %d times, want %d:\n%s", line, got, want, text.String())
 		}
@@ -38,32 +38,32 @@
 // Guards against taking a failure of this machine, a want of sockets, for the silence of an engine: it was told to operators, and the engine
 // was not told first in place of others any more.
 func TestLiveness_LocalFailures(t *testing.T) {
-	p := &peer{local: 4 * silentAfter}
-	in(t, p, func(t *testing.T, g *Gateway) {
-		p.freed = make(chan string, 9)
+	p := &fakeTransport{localFailures: 4 * silentThreshold}
+	runInBubble(t, p, func(t *testing.T, g *Gateway) {
+		p.releasedAt = make(chan string, 9)
 		w1 := ashwood.Server{ID: "w1", Kind: "w", State: ashwood.StateOn}
 		g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{w1})
-		g.owner.heard(w1)
-		for range silentAfter {
-			g.ask(w1, probeWait)
+		g.releaser.engineAnswered(w1)
+		for range silentThreshold {
+			g.probeWithin(w1, probeTimeout)
 		}
-		held(g, "q", "w1").release(true)
+		newTestHolds(g, "q", "w1").release(true)
 		time.Sleep(10 * time.Second)
-		if told := p.toldSoFar(); told["w1"] == 0 {
+		if told := p.drainReleaseCounts(); told["w1"] == 0 {
 			t.Errorf("told once this machine could: %v", told)
 		}
-		g.live.mu.Lock()
-		defer g.live.mu.Unlock()
-		g.owner.mu.Lock()
-		defer g.owner.mu.Unlock()
-		if len(g.live.engines) > 0 || len(g.owner.recent) != 1 {
-			t.Errorf("taken for silent: %v; heard last: %v", g.live.engines, g.owner.recent)
+		g.liveness.mu.Lock()
+		defer g.liveness.mu.Unlock()
+		g.releaser.mu.Lock()
+		defer g.releaser.mu.Unlock()
+		if len(g.liveness.engines) > 0 || len(g.releaser.recentlyAnswered) != 1 {
+			t.Errorf("taken for silent: %v; heard last: %v", g.liveness.engines, g.releaser.recentlyAnswered)
 		}
 	})
 }
 
 // A hold is counted from its begin to its end, with the age of the oldest, and ends once.
-func TestHoldLog_Figures(t *testing.T) {
+func TestHoldLog_Gauges(t *testing.T) {
 	c, set := clock.NewManual(0), metrics.New(nil)
 	l := newHoldLog(slog.New(slog.DiscardHandler), c, set)
 	key := func(id string) release.Key { return release.Key{Engine: "r1", Request: ashwood.RequestID(id)} }
@@ -71,12 +71,12 @@
 	c.Advance(300)
 	l.began(key("b"), holdReservation)
 	l.began(key("a"), holdReservation) // it is held already
-	if open, oldest := l.figures(); open != 2 || oldest != 300 {
+	if open, oldest := l.gauges(); open != 2 || oldest != 300 {
 		t.Errorf("%d holds, the oldest for %v ms", open, oldest)
 	}
 	l.ended(key("a"), metrics.HoldTaken)
 	l.ended(key("a"), metrics.HoldReleased)
-	if open, oldest := l.figures(); open != 1 || oldest != 0 {
+	if open, oldest := l.gauges(); open != 1 || oldest != 0 {
 		t.Errorf("%d holds, the oldest for %v ms", open, oldest)
 	}
 	var text strings.Builder
--- a/gateway/others.go
+++ b/gateway/others.go
@@ -11,69 +11,69 @@
 	"ashwood.example/ashwood/internal/release"
 )
 
-// This file is where others are told in place of engines that can't be reached.
+// This file releases at substitutes: other engines that take a release in place of holders that cannot be reached.
 
-// tell owes a release to engines and sees to it beside the request.
-func (o *owner) tell(id ashwood.RequestID, engines []ashwood.Server, doubtful bool) {
+// releaseInBackground releases at engines without blocking the request.
+func (r *releaser) releaseInBackground(id ashwood.RequestID, engines []ashwood.Server, uncertain bool) {
 	if len(engines) > 0 {
-		o.g.spawn(o.settle(id, engines, doubtful))
+		r.gateway.runInBackground(r.startRelease(id, engines, uncertain))
 	}
 }
 
-// settle owes a release to engines. What it gives is to be called, and returns once
-// they have all got it or one of them is too slow. As the protocol has it, a call releases what is held at
-// whatever engine: where none of them could be told in time, others are told in
-// their place, and theirs stays owed.
-func (o *owner) settle(id ashwood.RequestID, engines []ashwood.Server, doubtful bool) (wait func()) {
-	ends, slow := make(chan release.End, len(engines)), make(chan struct{})
-	patience := float64(releaseWait)
-	if o.failing(engines) {
-		patience = 0
+// startRelease enqueues a release at engines. The caller must call the returned function, which waits until
+// the release was delivered or holderTimeout has passed. By the protocol, a call at any engine releases
+// what all engines hold: if none of these could be reached in time, substitutes are tried, and
+// the releases at the engines themselves stay pending.
+func (r *releaser) startRelease(id ashwood.RequestID, engines []ashwood.Server, uncertain bool) (wait func()) {
+	ends, timedOut := make(chan release.End, len(engines)), make(chan struct{})
+	timeout := float64(holderTimeout)
+	if r.allFailing(engines) {
+		timeout = 0
 	}
-	stop := o.g.clock.AfterFunc(patience, func() { close(slow) })
-	o.owe(id, engines, doubtful, func(end release.End) { ends <- end })
+	stop := r.gateway.clock.AfterFunc(timeout, func() { close(timedOut) })
+	r.enqueue(id, engines, uncertain, func(end release.End) { ends <- end })
 	return func() {
 		defer stop()
-		o.awaitReleases(id, engines, ends, slow)
+		r.awaitReleases(id, engines, ends, timedOut)
 	}
 }
 
-// awaitReleases waits for releases, and has other engines told if they are too slow.
-func (o *owner) awaitReleases(id ashwood.RequestID, engines []ashwood.Server, ends <-chan release.End, slow <-chan struct{}) {
-	told, open := false, len(engines)
-	for waiting := true; waiting && open > 0; {
+// awaitReleases waits for releases and, if they time out, releases at substitutes.
+func (r *releaser) awaitReleases(id ashwood.RequestID, engines []ashwood.Server, ends <-chan release.End, timedOut <-chan struct{}) {
+	delivered, pending := false, len(engines)
+	for waiting := true; waiting && pending > 0; {
 		select {
 		case end := <-ends:
-			told = told || counts(end)
-			open--
-		case <-slow:
+			delivered = delivered || isConclusive(end)
+			pending--
+		case <-timedOut:
 			waiting = false
 		}
 	}
-	if told || open == 0 || anyCounts(ends) {
+	if delivered || pending == 0 || anyConclusive(ends) {
 		return
 	}
-	anyTold, unanswered := o.tellOthers(id, engines, ends)
-	if anyTold {
+	taken, unanswered := r.releaseAtSubstitutes(id, engines, ends)
+	if taken {
 		return
 	}
-	o.mu.Lock()
-	if !anyCounts(ends) && slices.ContainsFunc(engines, func(v ashwood.Server) bool { return o.ledger.Unmade(release.Key{Engine: v.ID, Request: id}) }) {
-		o.waitForOthers(id, unanswered)
+	r.mu.Lock()
+	if !anyConclusive(ends) && slices.ContainsFunc(engines, func(engine ashwood.Server) bool { return r.ledger.Unmade(release.Key{Engine: engine.ID, Request: id}) }) {
+		r.enqueueFallback(id, unanswered)
 	}
-	o.act()
+	r.dispatchAndUnlock()
 }
 
-// counts tells whether a release with such an end has let go of what all engines hold, or need not any more. One that has started
-// anew holds nothing itself; others may.
-func counts(end release.End) bool { return end == release.Made || end == release.Withdrawn }
+// isConclusive reports whether after such an end nothing is left to release at any engine. The end of an engine that
+// restarted is not conclusive: it holds nothing itself, but others may.
+func isConclusive(end release.End) bool { return end == release.Made || end == release.Withdrawn }
 
-// anyCounts looks at the ends of releases so far.
-func anyCounts(ends <-chan release.End) bool {
+// anyConclusive reports whether one of the releases that have ended so far is conclusive.
+func anyConclusive(ends <-chan release.End) bool {
 	for {
 		select {
 		case end := <-ends:
-			if counts(end) {
+			if isConclusive(end) {
 				return true
 			}
 		default:
@@ -82,83 +82,84 @@
 	}
 }
 
-// tellOthers has some engines told in place of these, and tells whether any of all has been; if not, it gives the
-// others that it was written to without an answer. While others are being searched for anyway, it leaves the request to that.
-func (o *owner) tellOthers(id ashwood.RequestID, engines []ashwood.Server, ends <-chan release.End) (told bool, unanswered []ashwood.ServerID) {
-	not, silent := map[ashwood.ServerID]bool{}, map[string]bool{}
-	ask := engines
-	for n := 0; n < rounds && !o.searching(); n++ {
-		for _, v := range ask {
-			not[v.ID], silent[v.Zone] = true, true
+// releaseAtSubstitutes releases at a few substitutes and reports whether any engine, a holder included, has taken the
+// release. If none has, it returns the substitutes to which the call was written without an answer. While a search for any
+// answering engine is under way, it leaves the request to that search.
+func (r *releaser) releaseAtSubstitutes(id ashwood.RequestID, engines []ashwood.Server, ends <-chan release.End) (delivered bool, unanswered []ashwood.ServerID) {
+	excluded, silentZones := map[ashwood.ServerID]bool{}, map[string]bool{}
+	targets := engines
+	for round := 0; round < substituteRounds && !r.searching(); round++ {
+		for _, engine := range targets {
+			excluded[engine.ID], silentZones[engine.Zone] = true, true
 		}
-		ask = o.substitutes(atATime, not, silent)
-		errs := make([]error, len(ask))
-		var all sync.WaitGroup
-		for i, v := range ask {
-			all.Go(func() {
+		targets = r.substitutes(substitutesPerRound, excluded, silentZones)
+		errs := make([]error, len(targets))
+		var calls sync.WaitGroup
+		for i, engine := range targets {
+			calls.Go(func() {
 				ctx, cancel := context.WithCancelCause(context.Background())
-				errs[i] = o.try(ctx, cancel, v, id, n, releaseWait)
+				errs[i] = r.callRelease(ctx, cancel, engine, id, round, holderTimeout)
 			})
 		}
-		all.Wait()
-		if anyCounts(ends) || slices.Contains(errs, nil) {
+		calls.Wait()
+		if anyConclusive(ends) || slices.Contains(errs, nil) {
 			return true, nil
 		}
 		for i, err := range errs {
 			if errors.Is(err, ErrUnanswered) {
-				unanswered = append(unanswered, ask[i].ID)
+				unanswered = append(unanswered, targets[i].ID)
 			}
 		}
-		if len(ask) == 0 {
+		if len(targets) == 0 {
 			break
 		}
 	}
 	return false, unanswered
 }
 
-// substitutes gives up to n engines to be told in place of those, no two of a zone
-// if there are several: the ones heard last, in zones of which none has failed to
-// answer, and then any others there, this gateway's own zone first.
-func (o *owner) substitutes(n int, not map[ashwood.ServerID]bool, silent map[string]bool) (found []ashwood.Server) {
+// substitutes returns up to limit engines that are not excluded, at most one per zone. It prefers engines that
+// answered last, in zones without a silent engine, then any other engines in such zones, this gateway's own
+// zone first. Only if there are none, it takes engines in any zone.
+func (r *releaser) substitutes(limit int, excluded map[ashwood.ServerID]bool, silentZones map[string]bool) (found []ashwood.Server) {
 	var recent, rest []ashwood.Server
-	o.mu.Lock()
-	for _, v := range o.recent {
-		if _, ok := o.listed[v.ID]; ok && !o.ledger.Failing(v.ID) {
-			recent = append(recent, v)
+	r.mu.Lock()
+	for _, engine := range r.recentlyAnswered {
+		if _, ok := r.listed[engine.ID]; ok && !r.ledger.Failing(engine.ID) {
+			recent = append(recent, engine)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(o.listed)) {
-		if !o.ledger.Failing(id) {
-			rest = append(rest, o.listed[id])
+	for _, id := range slices.Sorted(maps.Keys(r.listed)) {
+		if !r.ledger.Failing(id) {
+			rest = append(rest, r.listed[id])
 		}
 	}
-	o.rand.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
-	o.mu.Unlock()
+	r.rand.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
+	r.mu.Unlock()
 	slices.SortStableFunc(rest, func(a, b ashwood.Server) int {
-		near := map[bool]int{true: 0, false: 1}
-		return near[a.Zone == o.zone] - near[b.Zone == o.zone]
+		rank := map[bool]int{true: 0, false: 1}
+		return rank[a.Zone == r.zone] - rank[b.Zone == r.zone]
 	})
-	used := map[string]bool{}
+	usedZones := map[string]bool{}
 	for _, pass := range []struct {
-		from     []ashwood.Server
-		anywhere bool
+		from    []ashwood.Server
+		anyZone bool
 	}{{recent, false}, {rest, false}, {recent, true}, {rest, true}} {
-		if pass.anywhere && len(found) > 0 {
+		if pass.anyZone && len(found) > 0 {
 			break
 		}
-		for _, v := range pass.from {
-			if len(found) < n && !not[v.ID] && (pass.anywhere || !silent[v.Zone] && !used[v.Zone]) {
-				found = append(found, v)
-				not[v.ID], used[v.Zone] = true, true
+		for _, engine := range pass.from {
+			if len(found) < limit && !excluded[engine.ID] && (pass.anyZone || !silentZones[engine.Zone] && !usedZones[engine.Zone]) {
+				found = append(found, engine)
+				excluded[engine.ID], usedZones[engine.Zone] = true, true
 			}
 		}
 	}
 	return found
 }
 
-// failing tells whether none of these engines took the last call.
-func (o *owner) failing(engines []ashwood.Server) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return !slices.ContainsFunc(engines, func(v ashwood.Server) bool { return !o.ledger.Failing(v.ID) })
+// allFailing reports whether the last call to each of these engines failed.
+func (r *releaser) allFailing(engines []ashwood.Server) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return !slices.ContainsFunc(engines, func(engine ashwood.Server) bool { return !r.ledger.Failing(engine.ID) })
 }
--- a/gateway/owner.go
+++ b/gateway/owner.go
@@ -14,190 +14,192 @@
 	"ashwood.example/ashwood/internal/release"
 )
 
-// Times of releases, in milliseconds, and their bounds. The rule on what is held
-// gives 500 ms and a little more (see docs/design/release.md).
+// Times of releases, in milliseconds, and limits. The release rule allows 500 ms and a small margin
+// (see docs/design/release.md).
 const (
-	releaseWait     = 100   // for the engines that hold, before another is asked as well
-	releaseTry      = 300   // for one call: to connect, and to be answered
-	releaseFirst    = 50    // from a call that failed to the next at that engine; doubles
-	releaseLast     = 200   // to this, or in a large fleet to releaseEach for each gateway
-	releaseEach     = 1.5   // so that a fleet makes no more than some 700 calls a second at one engine
-	releaseAge      = 60000 // after which an engine that takes no call is taken to be gone
-	releaseStop     = 2000  // for what is owed when the gateway ends
-	releaseStopMost = 3500  // for it at the most: what a process that is told to end has to live
-	releaseRest     = 500   // for it behind the time by which all have their answer: the kill is 700 ms behind that
-	releaseMost     = 8192  // owed at once
-	rounds          = 2     // times that others are told for one request, releaseWait apart, before all are asked in turn
-	atATime         = 2     // of them
-	heardMost       = 32    // engines remembered as heard
-	againFirst      = 150   // from a doubtful release that was made to the next
-	againNext       = 300   // and to the last one, within the rule's time
-	searchEvery     = 400   // at least, from one pass over the engines to the next, while none takes releases
-	searchAtOnce    = 6     // calls of a pass: fewer than the sockets kept for releases, at the smallest limits
+	holderTimeout          = 100   // for the holders to answer, before substitutes are tried as well
+	releaseCallTimeout     = 300   // for one call, including the connect
+	releaseBackoffMin      = 50    // from a failed call to the next one at that engine; doubles
+	releaseBackoffMax      = 200   // maximum of that, or in a large fleet releaseBackoffPerNode times the number of gateways
+	releaseBackoffPerNode  = 1.5   // so that all gateways together make no more than about 700 calls per second to one engine
+	releaseMaxAge          = 60000 // after which an engine that takes no call is assumed to be gone
+	releaseShutdownTimeout = 2000  // for pending releases when the gateway stops
+	releaseShutdownMax     = 3500  // maximum of that: the remaining lifetime of a process that is asked to stop
+	releaseShutdownGrace   = 500   // for pending releases after the answer deadline: the process is killed 700 ms after that
+	maxPendingReleases     = 8192  // for one more, the oldest is given up
+	substituteRounds       = 2     // rounds of substitutes for one request, holderTimeout apart, before all engines are tried in turn
+	substitutesPerRound    = 2
+	maxRecentlyAnswered    = 32  // remembered engines that answered last
+	firstRepeatDelay       = 150 // from an uncertain release that was delivered to its first repeat
+	secondRepeatDelay      = 300 // from there to the second and last repeat, within the time that the release rule allows
+	searchInterval         = 400 // minimum from one pass over all engines to the next, while none takes releases
+	searchConcurrency      = 6   // calls in flight in a pass: fewer than the sockets reserved for releases at the smallest limits
 )
 
-// owner is the one owner of what is held and wanted no more: it makes the calls
-// that its ledger asks for, each beside all others.
-type owner struct {
-	g *Gateway
+// releaser makes all release calls for holds that no request needs any more. Its ledger and its fallback
+// decide which calls are due; calls run concurrently.
+type releaser struct {
+	gateway *Gateway
 
 	mu     sync.Mutex
 	ledger *release.Ledger
-	// fallback holds what no engine has taken, and found the calls out for it.
-	fallback *release.Fallback
-	asked    map[release.FallbackCall]context.CancelCauseFunc
-	ended    map[release.Key][]func(release.End)     // to be called when a release is owed no more
-	calls    map[release.Key]context.CancelCauseFunc // those out
-	recent   []ashwood.Server                        // that have answered, and nothing failed since, the latest first
-	listed   map[ashwood.ServerID]ashwood.Server     // that may be sent to, as last told
-	zone     string                                  // of this gateway
-	rand     *rand.Rand
-	stop     func() bool   // the timer of the next call
-	idle     chan struct{} // closed when nothing is owed and the gateway ends
+	// fallback holds the releases that no engine has taken, and fallbackCalls their calls in flight.
+	fallback         *release.Fallback
+	fallbackCalls    map[release.FallbackCall]context.CancelCauseFunc
+	onEnd            map[release.Key][]func(release.End)     // callbacks for the end of a release
+	holderCalls      map[release.Key]context.CancelCauseFunc // calls in flight that the ledger asked for
+	recentlyAnswered []ashwood.Server                        // engines that have answered and not failed since, the latest first
+	listed           map[ashwood.ServerID]ashwood.Server     // engines that accept new work by the last membership update
+	zone             string                                  // zone of this gateway
+	rand             *rand.Rand
+	stopTimer        func() bool   // stops the timer of the next dispatch
+	idle             chan struct{} // closed when the gateway stops and no release is pending
 }
 
-func newOwner(g *Gateway, set ashwood.Settings, seed int64) *owner {
+func newReleaser(g *Gateway, settings ashwood.Settings, seed int64) *releaser {
 	random := rand.New(rand.NewSource(seed))
-	fleetWait := releaseEach * float64(set.Nodes)
+	backoffForFleet := releaseBackoffPerNode * float64(settings.Nodes)
 	ledger := release.New(release.Config{
-		First: releaseFirst, Last: max(releaseLast, fleetWait), MaxAge: releaseAge, Most: releaseMost,
-		Again: []float64{againFirst, againNext}, Rand: random,
+		First: releaseBackoffMin, Last: max(releaseBackoffMax, backoffForFleet), MaxAge: releaseMaxAge, Most: maxPendingReleases,
+		Again: []float64{firstRepeatDelay, secondRepeatDelay}, Rand: random,
 	})
-	return &owner{
-		g: g, zone: set.Zone, rand: random, listed: map[ashwood.ServerID]ashwood.Server{}, ended: map[release.Key][]func(release.End){},
-		calls: map[release.Key]context.CancelCauseFunc{}, asked: map[release.FallbackCall]context.CancelCauseFunc{}, stop: func() bool { return true },
+	return &releaser{
+		gateway: g, zone: settings.Zone, rand: random, listed: map[ashwood.ServerID]ashwood.Server{}, onEnd: map[release.Key][]func(release.End){},
+		holderCalls: map[release.Key]context.CancelCauseFunc{}, fallbackCalls: map[release.FallbackCall]context.CancelCauseFunc{}, stopTimer: func() bool { return true },
 		ledger: ledger,
 		fallback: release.NewFallback(release.FallbackConfig{
-			AtOnce: searchAtOnce, Every: max(searchEvery, fleetWait), MaxAge: releaseAge, Most: releaseMost, Rand: random, Called: ledger.Owes, Owed: ledger.Unmade,
+			AtOnce: searchConcurrency, Every: max(searchInterval, backoffForFleet), MaxAge: releaseMaxAge, Most: maxPendingReleases, Rand: random, Called: ledger.Owes, Owed: ledger.Unmade,
 		}),
 	}
 }
 
-// owe has an engine told, from now on until it has been. ended is called, holding
-// no lock, once that is over. For doubtful, see release.Ledger.Owe.
-func (o *owner) owe(id ashwood.RequestID, engines []ashwood.Server, doubtful bool, ended func(release.End)) {
-	o.mu.Lock()
-	for _, v := range engines {
-		k := release.Key{Engine: v.ID, Request: id}
-		o.ledger.Owe(o.g.clock.Now(), v, id, doubtful)
-		o.ended[k] = append(o.ended[k], ended)
+// enqueue makes a release pending at each of the engines until it has ended. It then calls onEnd
+// without holding a lock. For uncertain, see package release.
+func (r *releaser) enqueue(id ashwood.RequestID, engines []ashwood.Server, uncertain bool, onEnd func(release.End)) {
+	r.mu.Lock()
+	for _, engine := range engines {
+		key := release.Key{Engine: engine.ID, Request: id}
+		r.ledger.Owe(r.gateway.clock.Now(), engine, id, uncertain)
+		r.onEnd[key] = append(r.onEnd[key], onEnd)
 	}
-	o.act()
+	r.dispatchAndUnlock()
 }
 
-// withdraw tells that a request has been sent to an engine, or a place been asked for there.
-func (o *owner) withdraw(id ashwood.RequestID, engine ashwood.ServerID) {
-	k := release.Key{Engine: engine, Request: id}
-	o.mu.Lock()
-	if !o.ledger.Withdraw(o.g.clock.Now(), k) {
-		o.mu.Unlock()
+// withdraw drops the pending release at an engine to which the request is sent again, or which is asked for
+// a reservation.
+func (r *releaser) withdraw(id ashwood.RequestID, engine ashwood.ServerID) {
+	key := release.Key{Engine: engine, Request: id}
+	r.mu.Lock()
+	if !r.ledger.Withdraw(r.gateway.clock.Now(), key) {
+		r.mu.Unlock()
 		return
 	}
-	if cancel := o.calls[k]; cancel != nil {
+	if cancel := r.holderCalls[key]; cancel != nil {
 		cancel(errWithdrawn)
 	}
-	o.act()
+	r.dispatchAndUnlock()
 }
 
-// pauseRepeats has engines that were told in doubt not be told again while an attempt is being written or is on its
-// way, which a release must not overtake. What is written may never arrive: the repeats wait, and go on where the attempt gives
-// no sign. It tells whether any is owed.
-func (o *owner) pauseRepeats(id ashwood.RequestID, told []ashwood.Server, paused bool) (owed bool) {
-	if len(told) == 0 {
+// pauseRepeats holds back the repeats of uncertain releases while an attempt is being written or is on its way, since a
+// release must not overtake it. What is written may never arrive: with paused false the repeats resume if the
+// attempt gives no sign of having arrived. It reports whether any repeat is pending.
+func (r *releaser) pauseRepeats(id ashwood.RequestID, unconfirmed []ashwood.Server, paused bool) (pending bool) {
+	if len(unconfirmed) == 0 {
 		return false
 	}
-	o.mu.Lock()
-	for _, v := range told {
-		k := release.Key{Engine: v.ID, Request: id}
-		if !o.ledger.Pause(k, paused) {
+	r.mu.Lock()
+	for _, engine := range unconfirmed {
+		key := release.Key{Engine: engine.ID, Request: id}
+		if !r.ledger.Pause(key, paused) {
 			continue
 		}
-		owed = true
-		if cancel := o.calls[k]; paused && cancel != nil && !o.ledger.Unmade(k) {
+		pending = true
+		if cancel := r.holderCalls[key]; paused && cancel != nil && !r.ledger.Unmade(key) {
 			cancel(errWithdrawn)
 		}
 	}
-	o.act()
-	return owed
+	r.dispatchAndUnlock()
+	return pending
 }
 
-// errWithdrawn ends a call whose request has been sent to the engine again.
-var errWithdrawn = errors.New("gateway: the request is there again")
+// errWithdrawn cancels a release call whose request has been sent again.
+var errWithdrawn = errors.New("gateway: release withdrawn: the request was sent again")
 
-// update follows the list of engines.
-func (o *owner) update(form ashwood.ListForm, list []ashwood.Server) {
-	o.mu.Lock()
-	now := o.g.clock.Now()
+// updateMembership applies a membership update.
+func (r *releaser) updateMembership(form ashwood.ListForm, engines []ashwood.Server) {
+	r.mu.Lock()
+	now := r.gateway.clock.Now()
 	if form != ashwood.ListPatch {
-		clear(o.listed)
+		clear(r.listed)
 	}
-	for _, v := range list {
-		o.ledger.Started(now, v.ID, clock.Millis(v.Started))
-		if delete(o.listed, v.ID); v.State == ashwood.StateOn {
-			o.listed[v.ID] = v
+	for _, engine := range engines {
+		r.ledger.Started(now, engine.ID, clock.Millis(engine.Started))
+		if delete(r.listed, engine.ID); engine.State == ashwood.StateOn {
+			r.listed[engine.ID] = engine
 		}
-		if v.State == ashwood.StateOff {
-			o.ledger.Left(v.ID)
-			o.fallback.Unreachable(v.ID)
-			o.g.live.forget(v.ID)
+		if engine.State == ashwood.StateOff {
+			r.ledger.Left(engine.ID)
+			r.fallback.Unreachable(engine.ID)
+			r.gateway.liveness.forget(engine.ID)
 		}
 	}
 	if form == ashwood.ListWhole {
-		there := map[ashwood.ServerID]bool{}
-		for _, v := range list {
-			there[v.ID] = true
+		listed := map[ashwood.ServerID]bool{}
+		for _, engine := range engines {
+			listed[engine.ID] = true
 		}
-		o.ledger.Missing(there)
-		o.fallback.Keep(there)
+		r.ledger.Missing(listed)
+		r.fallback.Keep(listed)
 	}
-	o.act()
+	r.dispatchAndUnlock()
 }
 
-// act makes the calls that are due, with the lock held, which it gives back.
-func (o *owner) act() {
-	calls, next := o.ledger.Due(o.g.clock.Now())
-	ended := o.ledger.Ended()
-	var after []func()
-	for _, e := range ended {
-		for _, tell := range o.ended[e.Key] {
-			after = append(after, func() { tell(e.End) })
+// dispatchAndUnlock starts the calls that are due and runs the callbacks of releases that have ended. The caller holds
+// the lock, which it releases.
+func (r *releaser) dispatchAndUnlock() {
+	calls, next := r.ledger.Due(r.gateway.clock.Now())
+	ended := r.ledger.Ended()
+	var callbacks []func()
+	for _, end := range ended {
+		for _, onEnd := range r.onEnd[end.Key] {
+			callbacks = append(callbacks, func() { onEnd(end.End) })
 		}
-		delete(o.ended, e.Key)
-		if e.End == release.Made { // with which all is released, at whatever engine
-			o.dropFallback(e.Request)
+		delete(r.onEnd, end.Key)
+		if end.End == release.Made { // this releases the holds at all engines
+			r.dropFallback(end.Request)
 		}
 	}
-	o.passOnRepeats()
-	next = min(next, o.askOthers())
-	for _, c := range calls {
+	r.moveRepeatsToFallback()
+	next = min(next, r.startFallbackCalls())
+	for _, call := range calls {
 		ctx, cancel := context.WithCancelCause(context.Background())
-		o.calls[c.Key] = cancel
-		o.g.spawn(func() { o.call(ctx, cancel, c) })
+		r.holderCalls[call.Key] = cancel
+		r.gateway.runInBackground(func() { r.callHolder(ctx, cancel, call) })
 	}
-	o.stop()
-	o.stop = func() bool { return true }
+	r.stopTimer()
+	r.stopTimer = func() bool { return true }
 	if !math.IsInf(next, 1) {
-		o.stop = o.g.clock.AfterFunc(next, func() {
-			o.mu.Lock()
-			o.act()
+		r.stopTimer = r.gateway.clock.AfterFunc(next, func() {
+			r.mu.Lock()
+			r.dispatchAndUnlock()
 		})
 	}
-	if o.idle != nil && o.ledger.Len() == 0 {
-		close(o.idle)
-		o.idle = nil
+	if r.idle != nil && r.ledger.Len() == 0 {
+		close(r.idle)
+		r.idle = nil
 	}
-	o.mu.Unlock()
+	r.mu.Unlock()
 	for _, e := range ended {
-		o.report(e)
+		r.recordEnd(e)
 	}
-	for _, f := range after {
-		f()
+	for _, callback := range callbacks {
+		callback()
 	}
 }
 
-// holdEnd is what the end of a release means for what was held.
-func holdEnd(e release.End) metrics.HoldEnd {
-	switch e {
+// holdEndOf translates the end of a release into the end of the hold.
+func holdEndOf(end release.End) metrics.HoldEnd {
+	switch end {
 	case release.Made:
 		return metrics.HoldReleased
 	case release.Withdrawn:
@@ -208,121 +210,121 @@
 	return metrics.HoldGivenUp
 }
 
-// report logs how a release has ended, where not as on any day.
-func (o *owner) report(e release.Ended) {
-	o.g.holdLog.ended(e.Key, holdEnd(e.End))
-	switch e.End {
+// recordEnd logs how a release has ended, as a warning if it was given up.
+func (r *releaser) recordEnd(ended release.Ended) {
+	r.gateway.holdLog.ended(ended.Key, holdEndOf(ended.End))
+	switch ended.End {
 	case release.TooOld, release.Crowded:
-		o.g.log.Warn("release given up", // the engine may go on holding something
-			"id", e.Request, "engine", e.Engine, "why", e.End.String(), "ms", e.Age)
+		r.gateway.log.Warn("release given up", // the engine may continue to hold something
+			"id", ended.Request, "engine", ended.Engine, "why", ended.End.String(), "ms", ended.Age)
 	default:
-		o.g.log.Debug("released", "id", e.Request, "engine", e.Engine, "end", e.End.String(), "ms", e.Age)
+		r.gateway.log.Debug("released", "id", ended.Request, "engine", ended.Engine, "end", ended.End.String(), "ms", ended.Age)
 	}
 }
 
-// call makes one call, bounded in time. One that is ended here tells nothing of its engine.
-func (o *owner) call(ctx context.Context, cancel context.CancelCauseFunc, c release.Call) {
-	err := o.try(ctx, cancel, c.Engine, c.Request, c.Try, releaseTry)
-	o.mu.Lock()
-	delete(o.calls, c.Key)
+// callHolder makes one call that the ledger asked for. A call that is cancelled here says nothing about its engine.
+func (r *releaser) callHolder(ctx context.Context, cancel context.CancelCauseFunc, call release.Call) {
+	err := r.callRelease(ctx, cancel, call.Engine, call.Request, call.Try, releaseCallTimeout)
+	r.mu.Lock()
+	delete(r.holderCalls, call.Key)
 	if err != nil && context.Cause(ctx) == errWithdrawn {
-		o.ledger.Void(c)
+		r.ledger.Void(call)
 	} else {
-		o.ledger.Done(o.g.clock.Now(), c, err == nil)
+		r.ledger.Done(r.gateway.clock.Now(), call, err == nil)
 	}
-	if err == nil && !o.ledger.Unmade(c.Key) { // with which all is released, at whatever engine
-		o.dropFallback(c.Request)
+	if err == nil && !r.ledger.Unmade(call.Key) { // this releases the holds at all engines
+		r.dropFallback(call.Request)
 	}
-	o.act()
+	r.dispatchAndUnlock()
 }
 
-// try makes one call in so many ms at most. Its caller has what is due made behind it.
-func (o *owner) try(ctx context.Context, cancel context.CancelCauseFunc, v ashwood.Server, id ashwood.RequestID, n int, ms float64) error {
+// callRelease makes one release call and cancels it after timeout ms. Its caller must then dispatch the calls that are due.
+func (r *releaser) callRelease(ctx context.Context, cancel context.CancelCauseFunc, engine ashwood.Server, id ashwood.RequestID, try int, timeout float64) error {
 	defer cancel(nil)
-	defer o.g.clock.AfterFunc(ms, func() { cancel(nil) })()
-	begun := o.g.clock.Now()
-	err := o.g.transport.Release(ctx, v, id, n > 0)
+	defer r.gateway.clock.AfterFunc(timeout, func() { cancel(nil) })()
+	startedAt := r.gateway.clock.Now()
+	err := r.gateway.transport.Release(ctx, engine, id, try > 0)
 	if err == nil {
-		o.answered(v)
+		r.noteAnswer(engine)
 	} else if context.Cause(ctx) != errWithdrawn && !errors.Is(err, ErrLocalFailure) {
-		o.unheard(v, "release", errors.Is(err, ErrUnanswered))
+		r.noteUnanswered(engine, "release", errors.Is(err, ErrUnanswered))
 	}
-	o.g.log.Debug("release", "id", id, "engine", v.ID, "try", n, "ms", o.g.clock.Now()-begun, "err", err)
+	r.gateway.log.Debug("release", "id", id, "engine", engine.ID, "try", try, "ms", r.gateway.clock.Now()-startedAt, "err", err)
 	return err
 }
 
-// heard tells of an engine that has answered something, and calls it for what no engine has taken.
-func (o *owner) heard(v ashwood.Server) {
-	o.answered(v)
-	o.mu.Lock()
-	if o.fallback.Len() == 0 {
-		o.mu.Unlock()
+// engineAnswered records an answer of an engine and sends it the pending fallback releases.
+func (r *releaser) engineAnswered(engine ashwood.Server) {
+	r.noteAnswer(engine)
+	r.mu.Lock()
+	if r.fallback.Len() == 0 {
+		r.mu.Unlock()
 		return
 	}
-	o.act()
+	r.dispatchAndUnlock()
 }
 
-// answered notes an engine that has answered something.
-func (o *owner) answered(v ashwood.Server) {
-	o.g.live.answered(v.ID)
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.fallback.Answered(v)
-	for i, old := range o.recent {
-		if old.ID == v.ID {
-			copy(o.recent[1:i+1], o.recent[:i])
-			o.recent[0] = v
+// noteAnswer records an answer of an engine.
+func (r *releaser) noteAnswer(engine ashwood.Server) {
+	r.gateway.liveness.answered(engine.ID)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.fallback.Answered(engine)
+	for i, old := range r.recentlyAnswered {
+		if old.ID == engine.ID {
+			copy(r.recentlyAnswered[1:i+1], r.recentlyAnswered[:i])
+			r.recentlyAnswered[0] = engine
 			return
 		}
 	}
-	if o.recent = append(o.recent, v); len(o.recent) > heardMost {
-		o.recent = o.recent[:heardMost]
+	if r.recentlyAnswered = append(r.recentlyAnswered, engine); len(r.recentlyAnswered) > maxRecentlyAnswered {
+		r.recentlyAnswered = r.recentlyAnswered[:maxRecentlyAnswered]
 	}
-	copy(o.recent[1:], o.recent)
-	o.recent[0] = v
+	copy(r.recentlyAnswered[1:], r.recentlyAnswered)
+	r.recentlyAnswered[0] = engine
 }
 
-// unheard tells of an engine that has not answered a call of some kind, and whether that was a release which
-// has been written to it.
-func (o *owner) unheard(v ashwood.Server, call string, written bool) {
-	o.g.live.unanswered(v.ID, call)
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.fallback.Unanswered(v, written)
-	o.recent = slices.DeleteFunc(o.recent, func(old ashwood.Server) bool { return old.ID == v.ID })
+// noteUnanswered records that an engine has not answered a call; call names its kind. written is true for
+// a release that was written to the engine.
+func (r *releaser) noteUnanswered(engine ashwood.Server, call string, written bool) {
+	r.gateway.liveness.unanswered(engine.ID, call)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.fallback.Unanswered(engine, written)
+	r.recentlyAnswered = slices.DeleteFunc(r.recentlyAnswered, func(old ashwood.Server) bool { return old.ID == engine.ID })
 }
 
-// unmade gives those of some engines that are owed a release for a request which none has taken.
-func (o *owner) unmade(id ashwood.RequestID, engines []ashwood.Server) (left []ashwood.Server) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for _, v := range engines {
-		if o.ledger.Unmade(release.Key{Engine: v.ID, Request: id}) {
-			left = append(left, v)
+// undelivered returns those of the engines that have not taken a pending release for a request.
+func (r *releaser) undelivered(id ashwood.RequestID, engines []ashwood.Server) (undelivered []ashwood.Server) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, engine := range engines {
+		if r.ledger.Unmade(release.Key{Engine: engine.ID, Request: id}) {
+			undelivered = append(undelivered, engine)
 		}
 	}
-	return left
+	return undelivered
 }
 
-// wait waits until nothing is owed.
-func (o *owner) wait() {
+// waitUntilIdle waits until no release is pending.
+func (r *releaser) waitUntilIdle() {
 	idle := make(chan struct{})
-	o.mu.Lock()
-	o.idle = idle
-	o.act()
+	r.mu.Lock()
+	r.idle = idle
+	r.dispatchAndUnlock()
 	<-idle
 }
 
-// abandon gives up what is owed.
-func (o *owner) abandon() {
-	o.mu.Lock()
-	o.ledger.Abandon(o.g.clock.Now())
-	for _, cancel := range o.calls {
+// abandon gives up all pending releases.
+func (r *releaser) abandon() {
+	r.mu.Lock()
+	r.ledger.Abandon(r.gateway.clock.Now())
+	for _, cancel := range r.holderCalls {
 		cancel(nil)
 	}
-	o.fallback.Abandon()
-	for _, cancel := range o.asked {
+	r.fallback.Abandon()
+	for _, cancel := range r.fallbackCalls {
 		cancel(nil)
 	}
-	o.act()
+	r.dispatchAndUnlock()
 }
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -6,43 +6,43 @@
 	"ashwood.example/ashwood"
 )
 
-// probe asks an engine for its load, for the decisions.
-func (g *Gateway) probe(v ashwood.Server) {
-	status, report := g.ask(v, probeWait)
-	g.router.Probed(v.ID, status, report)
+// probe asks an engine for its load report and passes the outcome to the decision module.
+func (g *Gateway) probe(engine ashwood.Server) {
+	status, report := g.probeWithin(engine, probeTimeout)
+	g.router.Probed(engine.ID, status, report)
 }
 
-// ask probes an engine in so many ms at most.
-func (g *Gateway) ask(v ashwood.Server, ms float64) (ashwood.Status, ashwood.Report) {
+// probeWithin probes an engine and cancels the probe after timeout ms.
+func (g *Gateway) probeWithin(engine ashwood.Server, timeout float64) (ashwood.Status, ashwood.Report) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	defer g.clock.AfterFunc(ms, cancel)()
-	begun := g.clock.Now()
-	status, report := g.transport.Probe(ctx, v)
+	defer g.clock.AfterFunc(timeout, cancel)()
+	startedAt := g.clock.Now()
+	status, report := g.transport.Probe(ctx, engine)
 	switch {
-	case answered(status):
-		g.owner.heard(v)
-	case status == ashwood.NotSent && ctx.Err() == nil: // this machine could not ask
+	case showsEngineRuns(status):
+		g.releaser.engineAnswered(engine)
+	case status == ashwood.NotSent && ctx.Err() == nil: // the probe failed on this machine
 	default:
-		g.owner.unheard(v, "probe", false)
+		g.releaser.noteUnanswered(engine, "probe", false)
 	}
-	g.log.Debug("probe", "engine", v.ID, "kind", v.Kind, "status", status, "ms", g.clock.Now()-begun, "report", report)
+	g.log.Debug("probe", "engine", engine.ID, "kind", engine.Kind, "status", status, "ms", g.clock.Now()-startedAt, "report", report)
 	return status, report
 }
 
-// arrived tells whether a read has surely reached its engine: that has sent something back well
-// after the last byte was written, or answers a probe now, by a time. Where probes are not allowed, an
-// engine that holds a place for the read knows of it, by the protocol.
-func (g *Gateway) arrived(out *outAttempt, known bool, by float64) bool {
+// prefillArrived reports whether a prefill attempt has certainly reached its engine: the engine has sent something
+// back at least arrivalTimeout after the last byte was written, or answers a probe before the time by. Where probes are not
+// allowed, it is known from an engine that holds a reservation: by the protocol, that engine knows of the prefill.
+func (g *Gateway) prefillArrived(attempt *inFlightAttempt, prefillKnown bool, by float64) bool {
 	switch {
-	case g.router.HeardAt(out.engine.ID) >= out.written+arrivalWait:
+	case g.router.HeardAt(attempt.engine.ID) >= attempt.writtenAt+arrivalTimeout:
 		return true
-	case !g.probes:
-		return known
+	case !g.probesAllowed:
+		return prefillKnown
 	}
-	status, report := g.ask(out.engine, max(min(probeWait, by-g.clock.Now()), 0))
-	if answered(status) {
-		g.router.Probed(out.engine.ID, status, report) // it need not be probed for the decisions as well
+	status, report := g.probeWithin(attempt.engine, max(min(probeTimeout, by-g.clock.Now()), 0))
+	if showsEngineRuns(status) {
+		g.router.Probed(attempt.engine.ID, status, report) // so that the decision module need not probe it as well
 	}
-	return answered(status)
+	return showsEngineRuns(status)
 }
--- a/gateway/pulse.go
+++ b/gateway/pulse.go
@@ -8,46 +8,48 @@
 	"ashwood.example/ashwood"
 )
 
-// pulses tell when an answer of each engine last went on, for as long as this gateway has
-// one of its answers open.
-type pulses struct {
-	mu sync.Mutex
-	by map[ashwood.ServerID]*pulse
+// progressTracker keeps the time at which any answer of an engine last made progress, for each engine
+// with open answers at this gateway.
+type progressTracker struct {
+	mu       sync.Mutex
+	byEngine map[ashwood.ServerID]*engineProgress
 }
 
-type pulse struct {
-	open int           // answers; of pulses
-	last atomic.Uint64 // ms, the bits of a float64
+// engineProgress is the last progress of an engine's answers.
+type engineProgress struct {
+	openAnswers int           // guarded by progressTracker.mu
+	lastAt      atomic.Uint64 // ms of the clock, the bits of a float64
 }
 
-// enter gives an engine's pulse to one more answer.
-func (p *pulses) enter(engine ashwood.ServerID) *pulse {
+// join adds an answer to an engine's open ones and returns the engine's progress.
+func (p *progressTracker) join(engine ashwood.ServerID) *engineProgress {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.by == nil {
-		p.by = map[ashwood.ServerID]*pulse{}
+	if p.byEngine == nil {
+		p.byEngine = map[ashwood.ServerID]*engineProgress{}
 	}
-	v := p.by[engine]
-	if v == nil {
-		v = &pulse{}
-		p.by[engine] = v
+	progress := p.byEngine[engine]
+	if progress == nil {
+		progress = &engineProgress{}
+		p.byEngine[engine] = progress
 	}
-	v.open++
-	return v
+	progress.openAnswers++
+	return progress
 }
 
-// leave takes an answer's part in a pulse back.
-func (p *pulses) leave(engine ashwood.ServerID) {
+// leave removes an answer from an engine's open ones.
+func (p *progressTracker) leave(engine ashwood.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if v := p.by[engine]; v != nil {
-		if v.open--; v.open == 0 {
-			delete(p.by, engine)
+	if progress := p.byEngine[engine]; progress != nil {
+		if progress.openAnswers--; progress.openAnswers == 0 {
+			delete(p.byEngine, engine)
 		}
 	}
 }
 
-// beat tells that an answer has gone on; at is when, later than any before it of its own.
-func (v *pulse) beat(at float64) { v.last.Store(math.Float64bits(at)) }
+// advance records that an answer made progress at a time that is later than any earlier one of that answer.
+func (v *engineProgress) advance(at float64) { v.lastAt.Store(math.Float64bits(at)) }
 
-func (v *pulse) at() float64 { return math.Float64frombits(v.last.Load()) }
+// at returns the time of the last progress.
+func (v *engineProgress) at() float64 { return math.Float64frombits(v.lastAt.Load()) }
--- a/gateway/repeat_test.go
+++ b/gateway/repeat_test.go
@@ -15,29 +15,29 @@
 // later, though e1 could be reached all the time. An engine that could not be told at all had others told in its place; repeats had not.
 
 // falls has an engine take no more calls from now on.
-func (p *peer) falls(id ashwood.ServerID) {
+func (p *fakeTransport) makeUnreachable(id ashwood.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.silent == nil {
-		p.silent = map[ashwood.ServerID]int{}
+	if p.silentFor == nil {
+		p.silentFor = map[ashwood.ServerID]int{}
 	}
-	p.silent[id] = 1e6
+	p.silentFor[id] = 1e6
 }
 
 // inDoubtThenSilent has an engine take a release in doubt, and then no more calls.
-func (p *peer) inDoubtThenSilent(t *testing.T, g *Gateway, engine ashwood.ServerID, final bool) *holds {
+func (p *fakeTransport) releaseUncertainThenSilence(t *testing.T, g *Gateway, engine ashwood.ServerID, final bool) *requestHolds {
 	t.Helper()
-	h := held(g, "q", engine)
-	h.doubt(ashwood.Server{ID: engine})
+	h := newTestHolds(g, "q", engine)
+	h.markAbandoned(ashwood.Server{ID: engine})
 	h.release(final)
-	p.wantNext(t, string(engine))
-	p.falls(engine)
+	p.wantNextRelease(t, string(engine))
+	p.makeUnreachable(engine)
 	return h
 }
 
 // Where the engine that took a release in doubt can't be told again, another is, in the rule's time of 800 ms and once for
 // each repeat; the first that is back, where none answers.
-func TestHolds_RepeatsGoToOthers(t *testing.T) {
+func TestFallback_Repeats(t *testing.T) {
 	const repeats = 2
 	for name, tt := range map[string]struct {
 		silence  time.Duration // of others
@@ -49,23 +49,23 @@
 		"one is back later":         {3 * time.Second, 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inSilentFleet(t, 5, func(t *testing.T, p *peer, g *Gateway, fleet []ashwood.ServerID) {
-				p.hear("r1")
-				p.inDoubtThenSilent(t, g, "r1", true)
+			inSilentFleet(t, 5, func(t *testing.T, p *fakeTransport, g *Gateway, fleet []ashwood.ServerID) {
+				p.makeReachable("r1")
+				p.releaseUncertainThenSilence(t, g, "r1", true)
 				time.Sleep(tt.silence)
 				for _, id := range fleet[:tt.answer] {
-					p.hear(id)
+					p.makeReachable(id)
 				}
 				if tt.heardOne {
-					g.owner.heard(ashwood.Server{ID: fleet[0], Zone: "z0"})
+					g.releaser.engineAnswered(ashwood.Server{ID: fleet[0], Zone: "z0"})
 				}
-				time.Sleep(ruleTime)
-				told := p.toldSoFar()
+				time.Sleep(releaseRuleTime)
+				told := p.drainReleaseCounts()
 				if n := told[string(fleet[0])]; len(told) != 1 || n < 1 || n > repeats {
-					t.Errorf("told %v within %v, want %s alone, %d times at most", told, ruleTime, fleet[0], repeats)
+					t.Errorf("told %v within %v, want %s alone, %d times at most", told, releaseRuleTime, fleet[0], repeats)
 				}
 				time.Sleep(10 * time.Second)
-				if more := p.toldSoFar()[string(fleet[0])]; told[string(fleet[0])]+more > repeats {
+				if more := p.drainReleaseCounts()[string(fleet[0])]; told[string(fleet[0])]+more > repeats {
 					t.Errorf("told %v, and %d times more", told, more)
 				}
 			})
@@ -75,39 +75,39 @@
 
 // While the request is on its way to an engine, nobody is told in place of one that can't be told again; nor is anybody once it
 // has arrived.
-func TestHolds_RepeatsAtOthersPause(t *testing.T) {
+func TestFallback_RepeatsPausedDuringSend(t *testing.T) {
 	for name, tt := range map[string]struct {
 		after    time.Duration // the send, behind the release
 		restarts bool          // the engine does, beside the send
 		arrives  bool
 	}{
 		"sent before the repeat":              {0, false, true},
-		"sent while it is out":                {(againFirst + 10) * time.Millisecond, false, true},
+		"sent while it is out":                {(firstRepeatDelay + 10) * time.Millisecond, false, true},
 		"beside a restart":                    {10 * time.Millisecond, true, true},
 		"beside a restart, without a sign":    {10 * time.Millisecond, true, false},
 		"sent before the repeat, and no sign": {0, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := &peer{}
-			in(t, p, func(t *testing.T, g *Gateway) {
-				h := p.inDoubtThenSilent(t, g, "r1", false)
+			p := &fakeTransport{}
+			runInBubble(t, p, func(t *testing.T, g *Gateway) {
+				h := p.releaseUncertainThenSilence(t, g, "r1", false)
 				time.Sleep(tt.after)
-				h.pause(true)
+				h.pauseReleases(true)
 				if tt.restarts {
 					g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{{ID: "r1", Kind: "r", State: ashwood.StateOn, Started: clock.Duration(g.clock.Now())}})
 				}
 				time.Sleep(2 * time.Second)
-				if told := p.toldSoFar(); len(told) > 0 {
+				if told := p.drainReleaseCounts(); len(told) > 0 {
 					t.Errorf("told %v beside the send", told)
 				}
 				if !tt.arrives {
-					h.pause(false)
-					p.wantNext(t, "w1")
+					h.pauseReleases(false)
+					p.wantNextRelease(t, "w1")
 					return
 				}
-				g.owner.taken(h.id, h.toldBefore())
+				g.releaser.attemptArrived(h.id, h.unconfirmedEngines())
 				time.Sleep(2 * time.Second)
-				if told := p.toldSoFar(); len(told) > 0 {
+				if told := p.drainReleaseCounts(); len(told) > 0 {
 					t.Errorf("told %v", told)
 				}
 			})
@@ -116,16 +116,16 @@
 }
 
 // The engine itself may be back first: it is told, and nobody else is any more.
-func TestHolds_RepeatsAtTheEngineItself(t *testing.T) {
-	inSilentFleet(t, 5, func(t *testing.T, p *peer, g *Gateway, fleet []ashwood.ServerID) {
-		p.hear("r1")
-		p.inDoubtThenSilent(t, g, "r1", true)
+func TestFallback_RepeatsAtHolder(t *testing.T) {
+	inSilentFleet(t, 5, func(t *testing.T, p *fakeTransport, g *Gateway, fleet []ashwood.ServerID) {
+		p.makeReachable("r1")
+		p.releaseUncertainThenSilence(t, g, "r1", true)
 		time.Sleep(2 * time.Second)
-		p.hear("r1")
+		p.makeReachable("r1")
 		time.Sleep(2 * time.Second)
-		p.hear(fleet[2])
+		p.makeReachable(fleet[2])
 		time.Sleep(2 * time.Second)
-		if told := p.toldSoFar(); len(told) != 1 || told["r1"] != 2 {
+		if told := p.drainReleaseCounts(); len(told) != 1 || told["r1"] != 2 {
 			t.Errorf("told %v, want two repeats at r1", told)
 		}
 	})
@@ -135,7 +135,7 @@
 // further one is told in the rule's time. What was seen (soak seed 13, 1 of 40 beside 7 others): e3 takes the release in the
 // millisecond in which it dies ("release … engine=e3 try=0 ms=0.82 err=<nil>"), which counted as made for e0 as well;
 // e0 could not be told for 0.96 s ("engine=e0 … i/o timeout"), and nobody else was asked.
-func TestHolds_RepeatsBehindARestart(t *testing.T) {
+func TestFallback_RepeatsAfterRestart(t *testing.T) {
 	for name, change := range map[string]func(*Gateway){
 		"dies": func(*Gateway) {},
 		"starts anew": func(g *Gateway) {
@@ -146,18 +146,18 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := &peer{silent: map[ashwood.ServerID]int{"r1": 1e6}}
-			in(t, p, func(t *testing.T, g *Gateway) {
-				fleet := fleetOf(p, g, 5)
-				h := held(g, "q", "r1", "w1")
-				h.doubt(ashwood.Server{ID: "w1"})
+			p := &fakeTransport{silentFor: map[ashwood.ServerID]int{"r1": 1e6}}
+			runInBubble(t, p, func(t *testing.T, g *Gateway) {
+				fleet := listSilentEngines(p, g, 5)
+				h := newTestHolds(g, "q", "r1", "w1")
+				h.markAbandoned(ashwood.Server{ID: "w1"})
 				h.release(true)
-				p.wantNext(t, "w1")
-				p.falls("w1")
-				p.hear(fleet[3])
+				p.wantNextRelease(t, "w1")
+				p.makeUnreachable("w1")
+				p.makeReachable(fleet[3])
 				time.Sleep(10 * time.Millisecond)
 				change(g)
-				if d := p.wantNext(t, string(fleet[3])); d > ruleTime {
+				if d := p.wantNextRelease(t, string(fleet[3])); d > releaseRuleTime {
 					t.Errorf("told after %v", d)
 				}
 			})
--- a/gateway/stall_test.go
+++ b/gateway/stall_test.go
@@ -12,17 +12,17 @@
 )
 
 // stalls is a stream that gives one piece and then hangs until its context ends.
-type stalls struct {
-	pieces
+type hangingStream struct {
+	pieceStream
 	ctx     context.Context
-	waiting chan struct{}
+	hanging chan struct{}
 }
 
-func (s *stalls) Next() ([]byte, error) {
-	if len(s.left) > 0 {
-		return s.pieces.Next()
+func (s *hangingStream) Next() ([]byte, error) {
+	if len(s.remaining) > 0 {
+		return s.pieceStream.Next()
 	}
-	close(s.waiting)
+	close(s.hanging)
 	<-s.ctx.Done()
 	return nil, context.Cause(s.ctx)
 }
@@ -30,13 +30,13 @@
 // A stream that falls silent is not held for ever: not long where its engine has
 // begun a later answer, and where nothing is heard of the engine, which may hang
 // or have taken the answer back into its queue, for as long as its client may be left waiting.
-func TestStalledStreamBreaks(t *testing.T) {
+func TestStream_StallEndsAnswer(t *testing.T) {
 	for _, works := range []bool{true, false} {
-		stalled := &stalls{pieces: pieces{left: []string{"a"}}, waiting: make(chan struct{})}
-		p := &peer{place: ReserveRefused, answers: map[ashwood.ServerID][]AttemptResult{
-			"r1": {answer(ashwood.Parsed), answer(ashwood.Parsed)},
-			"w1": {{Result: ashwood.Result{Status: ashwood.Served}, Stream: stalled}, streams(io.EOF, "b")}}}
-		g, c := start(t, p)
+		stalled := &hangingStream{pieceStream: pieceStream{remaining: []string{"a"}}, hanging: make(chan struct{})}
+		p := &fakeTransport{reserveResult: ReserveRefused, results: map[ashwood.ServerID][]AttemptResult{
+			"r1": {resultOf(ashwood.Parsed), resultOf(ashwood.Parsed)},
+			"w1": {{Result: ashwood.Result{Status: ashwood.Served}, Stream: stalled}, streamResult(io.EOF, "b")}}}
+		g, c := startManualClock(t, p)
 		r := serve(t, g, context.Background(), "chat")
 		if piece, err := r.Stream.Next(); string(piece) != "a" || err != nil {
 			t.Fatal(string(piece), err)
@@ -46,7 +46,7 @@
 			_, err := r.Stream.Next()
 			ended <- err
 		}()
-		<-stalled.waiting
+		<-stalled.hanging
 		var err error
 		if works {
 			c.Advance(1)
@@ -55,7 +55,7 @@
 			if later, err := g.Serve(context.Background(), req); err != nil || later.Kind != Served {
 				t.Fatal(later, err)
 			}
-			c.Advance(stopWait)
+			c.Advance(stallSuspectAfter)
 			err = <-ended
 		} else {
 			waited, over := 0.0, false
@@ -64,11 +64,11 @@
 				case err = <-ended:
 					over = true
 				default:
-					c.Advance(stopLook)
-					waited += stopLook
+					c.Advance(stallCheckInterval)
+					waited += stallCheckInterval
 				}
 			}
-			if waited < stallWait || stallWait >= 5000 {
+			if waited < stallTimeout || stallTimeout >= 5000 {
 				t.Errorf("ended after %v ms", waited)
 			}
 		}
@@ -80,12 +80,12 @@
 }
 
 // paced is a stream that gives a piece each time that it is asked to, until it is closed.
-type paced struct {
-	pieces
+type steppedStream struct {
+	pieceStream
 	step chan struct{}
 }
 
-func (s *paced) Next() ([]byte, error) {
+func (s *steppedStream) Next() ([]byte, error) {
 	if _, ok := <-s.step; !ok {
 		return nil, io.EOF
 	}
@@ -97,25 +97,25 @@
 // goes on and the engine says that nothing waits there. One that was taken back into the
 // queue waits there, and is waited for as long as its client may be; so is one whose engine
 // as a whole has stopped.
-func TestAnAnswerThatStopsBesideOthersIsEnded(t *testing.T) {
+func TestStream_StallBesideOtherAnswers(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		others bool          // another answer goes on
 		queue  float64       // told by a probe
 		want   time.Duration // of silence, after which it is ended
 	}{
-		{"stopped alone", true, 0, (stopWait + stopLook) * time.Millisecond},
-		{"taken back into the queue", true, 1, stallWait * time.Millisecond},
-		{"the engine hangs", false, 0, stallWait * time.Millisecond},
+		{"stopped alone", true, 0, (stallSuspectAfter + stallCheckInterval) * time.Millisecond},
+		{"taken back into the queue", true, 1, stallTimeout * time.Millisecond},
+		{"the engine hangs", false, 0, stallTimeout * time.Millisecond},
 	} {
-		stalled := &stalls{pieces: pieces{left: []string{"a", "b"}}}
-		going := &paced{}
-		p := &peer{nodes: 2, place: ReserveRefused, load: ashwood.Report{ashwood.ReportQueue: tt.queue}, answers: map[ashwood.ServerID][]AttemptResult{
-			"r1": {answer(ashwood.Parsed), answer(ashwood.Parsed)},
+		stalled := &hangingStream{pieceStream: pieceStream{remaining: []string{"a", "b"}}}
+		going := &steppedStream{}
+		p := &fakeTransport{gatewayCount: 2, reserveResult: ReserveRefused, loadReport: ashwood.Report{ashwood.ReportQueue: tt.queue}, results: map[ashwood.ServerID][]AttemptResult{
+			"r1": {resultOf(ashwood.Parsed), resultOf(ashwood.Parsed)},
 			"w1": {{Result: ashwood.Result{Status: ashwood.Served}, Stream: going}, {Result: ashwood.Result{Status: ashwood.Served}, Stream: stalled}}}}
 		synctest.Test(t, func(t *testing.T) {
-			stalled.waiting, going.step, p.probed = make(chan struct{}), make(chan struct{}, 1), make(chan string, 99)
-			g := startAt(t, p, SystemClock())
+			stalled.hanging, going.step, p.probed = make(chan struct{}), make(chan struct{}, 1), make(chan string, 99)
+			g := startGateway(t, p, SystemClock())
 			other := serve(t, g, t.Context(), "chat")
 			time.Sleep(time.Millisecond)
 			req := request("chat")
@@ -143,7 +143,7 @@
 						t.Fatal(err)
 					}
 				}
-				time.Sleep(stopLook * time.Millisecond)
+				time.Sleep(stallCheckInterval * time.Millisecond)
 				synctest.Wait()
 			}
 			close(going.step)
@@ -152,8 +152,8 @@
 				t.Errorf("%s: ended after %v, want %v", tt.name, after, tt.want)
 			}
 			other.Stream.Close()
-			if len(g.pulses.by) != 0 {
-				t.Errorf("%s: %d pulses are left", tt.name, len(g.pulses.by))
+			if len(g.progress.byEngine) != 0 {
+				t.Errorf("%s: %d pulses are left", tt.name, len(g.progress.byEngine))
 			}
 			g.Wait()
 		})
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -10,74 +10,74 @@
 	"ashwood.example/ashwood"
 )
 
-// stream reports the end of a served answer to the router, once.
+// stream is a served answer. It detects stalls and reports the end of the answer to the router once.
 type stream struct {
 	Stream
-	g       *Gateway
-	ctx     context.Context // of the client
-	id      ashwood.RequestID
-	attempt int
-	cancel  context.CancelCauseFunc
-	engine  ashwood.Server
-	pulse   *pulse // of the engine
-	pieces  int    // brought so far
-	class   string
-	begun   float64 // when the request was taken
-	ended   bool
+	gateway    *Gateway
+	clientCtx  context.Context // ends when the client disconnects
+	id         ashwood.RequestID
+	attempt    int
+	cancel     context.CancelCauseFunc
+	engine     ashwood.Server
+	progress   *engineProgress // progress of all answers of the engine
+	pieceCount int             // received so far
+	class      string
+	startedAt  float64 // when the request was accepted
+	ended      bool
 }
 
-// Next passes a piece on. Connections may fall silent and stay open, with an
-// engine that has vanished or one that is at work: the client is not to be left
-// waiting, and the answer counts as broken.
+// Next passes on the next piece. A connection may fall silent and stay open although its engine
+// has vanished, or while the engine is busy: so that the client does not wait forever, a stalled answer is
+// cancelled and counts as broken.
 func (s *stream) Next() ([]byte, error) {
-	stop := s.watch()
+	stop := s.watchStall()
 	piece, err := s.Stream.Next()
 	stop()
 	switch {
 	case err == nil:
-		s.pieces++
+		s.pieceCount++
 	case errors.Is(err, io.EOF):
 		s.end(ashwood.Served)
-	case s.ctx.Err() != nil:
+	case s.clientCtx.Err() != nil:
 		s.end(ashwood.CalledOff)
 		err = ErrClientGone
 	default:
-		s.g.log.Debug("stream broke", "id", s.id, "err", err)
+		s.gateway.log.Debug("stream broke", "id", s.id, "err", err)
 		s.end(ashwood.ConnectionLost)
 	}
 	return piece, err
 }
 
-// watch ends the answer if it has stopped. The module may know from other answers, or from
-// a probe; without any sign it is ended in time for its client all the same. One that hangs
-// is not told from one that has stopped: of some 3,000 answers silent for over a second on
-// eight panels of narrow moments, none went on.
-func (s *stream) watch() (stop func()) {
+// watchStall cancels the answer if it has stopped. The decision module may know that from other answers or from
+// a probe. Without any evidence, the answer is cancelled after stallTimeout, within the time that its client may wait. A hanging
+// answer is not distinguished from a stopped one then: of some 3,000 answers that were silent for over a second in
+// eight series of runs in tight situations, none continued.
+func (s *stream) watchStall() (stop func()) {
 	var mu sync.Mutex
 	var cancel func() bool
-	var look func()
-	over, first, since := false, s.pieces == 1, s.g.clock.Now()
-	s.pulse.beat(since) // the piece before has just gone on
-	arm := func(ms float64) {
+	var check func()
+	over, firstPiece, since := false, s.pieceCount == 1, s.gateway.clock.Now()
+	s.progress.advance(since) // the previous piece has just been passed on
+	schedule := func(ms float64) {
 		mu.Lock()
 		defer mu.Unlock()
 		if !over {
-			cancel = s.g.clock.AfterFunc(ms, look)
+			cancel = s.gateway.clock.AfterFunc(ms, check)
 		}
 	}
-	look = func() {
-		stopped, ask := s.g.router.Stopped(s.id, s.attempt, s.engine.ID, since, s.pulse.at(), first)
-		left := stallWait - (s.g.clock.Now() - since)
-		if stopped || left <= 0 {
+	check = func() {
+		stalled, shouldProbe := s.gateway.router.Stopped(s.id, s.attempt, s.engine.ID, since, s.progress.at(), firstPiece)
+		remaining := stallTimeout - (s.gateway.clock.Now() - since)
+		if stalled || remaining <= 0 {
 			s.cancel(ErrStalled)
 			return
 		}
-		arm(min(stopLook, left)) // before asking: who sees the probe may take the next look as set
-		if ask {
-			s.g.spawn(func() { s.g.probe(s.engine) })
+		schedule(min(stallCheckInterval, remaining)) // before the probe, so that whoever sees the probe can rely on the next check
+		if shouldProbe {
+			s.gateway.runInBackground(func() { s.gateway.probe(s.engine) })
 		}
 	}
-	arm(stopWait)
+	schedule(stallSuspectAfter)
 	return func() {
 		mu.Lock()
 		defer mu.Unlock()
@@ -89,13 +89,13 @@
 // HandOver hands the answer over to another process. In this process, it ends as cancelled,
 // which says nothing about its engine.
 func (s *stream) HandOver(give func(HandoverState) error) error {
-	m, ok := s.Stream.(HandoverStream)
+	source, ok := s.Stream.(HandoverStream)
 	if !ok {
 		return fmt.Errorf("gateway: a stream of type %T cannot be handed over", s.Stream)
 	}
-	err := m.HandOver(func(v HandoverState) error {
-		v.ID, v.Class, v.Engine, v.StartedAt = s.id, s.class, s.engine, s.begun
-		return give(v)
+	err := source.HandOver(func(state HandoverState) error {
+		state.ID, state.Class, state.Engine, state.StartedAt = s.id, s.class, s.engine, s.startedAt
+		return give(state)
 	})
 	if err == nil {
 		s.end(ashwood.CalledOff)
@@ -103,21 +103,21 @@
 	return err
 }
 
-// Adopt goes on with an answer that another process has begun: make gives its stream,
-// which ctx bounds. The decisions have not heard of its request and are not asked about it;
-// what it tells of its engine at its end is.
-func (g *Gateway) Adopt(ctx context.Context, live HandoverState, make func(context.Context, Transport) (Stream, error)) (Stream, error) {
-	actx, cancel := context.WithCancelCause(ctx)
-	inner, err := make(actx, g.transport)
+// Adopt continues an answer that another process has begun: open returns its stream,
+// which ctx bounds. The decision module of this process does not know the request and makes no decisions about it,
+// but the end of the answer is reported to it.
+func (g *Gateway) Adopt(ctx context.Context, state HandoverState, open func(context.Context, Transport) (Stream, error)) (Stream, error) {
+	attemptCtx, cancel := context.WithCancelCause(ctx)
+	inner, err := open(attemptCtx, g.transport)
 	if err != nil {
 		cancel(nil)
 		return nil, err
 	}
-	g.log.Debug("adopted", "id", live.ID, "class", live.Class, "engine", live.Engine.ID, "ms", g.clock.Now()-live.StartedAt)
-	return &stream{Stream: inner, g: g, ctx: ctx, id: live.ID, engine: live.Engine, pulse: g.pulses.enter(live.Engine.ID), cancel: cancel, class: live.Class, begun: live.StartedAt, pieces: 2}, nil
+	g.log.Debug("adopted", "id", state.ID, "class", state.Class, "engine", state.Engine.ID, "ms", g.clock.Now()-state.StartedAt)
+	return &stream{Stream: inner, gateway: g, clientCtx: ctx, id: state.ID, engine: state.Engine, progress: g.progress.join(state.Engine.ID), cancel: cancel, class: state.Class, startedAt: state.StartedAt, pieceCount: 2}, nil
 }
 
-// Close ends the engine's stream if it has not ended.
+// Close cancels the answer if it has not ended.
 func (s *stream) Close() error {
 	s.end(ashwood.CalledOff)
 	s.cancel(nil)
@@ -129,7 +129,7 @@
 		return
 	}
 	s.ended = true
-	s.g.pulses.leave(s.engine.ID)
-	s.g.log.Debug("end", "id", s.id, "class", s.class, "status", status, "ms", s.g.clock.Now()-s.begun)
-	s.g.router.Report(s.id, s.attempt, ashwood.Result{Status: status, Report: s.Stream.Report()})
+	s.gateway.progress.leave(s.engine.ID)
+	s.gateway.log.Debug("end", "id", s.id, "class", s.class, "status", status, "ms", s.gateway.clock.Now()-s.startedAt)
+	s.gateway.router.Report(s.id, s.attempt, ashwood.Result{Status: status, Report: s.Stream.Report()})
 }
--- a/gateway/types.go
+++ b/gateway/types.go
@@ -48,12 +48,12 @@
 	if name == "" {
 		return 0
 	}
-	if v, err := strconv.ParseUint(name, 16, 64); err == nil {
-		return v
+	if key, err := strconv.ParseUint(name, 16, 64); err == nil {
+		return key
 	}
-	h := fnv.New64a()
-	h.Write([]byte(name))
-	return h.Sum64()
+	hash := fnv.New64a()
+	hash.Write([]byte(name))
+	return hash.Sum64()
 }
 
 // ReplyKind is the outcome of a request at the time when Serve returns.
@@ -154,7 +154,7 @@
 	// this machine could not make the call. After a try without an answer, fresh demands a connection that
 	// did not exist at that try. Release may use a few sockets beyond the limit for attempts.
 	Release(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, fresh bool) error
-	// Probe asks an engine for its load.
+	// Probe asks an engine for its load report.
 	Probe(ctx context.Context, engine ashwood.Server) (ashwood.Status, ashwood.Report)
 }
 
