--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -258,6 +258,7 @@
 	})
 }
 
+// runInBackground runs f in a goroutine that Wait waits for.
 func (g *Gateway) runInBackground(f func()) { g.background.Go(func() { g.recoverPanic(f) }) }
 
 // Wait waits until reservations, releases and probes in the background have ended. Releases that are
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -32,7 +32,7 @@
 
 // prefillArrived reports whether a prefill attempt has certainly reached its engine: the engine has sent something
 // back at least arrivalTimeout after the last byte was written, or answers a probe before the time by. Where probes are not
-// allowed, it is known from an engine that holds a reservation: by the protocol, that engine knows of the prefill.
+// allowed, prefillKnown decides: by the protocol, an engine that holds a reservation knows of its prefill.
 func (g *Gateway) prefillArrived(attempt *inFlightAttempt, prefillKnown bool, by float64) bool {
 	switch {
 	case g.router.HeardAt(attempt.engine.ID) >= attempt.writtenAt+arrivalTimeout:
--- a/gateway/pulse.go
+++ b/gateway/pulse.go
@@ -49,7 +49,7 @@
 }
 
 // advance records that an answer made progress at a time that is later than any earlier one of that answer.
-func (v *engineProgress) advance(at float64) { v.lastAt.Store(math.Float64bits(at)) }
+func (p *engineProgress) advance(at float64) { p.lastAt.Store(math.Float64bits(at)) }
 
 // at returns the time of the last progress.
-func (v *engineProgress) at() float64 { return math.Float64frombits(v.lastAt.Load()) }
+func (p *engineProgress) at() float64 { return math.Float64frombits(p.lastAt.Load()) }
