--- a/internal/platform/abandon_test.go
+++ b/internal/platform/abandon_test.go
@@ -113,7 +113,7 @@
 		}
 		for len(answer) == 0 {
 			if !floods {
-				c.Advance(noticeWait) // again and again: its timer may not be set yet
+				c.Advance(abandonTimeout) // again and again: its timer may not be set yet
 			}
 			runtime.Gosched()
 		}
--- a/internal/platform/engines_test.go
+++ b/internal/platform/engines_test.go
@@ -42,7 +42,7 @@
 func TestPoolKeepsToItsPartAndClosesWhatIsIdle(t *testing.T) {
 	c := clock.NewManual(0)
 	p := newPool(c, 2000, 1000, 2)
-	get := func(addr string) *conn {
+	get := func(addr string) *engineConn {
 		t.Helper()
 		got, err := p.get(context.Background(), addr, anyConn)
 		if err != nil {
@@ -92,7 +92,7 @@
 func TestASecondAnswerBehindAStreamIsNotTakenForTheNext(t *testing.T) {
 	c, l := clock.NewManual(0), listen(t)
 	p, addr := newPool(c, 2000, 1000, 9), l.Addr().String()
-	take := func() *conn {
+	take := func() *engineConn {
 		t.Helper()
 		got, err := p.get(t.Context(), addr, anyConn)
 		if err != nil {
@@ -113,10 +113,10 @@
 		t.Fatal("taken while a second answer may be under way")
 	}
 	io.WriteString(peer, whole())
-	if _, err := first.br.Peek(1); err != nil { // it has come, unseen by the pool
+	if _, err := first.reader.Peek(1); err != nil { // it has come, unseen by the pool
 		t.Fatal(err)
 	}
-	first.br.Reset(first.Conn)
+	first.reader.Reset(first.Conn)
 	io.WriteString(peer, "more")
 	c.Advance(1)
 	until(t, "the second answer is seen", func() bool { return !first.alive() })
@@ -197,7 +197,7 @@
 func TestOrdersGoOnNewConnections(t *testing.T) {
 	conns := map[net.Conn]bool{}
 	c := start(t, engine(t, "r1", "reader", reads), engine(t, "w1", "writer", func(s seen) string {
-		if s.Method == "DELETE" || strings.HasPrefix(s.Target, roomsPath) {
+		if s.Method == "DELETE" || strings.HasPrefix(s.Target, holdsPath) {
 			return freed
 		}
 		conns[s.conn] = true
@@ -283,7 +283,7 @@
 	c := clock.NewManual(1)
 	p := newPool(c, 2000, 9000, 9)
 	addr := listen(t).Addr().String()
-	get := func() *conn {
+	get := func() *engineConn {
 		t.Helper()
 		got, err := p.get(context.Background(), addr, anyConn)
 		if err != nil {
@@ -341,7 +341,7 @@
 func TestPoolIsSharedBetweenProcesses(t *testing.T) {
 	s := engine(t, "e", "", func(seen) string { return "HTTP/1.1 204 No Content\r\n\r\n" })
 	p := newPool(clock.System(), 1000, 15000, 4)
-	var conns []*conn
+	var conns []*engineConn
 	for range 4 {
 		c, err := p.get(t.Context(), s.Address, anyConn)
 		if err != nil {
--- a/internal/platform/move.go
+++ b/internal/platform/move.go
@@ -58,48 +58,48 @@
 }
 
 // Move hands the stream's parts to give, between two pieces.
-func (s *stream) HandOver(give func(gateway.HandoverState) error) error {
-	state := moving{Keep: s.keep, Tail: s.tail}
+func (s *engineStream) HandOver(give func(gateway.HandoverState) error) error {
+	state := moving{Keep: s.reusable, Tail: s.tail}
 	switch b := s.body.(type) {
-	case *chunks:
-		state.Form, state.Left = "chunks", b.left
-	case *exactly:
-		state.Form, state.Left = "length", b.left
+	case *chunkedReader:
+		state.Form, state.Left = "chunks", b.remaining
+	case *fixedLengthReader:
+		state.Form, state.Left = "length", b.remaining
 	default:
 		state.Form = "close"
 	}
-	sc, ok := s.c.Conn.(syscall.Conn)
-	if !ok || s.begun != nil || s.done {
+	sc, ok := s.conn.Conn.(syscall.Conn)
+	if !ok || s.firstEvent != nil || s.done {
 		return errors.New("platform: this answer can't be moved")
 	}
-	state.Buffered, _ = s.c.br.Peek(s.c.br.Buffered())
+	state.Buffered, _ = s.conn.reader.Peek(s.conn.reader.Buffered())
 	if err := give(gateway.HandoverState{TransportState: state, Conn: sc}); err != nil {
 		return err
 	}
-	s.stop()
-	s.pool.discard(s.c)
-	s.c = nil
+	s.stopInterrupt()
+	s.pool.discard(s.conn)
+	s.conn = nil
 	return nil
 }
 
 // adopt makes a stream of an answer that another process has begun.
-func (e *Engines) adopt(ctx context.Context, nc net.Conn, addr string, state moving) (*stream, error) {
-	c := &conn{Conn: nc, br: bufio.NewReaderSize(io.MultiReader(bytes.NewReader(state.Buffered), nc), 4096), addr: addr}
-	s := &stream{pool: e.pool, c: c, keep: state.Keep, tail: state.Tail}
+func (e *Engines) adopt(ctx context.Context, nc net.Conn, addr string, state moving) (*engineStream, error) {
+	c := &engineConn{Conn: nc, reader: bufio.NewReaderSize(io.MultiReader(bytes.NewReader(state.Buffered), nc), 4096), addr: addr}
+	s := &engineStream{pool: e.pool, conn: c, reusable: state.Keep, tail: state.Tail}
 	switch state.Form {
 	case "chunks":
-		s.body = &chunks{br: c.br, begin: func() func() { return e.within(c, wholeWait) }, left: state.Left}
+		s.body = &chunkedReader{reader: c.reader, startTimeout: func() func() { return e.startTimeout(c, completionTimeout) }, remaining: state.Left}
 	case "length":
-		s.body = &exactly{r: c.br, left: state.Left}
+		s.body = &fixedLengthReader{reader: c.reader, remaining: state.Left}
 	case "close":
-		s.body = c.br
+		s.body = c.reader
 	default:
 		return nil, fmt.Errorf("platform: an answer in the form %q", state.Form)
 	}
 	if state.Left < 0 {
 		return nil, fmt.Errorf("platform: an answer with %d bytes left", state.Left)
 	}
-	s.stop = c.endWith(ctx)
+	s.stopInterrupt = c.interruptOnDone(ctx)
 	e.pool.adopted()
 	return s, nil
 }
@@ -221,7 +221,7 @@
 }
 
 // adopted counts a connection that came from another process.
-func (p *pool) adopted() {
+func (p *connPool) adopted() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open++
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -92,7 +92,7 @@
 		switch {
 		case s.Method == "DELETE":
 			return freed
-		case strings.HasPrefix(s.Target, roomsPath):
+		case strings.HasPrefix(s.Target, holdsPath):
 			return held
 		}
 		return script(s)
@@ -251,7 +251,7 @@
 		{"a status that is none", "HTTP/1.1 2x0 OK\r\n\r\n", false},
 		{"a head that does not go on", "HTTP/1.1 200 OK\r\nX-Half: ", false},
 		{"a head without end", good + strings.Repeat("X-More: and more\r\n", 999), false},
-		{"nothing but 1xx", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterim), false},
+		{"nothing but 1xx", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterimResponses), false},
 		{"no event behind the head", head, false},
 		{"a first size that is none", head + "zz\r\n" + event1, false},
 		{"a first chunk of 3 GB", head + "c0000000\r\n" + event1, false},
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -61,8 +61,8 @@
 				t.Errorf("%s: %s reaches the engine as %q, want %q", front, name, h.Values(name), values)
 			}
 		}
-		if left, err := strconv.ParseFloat(h.Get(headerLeft), 64); err != nil || left <= 0 || left > 15 {
-			t.Errorf("%s: %s is %q", front, headerLeft, h.Get(headerLeft))
+		if left, err := strconv.ParseFloat(h.Get(headerRemaining), 64); err != nil || left <= 0 || left > 15 {
+			t.Errorf("%s: %s is %q", front, headerRemaining, h.Get(headerRemaining))
 		}
 	}
 	v, got := headers(t)
@@ -102,8 +102,8 @@
 	e := NewEngines(settings(), c, 9)
 	answer := attempt(t.Context(), e, v)
 	h := <-got
-	if left, err := strconv.ParseFloat(h.Get(headerLeft), 64); err != nil || left > 4.8 || left < 4 {
-		t.Errorf("told %q s of 5, although looks at the clock took at least 0.2", h.Get(headerLeft))
+	if left, err := strconv.ParseFloat(h.Get(headerRemaining), 64); err != nil || left > 4.8 || left < 4 {
+		t.Errorf("told %q s of 5, although looks at the clock took at least 0.2", h.Get(headerRemaining))
 	}
 	if a := <-answer; a.Status != ashwood.Parsed {
 		t.Errorf("ended as %v, %v", a.Status, a.Err)
