--- a/gateway/peer_test.go
+++ b/gateway/peer_test.go
@@ -15,189 +15,191 @@
 	"ashwood.example/ashwood/internal/release"
 )
 
-// peer is a scripted transport. It notes what it is asked to do.
-type peer struct {
-	mu        sync.Mutex
-	log       []string
-	answers   map[ashwood.ServerID][]Answer // by engine, in order; none left = hang until called off
-	place     Place
-	noteFrees bool                      // in the log, beside the sends
-	unsent    bool                      // a hanging attempt's last byte never leaves
-	hanging   chan struct{}             // gets a value when an attempt begins to hang
-	freed     chan string               // gets each engine told to let go
-	refuse    map[ashwood.ServerID]int  // releases that fail to connect
-	silent    map[ashwood.ServerID]int  // releases written to a connection gone silent
-	hung      map[ashwood.ServerID]bool // engines that take releases and answer none
-	stopped   map[ashwood.ServerID]bool // engines that let calls be written and read none
-	local     int                       // calls that this machine can't make
-	releases  []release.Key             // that engines have taken
-	fresh     []bool                    // whether each release was to go on a new connection
-	probed    chan string               // gets each engine asked for its load
-	load      ashwood.Report            // what probes tell
-	mute      bool                      // for probes
-	nodes     int                       // gateways, one by default; with more, loads are asked for
-	asked     chan struct{}             // gets a value when a place is asked for
-	answer    chan struct{}             // if set, a place is answered when it closes
-	before    func(ashwood.Server)      // called when an attempt is about to be written
-	told      []float64                 // times that attempts tell their engines
+// fakeTransport is a scripted Transport that records the calls made to it.
+type fakeTransport struct {
+	mu               sync.Mutex
+	calls            []string
+	results          map[ashwood.ServerID][]AttemptResult // by engine, in order; none left = hang until cancelled
+	reserveResult    ReserveResult
+	recordReleases   bool                      // releases are recorded in calls too
+	unsent           bool                      // the last byte of a hanging attempt is never written
+	hanging          chan struct{}             // receives a value when an attempt begins to hang
+	releasedAt       chan string               // receives each engine that takes a release
+	refuseReleases   map[ashwood.ServerID]int  // by engine, number of releases that fail to connect
+	silentFor        map[ashwood.ServerID]int  // by engine, number of releases that hang on a connection gone silent
+	answersNothing   map[ashwood.ServerID]bool // engines that take releases and answer none of them
+	readsNothing     map[ashwood.ServerID]bool // engines to which releases are written, but which read none
+	localFailures    int                       // number of releases that fail on this machine; probes fail too while it is above 0
+	takenReleases    []release.Key             // releases that engines have taken
+	freshConnections []bool                    // for each release call, whether it demanded a new connection
+	probed           chan string               // receives each engine that is probed
+	loadReport       ashwood.Report            // result of probes
+	muteProbes       bool                      // probes hang until cancelled
+	gatewayCount     int                       // default 1; probes are allowed with more
+	reserving        chan struct{}             // receives a value for each Reserve call
+	reserveGate      chan struct{}             // if set, Reserve calls return once it is closed
+	beforeWrite      func(ashwood.Server)      // called before an attempt is written
+	remainingTimes   []float64                 // Remaining of each attempt
 }
 
-func (p *peer) sends() (list []string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return slices.Clone(p.log)
+func (f *fakeTransport) recordedCalls() (list []string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.Clone(f.calls)
 }
 
-func (p *peer) note(format string, a ...any) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.log = append(p.log, fmt.Sprintf(format, a...))
+func (f *fakeTransport) record(format string, a ...any) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.calls = append(f.calls, fmt.Sprintf(format, a...))
 }
 
-func (p *peer) Send(ctx context.Context, a Attempt) Answer {
-	p.note("send %s", a.Engine.ID)
-	if p.before != nil {
-		p.before(a.Engine)
+func (f *fakeTransport) Send(ctx context.Context, a Attempt) AttemptResult {
+	f.record("send %s", a.Engine.ID)
+	if f.beforeWrite != nil {
+		f.beforeWrite(a.Engine)
 	}
-	if !a.Ready() {
-		return Answer{Result: ashwood.Result{Status: ashwood.NotSent}}
+	if !a.MayWrite() {
+		return AttemptResult{Result: ashwood.Result{Status: ashwood.NotSent}}
 	}
-	p.mu.Lock()
-	p.told = append(p.told, a.Remaining)
-	list := p.answers[a.Engine.ID]
+	f.mu.Lock()
+	f.remainingTimes = append(f.remainingTimes, a.Remaining)
+	list := f.results[a.Engine.ID]
 	if len(list) > 0 {
-		p.answers[a.Engine.ID] = list[1:]
+		f.results[a.Engine.ID] = list[1:]
 	}
-	p.mu.Unlock()
-	if !p.unsent && (len(list) == 0 || list[0].Status != ashwood.NoConnection) {
-		a.Sent()
+	f.mu.Unlock()
+	if !f.unsent && (len(list) == 0 || list[0].Status != ashwood.NoConnection) {
+		a.OnSent()
 	}
 	if len(list) > 0 {
-		if s, ok := list[0].Stream.(*stalls); ok {
+		if s, ok := list[0].Stream.(*hangingStream); ok {
 			s.ctx = ctx
 		}
 		return list[0]
 	}
-	p.hanging <- struct{}{}
+	f.hanging <- struct{}{}
 	<-ctx.Done()
-	st := ashwood.ConnectionLost
-	if p.unsent {
-		st = ashwood.NotSent
+	status := ashwood.ConnectionLost
+	if f.unsent {
+		status = ashwood.NotSent
 	}
-	return Answer{Result: ashwood.Result{Status: st}}
+	return AttemptResult{Result: ashwood.Result{Status: status}}
 }
 
-func (p *peer) Reserve(_ context.Context, _ ashwood.Server, _ ashwood.RequestID, _ func() bool) Place {
-	p.asked <- struct{}{}
-	if p.answer != nil {
-		<-p.answer
+func (f *fakeTransport) Reserve(_ context.Context, _ ashwood.Server, _ ashwood.RequestID, _ func() bool) ReserveResult {
+	f.reserving <- struct{}{}
+	if f.reserveGate != nil {
+		<-f.reserveGate
 	}
-	return p.place
+	return f.reserveResult
 }
 
-func (p *peer) Release(ctx context.Context, v ashwood.Server, id ashwood.RequestID, fresh bool) error {
-	p.mu.Lock()
-	p.fresh = append(p.fresh, fresh)
-	if p.local > 0 {
-		p.local--
-		p.mu.Unlock()
-		return fmt.Errorf("no socket: %w", ErrLocal)
-	}
-	if p.silent[v.ID] > 0 {
-		p.silent[v.ID]--
-		p.mu.Unlock()
+func (f *fakeTransport) Release(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, fresh bool) error {
+	f.mu.Lock()
+	f.freshConnections = append(f.freshConnections, fresh)
+	if f.localFailures > 0 {
+		f.localFailures--
+		f.mu.Unlock()
+		return fmt.Errorf("no socket: %w", ErrLocalFailure)
+	}
+	if f.silentFor[engine.ID] > 0 {
+		f.silentFor[engine.ID]--
+		f.mu.Unlock()
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	defer p.mu.Unlock()
-	if p.stopped[v.ID] {
-		p.mu.Unlock()
+	defer f.mu.Unlock()
+	if f.readsNothing[engine.ID] {
+		f.mu.Unlock()
 		<-ctx.Done()
-		p.mu.Lock()
+		f.mu.Lock()
 		return ErrUnanswered
 	}
-	if p.refuse[v.ID] > 0 {
-		p.refuse[v.ID]--
+	if f.refuseReleases[engine.ID] > 0 {
+		f.refuseReleases[engine.ID]--
 		return errors.New("no connection")
 	}
-	p.freed <- string(v.ID)
-	p.releases = append(p.releases, release.Key{Engine: v.ID, Request: id})
-	if p.noteFrees {
-		p.log = append(p.log, "free "+string(v.ID))
+	f.releasedAt <- string(engine.ID)
+	f.takenReleases = append(f.takenReleases, release.Key{Engine: engine.ID, Request: id})
+	if f.recordReleases {
+		f.calls = append(f.calls, "free "+string(engine.ID))
 	}
-	if p.hung[v.ID] {
-		p.mu.Unlock()
+	if f.answersNothing[engine.ID] {
+		f.mu.Unlock()
 		<-ctx.Done()
-		p.mu.Lock()
+		f.mu.Lock()
 		return ErrUnanswered
 	}
 	return nil
 }
 
-func (p *peer) Probe(ctx context.Context, v ashwood.Server) (ashwood.Status, ashwood.Report) {
-	p.probed <- string(v.ID)
-	p.mu.Lock()
-	local := p.local > 0
-	p.mu.Unlock()
+func (f *fakeTransport) Probe(ctx context.Context, engine ashwood.Server) (ashwood.Status, ashwood.Report) {
+	f.probed <- string(engine.ID)
+	f.mu.Lock()
+	local := f.localFailures > 0
+	f.mu.Unlock()
 	if local {
 		return ashwood.NotSent, nil
 	}
-	if p.mute {
+	if f.muteProbes {
 		<-ctx.Done()
 		return ashwood.ConnectionLost, nil
 	}
-	return ashwood.Served, p.load
+	return ashwood.Served, f.loadReport
 }
 
-// pieces is a stream that ends with err.
-type pieces struct {
-	left   []string
-	err    error
-	closed bool
+// pieceStream is a stream of pieces that ends with err.
+type pieceStream struct {
+	remaining []string
+	err       error
+	closed    bool
 }
 
-func (s *pieces) Next() ([]byte, error) {
-	if len(s.left) == 0 {
+func (s *pieceStream) Next() ([]byte, error) {
+	if len(s.remaining) == 0 {
 		return nil, s.err
 	}
-	p := s.left[0]
-	s.left = s.left[1:]
-	return []byte(p), nil
+	piece := s.remaining[0]
+	s.remaining = s.remaining[1:]
+	return []byte(piece), nil
 }
 
-func (s *pieces) Report() ashwood.Report { return nil }
-func (s *pieces) Close() error           { s.closed = true; return nil }
+func (s *pieceStream) Report() ashwood.Report { return nil }
+func (s *pieceStream) Close() error           { s.closed = true; return nil }
 
-func answer(st ashwood.Status) Answer { return Answer{Result: ashwood.Result{Status: st}} }
-func streams(err error, left ...string) Answer {
-	return Answer{Result: ashwood.Result{Status: ashwood.Served}, Stream: &pieces{left: left, err: err}}
+func resultOf(status ashwood.Status) AttemptResult {
+	return AttemptResult{Result: ashwood.Result{Status: status}}
+}
+func streamResult(err error, pieces ...string) AttemptResult {
+	return AttemptResult{Result: ashwood.Result{Status: ashwood.Served}, Stream: &pieceStream{remaining: pieces, err: err}}
 }
 
-func start(t *testing.T, p *peer) (*Gateway, *clock.Manual) {
+func startManualClock(t *testing.T, fake *fakeTransport) (*Gateway, *clock.Manual) {
 	t.Helper()
 	c := clock.NewManual(1e12)
-	return startAt(t, p, c), c
+	return startGateway(t, fake, c), c
 }
 
-func startAt(t *testing.T, p *peer, c Clock) *Gateway {
+func startGateway(t *testing.T, fake *fakeTransport, c Clock) *Gateway {
 	t.Helper()
-	p.hanging, p.freed, p.asked = make(chan struct{}, 99), make(chan string, 99), make(chan struct{}, 99)
-	p.probed = make(chan string, 99)
+	fake.hanging, fake.releasedAt, fake.reserving = make(chan struct{}, 99), make(chan string, 99), make(chan struct{}, 99)
+	fake.probed = make(chan string, 99)
 	class := func(name string, e ashwood.Effect) ashwood.Class {
 		return ashwood.Class{Name: name, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: e}
 	}
 	g, err := New(ashwood.Settings{
-		Nodes: max(p.nodes, 1), Ahead: true, Reports: ashwood.ReportInline,
+		Nodes: max(fake.gatewayCount, 1), Ahead: true, Reports: ashwood.ReportInline,
 		Kinds: []ashwood.Kind{{Name: "r", Role: ashwood.RoleRead, MemoryTokens: 1e5}, {Name: "w", Role: ashwood.RoleWrite, MemoryTokens: 1e5}},
 		Classes: []ashwood.Class{class("chat", ashwood.Pure), class("order", ashwood.SideEffect), {
 			Name: "quote", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: ashwood.Token, Group: ashwood.ScopeAll, Window: time.Second}},
-		Limits: ashwood.Limits{MaxAttempts: 6, Cancel: true, Probes: p.nodes > 1, RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond},
+		Limits: ashwood.Limits{MaxAttempts: 6, Cancel: true, Probes: fake.gatewayCount > 1, RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond},
 		Rules:  ashwood.Rules{Release: 500 * time.Millisecond},
-	}, 1, p, c, slog.New(slog.DiscardHandler))
+	}, 1, fake, c, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Update(ashwood.ListWhole, []ashwood.Server{
+	g.UpdateMembership(ashwood.ListWhole, []ashwood.Server{
 		{ID: "r1", Kind: "r", State: ashwood.StateOn}, {ID: "w1", Kind: "w", State: ashwood.StateOn}})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
--- a/internal/platform/engines.go
+++ b/internal/platform/engines.go
@@ -202,7 +202,7 @@
 
 // Send sends an attempt to its engine and returns once the first event of the answer
 // has been read, or the whole answer where it is not a stream.
-func (e *Engines) Send(ctx context.Context, attempt gateway.Attempt) gateway.Answer {
+func (e *Engines) Send(ctx context.Context, attempt gateway.Attempt) gateway.AttemptResult {
 	header := newRequestHeader(attempt.Method, attempt.Target, attempt.Engine.Address)
 	for _, field := range attempt.Header {
 		header.Add(field[0], field[1])
@@ -212,15 +212,15 @@
 	start := e.clock.Now()
 	ready := func() bool { // the time spent on connecting counts against the remaining time
 		header.Set(headerRemaining, strconv.FormatFloat(max(attempt.Remaining-(e.clock.Now()-start), 0)/1000, 'f', 3, 64))
-		return attempt.Ready()
+		return attempt.MayWrite()
 	}
 	var response fasthttp.ResponseHeader
 	choice := anyConn
-	if attempt.Once {
+	if attempt.NonIdempotent {
 		choice = newConn
 	}
 	c, written, err := e.roundTrip(ctx, engineCall{
-		addr: attempt.Engine.Address, choice: choice, header: header, body: attempt.Body, ready: ready, sent: attempt.Sent, abort: e.pool.abandon,
+		addr: attempt.Engine.Address, choice: choice, header: header, body: attempt.Body, ready: ready, sent: attempt.OnSent, abort: e.pool.abandon,
 	}, &response)
 	if err != nil {
 		return failedAnswer(ctx, written, err)
@@ -237,12 +237,12 @@
 			return failedAnswer(ctx, true, err)
 		}
 		result.Status = ashwood.Served
-		return gateway.Answer{Result: result, Stream: stream}
+		return gateway.AttemptResult{Result: result, Stream: stream}
 	}
 	body, err := e.readShortBody(ctx, c, &response, e.pool.abandon)
 	rejected := len(response.Peek(headerRejected)) > 0
 	switch {
-	case code == fasthttp.StatusAccepted && attempt.Reads:
+	case code == fasthttp.StatusAccepted && attempt.Prefill:
 		var cached struct {
 			Tokens float64 `json:"cached_tokens"`
 		}
@@ -250,7 +250,7 @@
 			err = json.Unmarshal(body, &cached)
 		}
 		result.Status, result.Note = ashwood.Parsed, cached.Tokens
-		return gateway.Answer{Result: result, Err: err}
+		return gateway.AttemptResult{Result: result, Err: err}
 	case rejected && (code == fasthttp.StatusServiceUnavailable || code == fasthttp.StatusGatewayTimeout):
 		result.Status = ashwood.TurnedAway
 	case rejected && code == fasthttp.StatusGone:
@@ -258,12 +258,12 @@
 	default:
 		result.Status = ashwood.ServerError
 	}
-	return gateway.Answer{Result: result, Err: fmt.Errorf("platform: engine %s responded with status %d", attempt.Engine.ID, code)}
+	return gateway.AttemptResult{Result: result, Err: fmt.Errorf("platform: engine %s responded with status %d", attempt.Engine.ID, code)}
 }
 
 // failedAnswer returns the status of an attempt without a usable response, which says
 // whether the engine may have run it.
-func failedAnswer(ctx context.Context, written bool, err error) gateway.Answer {
+func failedAnswer(ctx context.Context, written bool, err error) gateway.AttemptResult {
 	status := ashwood.ConnectionLost
 	switch {
 	case written:
@@ -272,7 +272,7 @@
 	default:
 		status = ashwood.NoConnection
 	}
-	return gateway.Answer{Result: ashwood.Result{Status: status}, Err: fmt.Errorf("platform: no response from the engine: %w", err)}
+	return gateway.AttemptResult{Result: ashwood.Result{Status: status}, Err: fmt.Errorf("platform: no response from the engine: %w", err)}
 }
 
 // readShortBody reads a response body of at most maxShortBody bytes and returns the
@@ -309,7 +309,7 @@
 }
 
 // Reserve asks a decode engine for a reservation.
-func (e *Engines) Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, ready func() bool) gateway.Place {
+func (e *Engines) Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, ready func() bool) gateway.ReserveResult {
 	var response fasthttp.ResponseHeader
 	header := newRequestHeader(fasthttp.MethodPost, holdsPath+string(id), engine.Address)
 	header.SetContentLength(0)
@@ -319,15 +319,15 @@
 	}
 	switch code := response.StatusCode(); {
 	case !written:
-		return gateway.PlaceUnasked
+		return gateway.ReserveNotSent
 	case err != nil:
-		return gateway.PlaceUnknown
+		return gateway.ReserveUnknown
 	case code == fasthttp.StatusOK:
-		return gateway.PlaceHeld
+		return gateway.ReserveHeld
 	case code == fasthttp.StatusConflict:
-		return gateway.PlaceRefused
+		return gateway.ReserveRefused
 	}
-	return gateway.PlaceUnknown
+	return gateway.ReserveUnknown
 }
 
 // Release has an engine drop its KV state and reservation for a request. After an
@@ -347,7 +347,7 @@
 	case written && ctx.Err() != nil:
 		return fmt.Errorf("platform: %s: %w: %w", engine.ID, gateway.ErrUnanswered, err)
 	case !written && isLocalError(err):
-		return fmt.Errorf("platform: %s: %w: %w", engine.ID, gateway.ErrLocal, err)
+		return fmt.Errorf("platform: %s: %w: %w", engine.ID, gateway.ErrLocalFailure, err)
 	}
 	return fmt.Errorf("platform: %s: %w", engine.ID, err)
 }
