--- a/internal/platform/abandon_test.go
+++ b/internal/platform/abandon_test.go
@@ -18,7 +18,7 @@
 )
 
 // attempt sends a request to an engine in the background, until ctx ends or it is answered.
-func attempt(ctx context.Context, e *Engines, engine ashwood.Server) <-chan gateway.Answer {
+func sendAsync(ctx context.Context, e *Engines, engine ashwood.Server) <-chan gateway.Answer {
 	answer := make(chan gateway.Answer, 1)
 	go func() {
 		answer <- e.Send(ctx, gateway.Attempt{
@@ -31,7 +31,7 @@
 
 // slowToSee is an engine's end of a connection on which a request has come whole, and the
 // answer so far has been sent. The test goes on from there.
-func slowToSee(t *testing.T, begun string) (ashwood.Server, <-chan *net.TCPConn) {
+func slowEngine(t *testing.T, begun string) (ashwood.Server, <-chan *net.TCPConn) {
 	t.Helper()
 	l, there := listen(t), make(chan *net.TCPConn, 1)
 	go func() {
@@ -59,17 +59,17 @@
 // An attempt that is given up is over once its engine has seen that: until then another one,
 // or the word that trying again does no harm, could come before its end. Whatever the answer
 // had brought, the engine sees the end of what is sent to it first, and no reset.
-func TestAnAttemptGivenUpIsOverWhenItsEngineHasSeenThat(t *testing.T) {
+func TestAbandon_WaitsForEngineToClose(t *testing.T) {
 	const opening = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, begun := range map[string]string{
 		"no answer": "", "half a head": "HTTP/1.1 20", "half a body": "HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\n{",
 		"no event": opening, "half an event": opening + "20\r\ndata", "noise": "\x16\x03\x01",
 	} {
 		c := clock.NewManual(0)
-		e := NewEngines(settings(), c, 9)
-		engine, there := slowToSee(t, begun)
+		e := NewEngines(testSettings(), c, 9)
+		engine, there := slowEngine(t, begun)
 		ctx, cancel := context.WithCancel(t.Context())
-		answer := attempt(ctx, e, engine)
+		answer := sendAsync(ctx, e, engine)
 		peer := <-there
 		cancel()
 		for range 50 { // it is at work, and has not looked
@@ -96,20 +96,20 @@
 
 // A machine that has vanished never says that it has seen the end: the wait has a bound, in
 // time and in what still comes.
-func TestGivingUpIsBounded(t *testing.T) {
+func TestAbandon_Bounds(t *testing.T) {
 	for _, floods := range []bool{false, true} {
 		c := clock.NewManual(0)
-		e := NewEngines(settings(), c, 9)
-		engine, there := slowToSee(t, "")
+		e := NewEngines(testSettings(), c, 9)
+		engine, there := slowEngine(t, "")
 		ctx, cancel := context.WithCancel(t.Context())
-		answer := attempt(ctx, e, engine)
+		answer := sendAsync(ctx, e, engine)
 		peer := <-there
 		cancel()
 		if rest, err := io.ReadAll(peer); len(rest) > 0 || err != nil {
 			t.Fatalf("the engine sees %q, %v", rest, err)
 		}
 		if floods {
-			go io.Copy(peer, endless{})
+			go io.Copy(peer, endlessReader{})
 		}
 		for len(answer) == 0 {
 			if !floods {
@@ -124,6 +124,6 @@
 }
 
 // endless is a source that never ends.
-type endless struct{}
+type endlessReader struct{}
 
-func (endless) Read(p []byte) (int, error) { return len(p), nil }
+func (endlessReader) Read(p []byte) (int, error) { return len(p), nil }
--- a/internal/platform/ahead.go
+++ b/internal/platform/ahead.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// This file reads what clients send while a request of theirs runs: a client that has left is
-// seen behind whatever it has sent ahead, and the bytes go to the next read.
+// This file reads what clients send while one of their requests runs: that is how a disconnect is
+// detected even behind pipelined requests. The bytes go to the next Read.
 
-// Bounds of what is read ahead. Behind more, a client's leaving is seen only when it is written to.
+// Bounds of reading ahead. Once they are reached, a disconnect is noticed only by a failing write.
 const (
-	aheadMost    = 16 << 10            // bytes that each connection may hold; messages to another process take them too
-	aheadFar     = aheadMost + maxBody // where the listener has room: a whole request of the largest size
-	aheadFarRoom = 4 << 20             // for all connections of a listener beyond aheadMost
+	maxReadAhead         = 16 << 10                      // bytes that any connection may hold; a handover message has room for as many
+	maxReadAheadExtended = maxReadAhead + maxRequestBody // while the listener's budget allows: a whole request of the largest size
+	extraReadAheadBudget = 4 << 20                       // bytes beyond maxReadAhead, for all connections of a listener
 )
 
-// watch calls gone once if the client closes its side before unwatch. Requests that it has
-// sent ahead do not hide that.
-func (c *clientConn) watch(gone func()) {
+// watchDisconnect calls onDisconnect once if the client closes its side before stopWatch. Pipelined
+// requests do not hide the close.
+func (c *clientConn) watchDisconnect(onDisconnect func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.shut || !c.mayReadAhead() {
+	if c.writeClosed || !c.canReadAhead() {
 		return
 	}
 	c.Conn.SetReadDeadline(time.Time{})
-	quit := make(chan struct{})
-	c.quit = quit
+	done := make(chan struct{})
+	c.watchDone = done
 	go func() {
-		defer close(quit)
-		var b [512]byte
+		defer close(done)
+		var buffer [512]byte
 		for {
-			n, err := c.receive(b[:])
+			n, err := c.readNetwork(buffer[:])
 			c.mu.Lock()
-			c.ahead = append(c.ahead, b[:n]...)
-			full := !c.mayReadAhead()
-			ne, ok := err.(net.Error)
-			timeout := ok && ne.Timeout() // unwatch
+			c.readAhead = append(c.readAhead, buffer[:n]...)
+			full := !c.canReadAhead()
+			netErr, ok := err.(net.Error)
+			timeout := ok && netErr.Timeout() // set by stopWatch
 			c.mu.Unlock()
 			if err != nil && !timeout {
-				gone()
+				onDisconnect()
 			}
 			if err != nil || full {
 				return
@@ -48,88 +48,90 @@
 	}()
 }
 
-// unwatch ends the watch, so that the connection can be read again.
-func (c *clientConn) unwatch() {
+// stopWatch ends the watch, so that the connection can be read again.
+func (c *clientConn) stopWatch() {
 	c.mu.Lock()
-	quit := c.quit
-	c.quit = nil
+	quit := c.watchDone
+	c.watchDone = nil
 	c.mu.Unlock()
 	if quit == nil {
 		return
 	}
-	c.readUntil(time.Unix(1, 0))
+	c.limitRead(time.Unix(1, 0))
 	<-quit
-	c.readUntil(time.Time{})
+	c.limitRead(time.Time{})
 }
 
-// Read gives first what the watch has read.
+// Read returns first what the watch has read ahead.
 func (c *clientConn) Read(p []byte) (int, error) {
-	if c.ended {
-		c.again()
-		if c.l.isStopped() { // who closed idle connections has not seen this one
-			c.closeUnread()
+	if c.answerEnded {
+		c.awaitNextRequest()
+		if c.listener.isClosingIdle() { // closeWaiting did not see this connection
+			c.closeIfNoRequest()
 		}
 	}
 	c.mu.Lock()
-	n := copy(p, c.ahead)
-	c.fromAhead = c.fromAhead || n > 0
-	c.ahead = c.ahead[n:]
-	c.lend()
+	n := copy(p, c.readAhead)
+	c.usedReadAhead = c.usedReadAhead || n > 0
+	c.readAhead = c.readAhead[n:]
+	c.updateExtraReadAhead()
 	c.mu.Unlock()
 	if n == 0 {
 		var err error
-		if n, err = c.receive(p); err != nil {
+		if n, err = c.readNetwork(p); err != nil {
 			return n, err
 		}
 	}
-	c.heard()
-	c.got += n
+	c.recordRead()
+	c.bytesRead += n
 	return n, nil
 }
 
-// finish tells that an answer has been passed on whole whose head did not say that the
-// connection closes behind it: what its client has sent ahead is owed an answer too.
-func (c *clientConn) finish() {
+// checkPipelined is called after a complete answer whose head did not announce a close. It records
+// whether the client has pipelined another request, which must be answered too.
+func (c *clientConn) checkPipelined() {
 	c.mu.Lock()
-	ahead := len(c.ahead)
+	pipelined := len(c.readAhead)
 	c.mu.Unlock()
-	c.owes.Store(ahead > 0 || c.counted && c.got > c.taken)
+	c.owesPipelinedAnswer.Store(pipelined > 0 || c.parsedLengthKnown && c.bytesRead > c.bytesParsed)
 }
 
-// sentAhead tells whether the request that has just been read came, or a part of it, before the answer ahead of it had ended.
-func (c *clientConn) sentAhead() bool {
-	if c.ended { // it was read whole with the one before
-		c.again()
+// isPipelined reports whether at least part of the request that has just been read arrived before the
+// previous answer had ended.
+func (c *clientConn) isPipelined() bool {
+	if c.answerEnded { // it was read whole together with the previous request
+		c.awaitNextRequest()
 		return true
 	}
-	ahead := c.fromAhead
-	c.fromAhead = false
-	return ahead
+	pipelined := c.usedReadAhead
+	c.usedReadAhead = false
+	return pipelined
 }
 
-// sentAheadRefusal is the answer to a request that was sent ahead on a connection that closes.
-var sentAheadRefusal = []byte(fmt.Sprintf("HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\n"+
+// pipelinedRefusal answers a pipelined request on a connection that closes.
+var pipelinedRefusal = []byte(fmt.Sprintf("HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\n"+
 	"Content-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\n\r\n%s", len(refusedText), refusedText))
 
-// refuseSentAhead refuses what was sent ahead and will not be read as a request any more.
-func (c *clientConn) refuseSentAhead() {
-	if c.owes.Swap(false) {
-		// Who does not take it has left, or sees the connection's end.
-		_, _ = c.Write(sentAheadRefusal)
+// refusePipelined refuses a pipelined request that will not be read any more.
+func (c *clientConn) refusePipelined() {
+	if c.owesPipelinedAnswer.Swap(false) {
+		// On an error the client has left, or sees the end of the connection.
+		_, _ = c.Write(pipelinedRefusal)
 	}
 }
 
-// mayReadAhead tells whether there is room for more. The connection's lock is held.
-func (c *clientConn) mayReadAhead() bool {
-	c.lend()
-	return len(c.ahead) < aheadMost || len(c.ahead) < aheadFar && c.l.lent.Load() < aheadFarRoom
+// canReadAhead reports whether more may be read ahead. The connection's lock must be held.
+func (c *clientConn) canReadAhead() bool {
+	c.updateExtraReadAhead()
+	return len(c.readAhead) < maxReadAhead || len(c.readAhead) < maxReadAheadExtended && c.listener.extraReadAhead.Load() < extraReadAheadBudget
 }
 
-// lend books what the connection holds beyond its own room. The connection's lock is held.
-func (c *clientConn) lend() {
-	far := int64(max(len(c.ahead)-aheadMost, 0))
-	if c.shut { // what it holds goes with it
-		far = 0
+// updateExtraReadAhead accounts for what the connection holds beyond maxReadAhead. The connection's lock
+// must be held.
+func (c *clientConn) updateExtraReadAhead() {
+	extra := int64(max(len(c.readAhead)-maxReadAhead, 0))
+	if c.writeClosed { // its buffer is dropped with it
+		extra = 0
 	}
-	c.l.lent.Add(far - c.lent.Swap(far))
+	c.listener.extraReadAhead.Add(extra - c.extraReadAhead.Swap(extra))
 }
--- a/internal/platform/closing.go
+++ b/internal/platform/closing.go
@@ -12,178 +12,179 @@
 	"ashwood.example/ashwood/internal/sockcall"
 )
 
-// This file closes clients' connections in two steps. A close over bytes that have not been
-// read resets the connection, and takes answers with it that its client has not read; and a
-// request may be under way in the very moment in which a resting connection is closed. So
-// the write side is shut first: the client sees the end of the answer, or that its request
-// was not read. What still comes is read to a bound and dropped, and then it is closed.
+// This file closes clients' connections in two steps (lingering close). Closing a connection with
+// unread bytes resets it, and discards answers that its client has not read yet; and a client may be
+// sending a request at the moment its idle connection is closed. So the write side is closed first: the
+// client sees the end of the answer, or that its request was not read. What still arrives is read up
+// to a bound and dropped, and then the connection is closed.
 //
-// A connection's lock comes before its listener's.
+// Lock order: a connection's lock before its listener's.
 
 // Bounds of the second step.
 const (
-	lingerTime  = 500 * time.Millisecond // for the client to close in turn
-	lingerBytes = maxBody                // that may still come; none of it is sent on
-	hostLingers = 64                     // at once, where a listener has no limit
+	lingerTimeout       = 500 * time.Millisecond // for the client to close its side
+	maxLingerBytes      = maxRequestBody         // that may still arrive; nothing of it reaches an engine
+	maxClosingUnlimited = 64                     // connections closing at once, for a listener without a limit
 )
 
-// Close shuts the connection; its descriptor goes with the second step. It may be called
-// again, and by others than who reads it.
+// Close begins closing the connection; its descriptor is released in the second step. It may be called
+// more than once, and by any goroutine.
 func (c *clientConn) Close() error {
-	c.l.mu.Lock()
-	c.l.leave(c)
-	c.l.mu.Unlock()
-	c.refuseSentAhead()
-	c.shutdown()
+	c.listener.mu.Lock()
+	c.listener.markClosing(c)
+	c.listener.mu.Unlock()
+	c.refusePipelined()
+	c.startClose()
 	return nil
 }
 
-// shutdown is the first step. Where somebody reads from the connection, the second is left
-// to that moment in which the read ends.
-func (c *clientConn) shutdown() {
+// startClose is the first step. If a goroutine is reading from the connection, the second step begins
+// when that read ends.
+func (c *clientConn) startClose() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.shutLocked()
+	c.startCloseLocked()
 }
 
-// closeUnread closes the connection unless a byte of a request has come, and tells whether it has. What
-// has come and is not read yet would be dropped with the connection: its reader is late, or has not begun.
-func (c *clientConn) closeUnread() bool {
+// closeIfNoRequest closes the connection unless bytes of a request have arrived, and reports whether it
+// has. Bytes that have arrived but are not read yet, because the reading goroutine is late or has not
+// started, would be dropped with the connection.
+func (c *clientConn) closeIfNoRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reading.Load() || c.bytesWait() {
+	if c.requestStarted.Load() || c.hasUnreadBytes() {
 		return false
 	}
-	c.l.mu.Lock()
-	waits := c.place != nil
+	c.listener.mu.Lock()
+	waits := c.waitingElement != nil
 	if waits {
-		c.l.leave(c)
+		c.listener.markClosing(c)
 	}
-	c.l.mu.Unlock()
+	c.listener.mu.Unlock()
 	if waits {
-		c.shutResting()
+		c.closeIdleLocked()
 	}
 	return waits
 }
 
-// closeResting closes a connection that has left the count without an open request.
-func (c *clientConn) closeResting() {
+// closeIdle closes a connection without an open request that is no longer counted as open.
+func (c *clientConn) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.shutResting()
+	c.closeIdleLocked()
 }
 
-// shutResting is the first step for a connection that has left the count, with its lock held. Where somebody is reading from it, the
-// step is left to that moment in which the read ends: it may have brought a request, which is owed an
-// answer. Such a connection goes back into the count.
-func (c *clientConn) shutResting() {
-	_, half := c.Conn.(interface{ CloseWrite() error })
+// closeIdleLocked is the first step for a connection that is no longer counted as open. The connection's
+// lock must be held. If a goroutine is reading from it, the step is left until that read ends: it may
+// have read part of a request, which must be answered. Such a connection is counted as open again.
+func (c *clientConn) closeIdleLocked() {
+	_, canHalfClose := c.Conn.(interface{ CloseWrite() error })
 	switch {
-	case c.reading.Load() && !c.shut:
-		c.l.rejoin(c)
-	case c.inRead && half && !c.shut:
-		c.closeAsked = true
+	case c.requestStarted.Load() && !c.writeClosed:
+		c.listener.unmarkClosing(c)
+	case c.readInProgress && canHalfClose && !c.writeClosed:
+		c.closePending = true
 		c.Conn.SetReadDeadline(time.Unix(1, 0))
 	default:
-		c.shutLocked()
+		c.startCloseLocked()
 	}
 }
 
-// shutLocked is the first step, with the connection's lock held.
-func (c *clientConn) shutLocked() {
-	if c.shut {
-		if c.cutOff { // who reads it has woken
-			c.l.forget(c)
+// startCloseLocked is the first step. The connection's lock must be held.
+func (c *clientConn) startCloseLocked() {
+	if c.writeClosed {
+		if c.aborted { // the reading goroutine has returned
+			c.listener.markClosed(c)
 		}
 		return
 	}
-	c.shut = true
-	half, ok := c.Conn.(interface{ CloseWrite() error })
+	c.writeClosed = true
+	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
 	switch {
-	case !ok || half.CloseWrite() != nil: // of another kind, or its client has reset it
+	case !ok || halfCloser.CloseWrite() != nil: // not a TCP connection, or its client has reset it
 		c.Conn.Close()
-		c.l.forget(c)
-	case c.inRead:
+		c.listener.markClosed(c)
+	case c.readInProgress:
 		c.Conn.SetReadDeadline(time.Unix(1, 0))
 	default:
 		go c.linger()
 	}
 }
 
-// cut closes a connection at once that owes nobody an answer. Its descriptor counts as gone
-// when who reads it has woken, and closes it in turn.
-func (c *clientConn) cut() {
+// abort closes at once a connection that needs no further answer. Its descriptor counts as closed when the
+// reading goroutine has returned and calls Close.
+func (c *clientConn) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.shut, c.cutOff = true, true
+	c.writeClosed, c.aborted = true, true
 	c.Conn.Close()
 }
 
-// receive reads from the network, nothing any more once the connection is shut.
-func (c *clientConn) receive(p []byte) (int, error) {
+// readNetwork reads from the network, and returns nothing any more once the connection is closing.
+func (c *clientConn) readNetwork(p []byte) (int, error) {
 	c.mu.Lock()
-	if c.shut && !c.cutOff { // of one that was cut off, the connection itself says so
+	if c.writeClosed && !c.aborted { // on an aborted connection the read itself fails
 		c.mu.Unlock()
 		return 0, net.ErrClosed
 	}
-	c.inRead = true
+	c.readInProgress = true
 	c.mu.Unlock()
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for n == 0 && c.keepForBytes() {
+	for n == 0 && c.cancelPendingClose() {
 		c.mu.Unlock()
 		n, err = c.Conn.Read(p)
 		c.mu.Lock()
 	}
-	c.inRead = false
-	if c.endResting(n > 0) {
+	c.readInProgress = false
+	if c.finishPendingClose(n > 0) {
 		return 0, net.ErrClosed
 	}
-	if !c.shut {
-		if n > 0 { // from now on it is owed an answer
-			c.reading.Store(true)
+	if !c.writeClosed {
+		if n > 0 { // from now on an answer is due
+			c.requestStarted.Store(true)
 		}
 		return n, err
 	}
-	if !c.cutOff {
+	if !c.aborted {
 		go c.linger()
 	}
 	return 0, net.ErrClosed
 }
 
-// endResting shuts a connection of which that has been asked during a read, unless this has brought something. The lock is held. It tells
-// whether it has.
-func (c *clientConn) endResting(brought bool) bool {
-	if !c.closeAsked {
+// finishPendingClose makes a close that was requested during a read, unless the read returned bytes. It
+// reports whether it has. The connection's lock must be held.
+func (c *clientConn) finishPendingClose(gotBytes bool) bool {
+	if !c.closePending {
 		return false
 	}
-	c.closeAsked = false
+	c.closePending = false
 	switch {
-	case c.shut:
+	case c.writeClosed:
 		return false
-	case brought:
-		c.l.rejoin(c)
-		c.Conn.SetReadDeadline(c.readBound)
+	case gotBytes:
+		c.listener.unmarkClosing(c)
+		c.Conn.SetReadDeadline(c.readDeadline)
 		return false
 	}
-	c.shutLocked()
+	c.startCloseLocked()
 	return true
 }
 
-// keepForBytes has a connection that was to be closed go on, where its reader was woken for that and bytes
-// have come that it has not seen. The lock is held.
-func (c *clientConn) keepForBytes() bool {
-	if !c.closeAsked || c.shut || !c.bytesWait() {
+// cancelPendingClose keeps open a connection whose reader was interrupted for a close, if bytes have
+// arrived that it has not read. The connection's lock must be held.
+func (c *clientConn) cancelPendingClose() bool {
+	if !c.closePending || c.writeClosed || !c.hasUnreadBytes() {
 		return false
 	}
-	c.closeAsked = false
-	c.l.rejoin(c)
-	return c.Conn.SetReadDeadline(c.readBound) == nil
+	c.closePending = false
+	c.listener.unmarkClosing(c)
+	return c.Conn.SetReadDeadline(c.readDeadline) == nil
 }
 
-// bytesWait tells whether the system holds bytes that have not been read; false where it does not say.
-func (c *clientConn) bytesWait() bool {
+// hasUnreadBytes reports whether the kernel holds unread bytes; false where that can't be determined.
+func (c *clientConn) hasUnreadBytes() bool {
 	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -196,18 +197,18 @@
 	return err == nil && count > 0
 }
 
-// readUntil bounds reads of requests; the second step has a bound of its own.
-func (c *clientConn) readUntil(t time.Time) error {
+// limitRead sets the deadline for reading requests; the second step of a close has its own deadline.
+func (c *clientConn) limitRead(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.shut && !c.cutOff {
+	if c.writeClosed && !c.aborted {
 		return net.ErrClosed
 	}
-	if by := c.l.readBy.Load(); by != nil && t.After(*by) {
+	if by := c.listener.readLimit.Load(); by != nil && t.After(*by) {
 		t = *by
 	}
-	c.readBound = t
-	if c.closeAsked { // its reader is being woken
+	c.readDeadline = t
+	if c.closePending { // its reader is being interrupted
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
@@ -215,48 +216,48 @@
 
 // linger is the second step.
 func (c *clientConn) linger() {
-	l := c.l
+	l := c.listener
 	l.mu.Lock()
-	c.lingers = l.lingering.PushBack(c)
+	c.lingeringElement = l.lingering.PushBack(c)
 	l.mu.Unlock()
-	if c.Conn.SetReadDeadline(time.Now().Add(lingerTime)) == nil {
-		// Any error is an end: the client's, or that of the time.
-		_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, lingerBytes))
+	if c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil {
+		// Any error ends it: the client's close, or the timeout.
+		_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes))
 	}
 	c.Conn.Close()
-	l.forget(c)
+	l.markClosed(c)
 }
 
-// closeIdle closes the connections without a request, now and as they come, and counts them.
-func (l *listener) closeIdle() (closed int) {
+// closeWaiting closes the connections without a request, now and as they are accepted, and counts them.
+func (l *listener) closeWaiting() (closed int) {
 	l.mu.Lock()
-	l.stopped = true
+	l.closingIdle = true
 	l.mu.Unlock()
-	for _, c := range l.withoutRequest() {
-		if c.closeUnread() {
+	for _, c := range l.waitingConns() {
+		if c.closeIfNoRequest() {
 			closed++
 		}
 	}
 	return closed
 }
 
-// isStopped tells whether connections without a request are closed.
-func (l *listener) isStopped() bool {
+// isClosingIdle reports whether connections without a request are closed.
+func (l *listener) isClosingIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.stopped
+	return l.closingIdle
 }
 
-// expire ends the wait for requests of which a part has been read: each gets its error.
-func (l *listener) expire() {
-	for _, c := range l.withoutRequest() {
-		// It fails where the connection has ended, which is as well.
-		_ = c.readUntil(time.Now())
+// expireReads ends the wait for requests that have been read in part: each gets its error.
+func (l *listener) expireReads() {
+	for _, c := range l.waitingConns() {
+		// An error means that the connection has ended, so there is nothing left to do.
+		_ = c.limitRead(time.Now())
 	}
 }
 
-// withoutRequest gives the connections from which no whole request has been read.
-func (l *listener) withoutRequest() (waiting []*clientConn) {
+// waitingConns returns the connections from which no whole request has been read.
+func (l *listener) waitingConns() (waiting []*clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for e := l.waiting.Front(); e != nil; e = e.Next() {
@@ -265,74 +266,73 @@
 	return waiting
 }
 
-// forget tells that a connection's descriptor is gone.
-func (l *listener) forget(c *clientConn) {
+// markClosed records that a connection's descriptor is closed.
+func (l *listener) markClosed(c *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.gone {
+	if c.closed {
 		return
 	}
-	c.gone = true
-	l.lent.Add(-c.lent.Swap(0))
-	if c.lingers != nil {
-		l.lingering.Remove(c.lingers)
-		c.lingers = nil
+	c.closed = true
+	l.extraReadAhead.Add(-c.extraReadAhead.Swap(0))
+	if c.lingeringElement != nil {
+		l.lingering.Remove(c.lingeringElement)
+		c.lingeringElement = nil
 	}
 	l.closing--
-	l.woken.Broadcast()
+	l.changed.Broadcast()
 }
 
-// closingRoom is how many connections may be closed and yet be there, each with its descriptor.
-func (l *listener) closingRoom() int {
+// maxClosing is how many closing connections may still hold a descriptor.
+func (l *listener) maxClosing() int {
 	if l.limit == 0 {
-		return hostLingers
+		return maxClosingUnlimited
 	}
-	return l.limit / closingShare
+	return l.limit / closingDivisor
 }
 
-// cutOldest ends the second step of the connection that has been in it for longest, and tells
-// whether there was one. Its descriptor is gone once its reader has woken.
-func (l *listener) cutOldest() bool {
+// abortOldestLingering ends the second step of the connection that has been in it longest, and reports
+// whether there was one. Its descriptor counts as closed once its reading goroutine has returned.
+func (l *listener) abortOldestLingering() bool {
 	e := l.lingering.Front()
 	if e == nil {
 		return false
 	}
 	c := e.Value.(*clientConn)
 	l.lingering.Remove(e)
-	c.lingers = nil
+	c.lingeringElement = nil
 	c.Conn.Close()
 	return true
 }
 
-// waitOpen waits until no connection is open, but for those whose clients may still send.
-func (l *listener) waitOpen(ctx context.Context) error {
+// waitNoneOpen waits until no connection is open, not counting those in the second step of their close.
+func (l *listener) waitNoneOpen(ctx context.Context) error {
 	defer context.AfterFunc(ctx, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.woken.Broadcast()
+		l.changed.Broadcast()
 	})()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.open > 0 && ctx.Err() == nil {
-		l.woken.Wait()
+		l.changed.Wait()
 	}
 	return ctx.Err()
 }
 
-// wait waits until the descriptors of all connections are gone, for as long as a second step
-// may take.
-func (l *listener) wait() {
+// waitAllClosed waits until the descriptors of all connections are closed, for at most lingerTimeout.
+func (l *listener) waitAllClosed() {
 	over := false
-	stop := time.AfterFunc(lingerTime, func() {
+	stop := time.AfterFunc(lingerTimeout, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		over = true
-		l.woken.Broadcast()
+		l.changed.Broadcast()
 	})
 	defer stop.Stop()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for !over && l.open+l.closing > 0 {
-		l.woken.Wait()
+		l.changed.Wait()
 	}
 }
--- a/internal/platform/conn.go
+++ b/internal/platform/conn.go
@@ -14,57 +14,59 @@
 	"github.com/valyala/fasthttp"
 )
 
-// writeWait bounds one write to a client that does not read.
-const writeWait = 10 * time.Second
+// writeTimeout bounds each write to a client that does not read.
+const writeTimeout = 10 * time.Second
 
-// Listener wraps one so that its connections tell when their client leaves.
-func Listener(l net.Listener) net.Listener { return newListener(l, 0) }
+// WrapListener returns a listener whose connections detect that their client has disconnected while a
+// request runs. It has no connection limit.
+func WrapListener(l net.Listener) net.Listener { return newListener(l, 0) }
 
 func newListener(l net.Listener, limit int) *listener {
-	in := &listener{Listener: l, begun: time.Now(), most: limit, limit: limit, log: slog.New(slog.DiscardHandler)}
-	in.woken.L = &in.mu
-	return in
+	wrapped := &listener{Listener: l, started: time.Now(), maxConns: limit, limit: limit, log: slog.New(slog.DiscardHandler)}
+	wrapped.changed.L = &wrapped.mu
+	return wrapped
 }
 
-// listener holds at most limit connections open, without a limit where that is
-// 0. For a new one beyond, it closes one that waits without a request: clients may
-// keep connections that they never use again, or open thousands and never finish a
-// request, and those that do ask must still get in, though some write for seconds.
+// listener keeps at most limit connections open; 0 means no limit. When a new connection exceeds the
+// limit, one without an open request is closed for it: clients may keep connections that they never
+// use again, or open thousands and never finish a request. Clients that do send requests must still
+// get in, although some take seconds to write one.
 type listener struct {
 	net.Listener
-	begun time.Time            // ages count from it: readings of the wall clock can't be compared
-	most  int                  // for one process alone
-	give  atomic.Pointer[Give] // to another process; nil = answers end here
-	log   *slog.Logger
-
-	mu          sync.Mutex
-	limit       int // for this one of several
-	open        int
-	waiting     list.List    // of *clientConn without an open request, longest first
-	lent        atomic.Int64 // bytes that connections have read far ahead
-	closing     int          // that have left the count, and whose descriptors are there yet
-	lingering   list.List    // of these, *clientConn whose clients may still send, the first first
-	woken       sync.Cond    // a descriptor is gone
-	ended       bool
-	queueTaken  chan struct{}             // closed once the system's queue is empty at the end; nil = not asked for
-	queueFrom   time.Time                 // since when that is looked for
-	queueSealed bool                      // the system takes no new connection into it
-	stopped     bool                      // connections without a request are closed at once
-	stopOnce    sync.Once                 // of stopAccepting
-	readBy      atomic.Pointer[time.Time] // no request is read for longer; nil = not told
+	started  time.Time                    // monotonic reference for ages: wall-clock readings can't be compared
+	maxConns int                          // limit when this process is the only one
+	handover atomic.Pointer[HandoverFunc] // sends answers to another process; nil = answers finish here
+	log      *slog.Logger
+
+	mu                sync.Mutex
+	limit             int // this process's part of maxConns
+	open              int
+	waiting           list.List    // *clientConn without an open request, the longest-waiting first
+	extraReadAhead    atomic.Int64 // bytes read ahead beyond maxReadAhead, over all connections
+	closing           int          // connections no longer counted as open whose descriptors still exist
+	lingering         list.List    // *clientConn of these whose clients may still send, oldest first
+	changed           sync.Cond    // signalled when a count above changes or the listener closes
+	closed            bool
+	queueDrained      chan struct{}             // closed once the accept queue is empty at the end; nil = not requested
+	queueDrainStart   time.Time                 // when the current wait for the accept queue began
+	handshakesDropped bool                      // the kernel was told to drop new handshakes
+	closingIdle       bool                      // connections without a request are closed at once
+	stopOnce          sync.Once                 // guards stopAccepting
+	readLimit         atomic.Pointer[time.Time] // no request is read for longer than this; nil = no bound
 }
 
-// busyShare is the part of a listener's connections that may have a request
-// open, so that there is always one to close for a new one.
-const busyShare = 0.8
+// maxBusyShare is the share of a listener's connections that may have a request open, so that there is
+// always one that can be closed for a new connection.
+const maxBusyShare = 0.8
 
-// closingShare is the part of a listener's limit that may be closed and yet be there, each
-// with its descriptor and its reader. Where the processor lags behind, new connections wait
-// in the system's queue rather than being turned back.
-const closingShare = 16
+// closingDivisor bounds the connections that are closing but still hold a descriptor and a reader: to
+// the listener's limit divided by it. When the processor lags behind, new connections wait in the
+// kernel's accept queue instead of being closed.
+const closingDivisor = 16
 
-// scarceWait is between tries to accept where the machine has no descriptor or memory left.
-const scarceWait = 10 * time.Millisecond
+// acceptRetryDelay is the pause between attempts to accept after an error, such as a lack of
+// descriptors or memory.
+const acceptRetryDelay = 10 * time.Millisecond
 
 func (l *listener) Accept() (net.Conn, error) {
 	nc, err := l.accept()
@@ -72,93 +74,92 @@
 		return nil, err
 	}
 	now := time.Now()
-	c := &clientConn{Conn: nc, l: l, came: now, first: now.Add(readTimeout)}
-	c.heard()
-	nc.SetReadDeadline(c.first)
+	c := &clientConn{Conn: nc, listener: l, acceptedAt: now, firstRequestDeadline: now.Add(readTimeout)}
+	c.recordRead()
+	nc.SetReadDeadline(c.firstRequestDeadline)
 	l.mu.Lock()
-	old, why := l.oldest(now)
+	evicted, why := l.evictIfFull(now)
 	l.open++
-	c.place = l.waiting.PushBack(c)
-	stopped := l.stopped
+	c.waitingElement = l.waiting.PushBack(c)
+	stopped := l.closingIdle
 	l.mu.Unlock()
-	l.turnBack(old, why)
+	l.closeEvicted(evicted, why)
 	if stopped {
-		c.closeUnread()
+		c.closeIfNoRequest()
 	}
 	return c, nil
 }
 
-// accept takes the next connection, once there is room for it. A machine that has no
-// descriptor left, or can't accept for another reason, is waited for: fasthttp would end the
-// server, and all requests with it. Without a limit, that and all else is for whoever serves
-// the listener.
+// accept returns the next connection once there is room for it. When the machine has no descriptor
+// left, or accepting fails for another reason, it retries: fasthttp would stop the server, and all
+// requests with it. Without a limit, the owner of the listener handles all errors itself.
 func (l *listener) accept() (net.Conn, error) {
-	for scarce := false; ; {
+	for warned := false; ; {
 		l.mu.Lock()
-		for !l.ended && l.closing > l.closingRoom() {
-			l.cutOldest()
-			l.woken.Wait()
+		for !l.closed && l.closing > l.maxClosing() {
+			l.abortOldestLingering()
+			l.changed.Wait()
 		}
 		l.mu.Unlock()
-		if l.sealedQueueIsEmpty() {
+		if l.queueIsEmpty() {
 			return nil, net.ErrClosed
 		}
 		nc, err := l.Listener.Accept()
-		if over, goOn := l.endOfQueue(err); over {
+		if ended, retry := l.checkQueueEnd(err); ended {
 			return nil, net.ErrClosed
-		} else if goOn {
+		} else if retry {
 			continue
 		}
-		if err == nil || l.most == 0 || errors.Is(err, net.ErrClosed) {
+		if err == nil || l.maxConns == 0 || errors.Is(err, net.ErrClosed) {
 			return nc, err
 		}
-		if !scarce {
-			scarce = true
-			l.log.Warn("a client's connection has to wait", "err", err)
+		if !warned {
+			warned = true
+			l.log.Warn("accepting a client's connection failed, retrying", "err", err)
 		}
-		if slices.ContainsFunc(scarcity, func(e error) bool { return errors.Is(err, e) }) {
-			l.makeRoom()
+		if slices.ContainsFunc(resourceErrors, func(e error) bool { return errors.Is(err, e) }) {
+			l.freeDescriptor()
 		}
-		time.Sleep(scarceWait)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-// makeRoom closes the connection that is the first to go, for its descriptor.
-func (l *listener) makeRoom() {
+// freeDescriptor closes the connection that is first in the eviction order, to get its descriptor.
+func (l *listener) freeDescriptor() {
 	l.mu.Lock()
-	var old *clientConn
+	var evicted *clientConn
 	var why string
-	if !l.cutOldest() {
-		old, why = l.least(time.Now())
+	if !l.abortOldestLingering() {
+		evicted, why = l.evict(time.Now())
 	}
 	l.mu.Unlock()
-	l.turnBack(old, why)
+	l.closeEvicted(evicted, why)
 }
 
-// scarcity is what the machine says when it has no descriptor or memory for a connection.
-var scarcity = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
+// resourceErrors are the errors of a machine without a descriptor or memory for a connection.
+var resourceErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
-// turnBack closes a connection that has left the count for another; nil = none.
-func (l *listener) turnBack(c *clientConn, why string) {
+// closeEvicted closes a connection that is no longer counted as open, to make room; nil = none.
+func (l *listener) closeEvicted(c *clientConn, why string) {
 	if c == nil {
 		return
 	}
-	if c.served { // its last answer may be under way, or a request be read just now
-		c.closeResting()
+	if c.served { // its last answer may still be in flight, or a request may just be being read
+		c.closeIdle()
 	} else {
-		c.cut()
+		c.abort()
 	}
-	l.log.Debug("turned back", "why", why, "ms", time.Since(c.came).Milliseconds())
+	l.log.Debug("connection closed to make room", "why", why, "ms", time.Since(c.acceptedAt).Milliseconds())
 }
 
-// Close ends Accept, also one that waits for room. It may be called again.
+// Close ends Accept, even while it waits for room. It may be called more than once.
 func (l *listener) Close() error {
 	l.mu.Lock()
-	l.ended = true
-	l.woken.Broadcast()
+	l.closed = true
+	l.changed.Broadcast()
 	inner := l.Listener
 	l.mu.Unlock()
-	if inner == nil { // it was never served
+	if inner == nil { // Serve was never called
 		return nil
 	}
 	if err := inner.Close(); !errors.Is(err, net.ErrClosed) {
@@ -167,58 +168,58 @@
 	return nil
 }
 
-// share leaves this process its part of the connections; those beyond it that have no
-// request are closed.
+// share limits this process to its part of the connections. Excess connections without a request are
+// closed.
 func (l *listener) share(processes int) {
-	if l.most == 0 {
+	if l.maxConns == 0 {
 		return
 	}
-	var over []*clientConn
+	var excess []*clientConn
 	l.mu.Lock()
-	l.limit = max(l.most/max(processes, 1), 1)
+	l.limit = max(l.maxConns/max(processes, 1), 1)
 	for l.open > l.limit {
-		old, _ := l.oldest(time.Now())
-		if old == nil {
+		evicted, _ := l.evictIfFull(time.Now())
+		if evicted == nil {
 			break
 		}
-		over = append(over, old)
+		excess = append(excess, evicted)
 	}
 	l.mu.Unlock()
-	for _, c := range over {
-		l.turnBack(c, "shared")
+	for _, c := range excess {
+		l.closeEvicted(c, "shared")
 	}
 }
 
-// silentAfter is how long a new connection may bring nothing before it is no client's:
-// those that ask write at once.
-const silentAfter = 500 * time.Millisecond
+// silentTimeout is how long a new connection may send nothing before it is first in line for eviction:
+// clients that have a request write at once.
+const silentTimeout = 500 * time.Millisecond
 
-// oldest gives the connection to close for a new one, nil where there is room.
-func (l *listener) oldest(now time.Time) (c *clientConn, why string) {
+// evictIfFull evicts a connection for a new one; nil if there is room.
+func (l *listener) evictIfFull(now time.Time) (c *clientConn, why string) {
 	if l.limit == 0 || l.open < l.limit {
 		return nil, ""
 	}
-	return l.least(now)
+	return l.evict(now)
 }
 
-// least takes out the connection that is the first to go, nil where all have requests, and
-// says why that one: one that has said nothing since it came, for long; else one that has been
-// served and is idle; of these the one that has waited longest. Else, of those whose first
-// request is not whole, the one that has brought nothing for longest: who writes slowly still
-// writes, and one that has just come may not have been read yet.
-func (l *listener) least(now time.Time) (c *clientConn, why string) {
+// evict selects a connection without an open request, marks it as closing and returns it with the
+// reason; nil if all have requests. First goes one that has sent nothing for silentTimeout since it was
+// accepted; then the connection that has been idle longest after an answer; then, of those with an
+// unfinished first request, the one that has sent nothing for longest: a slow writer still writes,
+// and a connection accepted just now may not have been read yet.
+func (l *listener) evict(now time.Time) (c *clientConn, why string) {
 	var idle, unfinished *clientConn
 	for e := l.waiting.Front(); e != nil; e = e.Next() {
-		v := e.Value.(*clientConn)
-		switch reading := v.reading.Load(); {
-		case v.served && reading: // a later request that has been read in part is owed an answer
-		case v.served && idle == nil:
-			idle = v
-		case !v.served && !reading && now.Sub(v.came) >= silentAfter:
-			l.leave(v)
-			return v, "silent"
-		case !v.served && (unfinished == nil || v.latest.Load() < unfinished.latest.Load()):
-			unfinished = v
+		candidate := e.Value.(*clientConn)
+		switch reading := candidate.requestStarted.Load(); {
+		case candidate.served && reading: // a later request that has been read in part must be answered
+		case candidate.served && idle == nil:
+			idle = candidate
+		case !candidate.served && !reading && now.Sub(candidate.acceptedAt) >= silentTimeout:
+			l.markClosing(candidate)
+			return candidate, "silent"
+		case !candidate.served && (unfinished == nil || candidate.lastRead.Load() < unfinished.lastRead.Load()):
+			unfinished = candidate
 		}
 	}
 	switch {
@@ -229,138 +230,138 @@
 	default:
 		return nil, ""
 	}
-	l.leave(c)
+	l.markClosing(c)
 	return c, why
 }
 
-// leave takes a connection out of the count that is about to be closed.
-func (l *listener) leave(c *clientConn) {
-	if c.left {
+// markClosing moves a connection that is about to be closed from the open count to the closing count.
+func (l *listener) markClosing(c *clientConn) {
+	if c.markedClosing {
 		return
 	}
-	c.left = true
+	c.markedClosing = true
 	l.open--
 	l.closing++
-	l.woken.Broadcast() // a shutdown may wait for it
-	if c.place != nil {
-		l.waiting.Remove(c.place)
-		c.place = nil
+	l.changed.Broadcast() // a shutdown may wait for it
+	if c.waitingElement != nil {
+		l.waiting.Remove(c.waitingElement)
+		c.waitingElement = nil
 	}
 }
 
-// rejoin takes a connection back into the count that was about to be closed, as a request has been read from it.
-func (l *listener) rejoin(c *clientConn) {
+// unmarkClosing returns a connection that was about to be closed to the open count, because a request
+// has been read from it.
+func (l *listener) unmarkClosing(c *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !c.left || c.gone {
+	if !c.markedClosing || c.closed {
 		return
 	}
-	c.left = false
+	c.markedClosing = false
 	l.open++
 	l.closing--
-	if c.place == nil {
-		c.place = l.waiting.PushBack(c)
+	if c.waitingElement == nil {
+		c.waitingElement = l.waiting.PushBack(c)
 	}
-	l.woken.Broadcast()
+	l.changed.Broadcast()
 }
 
-// clientConn notices that its client closes while a request runs, which
-// fasthttp does not look for: it reads ahead meanwhile, and gives what it has
-// read to the next Read.
+// clientConn detects that its client closes while a request runs, which fasthttp does not check: it
+// reads ahead meanwhile, and returns these bytes from the next Read.
 type clientConn struct {
 	net.Conn
-	l       *listener
-	came    time.Time
-	latest  atomic.Int64 // when it last brought a byte, or came; ns since its listener's begin
-	first   time.Time    // by then the first request must be whole
-	reading atomic.Bool  // bytes of a request have been read
-	written atomic.Bool  // bytes of an answer have been
-	owes    atomic.Bool  // an answer to what was sent ahead, should it close now
-
-	// Of the listener:
-	place  *list.Element // among those that wait; nil with a request open
-	served bool          // it has had a request
-	left   bool
-
-	lingers *list.Element // among those whose clients may still send
-	gone    bool          // its descriptor is
-
-	// Of whoever reads requests: bytes that have been read, those of the requests that have
-	// been taken, and whether the last of these has ended.
-	got, taken int
-	counted    bool // taken is known: of a body in chunks, its length on the wire is not
-	fromAhead  bool // some of the next request was read while an answer was under way
-	ended      bool
-
-	mu     sync.Mutex
-	ahead  []byte
-	lent   atomic.Int64  // of the listener's room, for what is read far ahead
-	quit   chan struct{} // closed when the watch has ended; nil without one
-	inRead bool          // somebody reads from the network
-	shut   bool          // nothing is written any more, and nothing read is passed on
-	cutOff bool          // closed without a second step
-
-	closeAsked bool      // by whoever reads from the network, once that read has ended without a byte
-	readBound  time.Time // of reads of requests
+	listener             *listener
+	acceptedAt           time.Time
+	lastRead             atomic.Int64 // when it last received a byte or was accepted; ns since listener.started
+	firstRequestDeadline time.Time    // the first request must be complete by then
+	requestStarted       atomic.Bool  // bytes of a request have been read
+	answerStarted        atomic.Bool  // bytes of an answer have been written
+	owesPipelinedAnswer  atomic.Bool  // a pipelined request would need an answer if the connection closed now
+
+	// Guarded by the listener's lock:
+	waitingElement *list.Element // in listener.waiting; nil while a request is open
+	served         bool          // it has had a request
+	markedClosing  bool
+
+	lingeringElement *list.Element // in listener.lingering
+	closed           bool          // its descriptor is closed
+
+	// Owned by the goroutine that reads requests: bytes read, bytes of the requests parsed from them,
+	// and whether the answer to the last of these has ended.
+	bytesRead, bytesParsed int
+	parsedLengthKnown      bool // bytesParsed is exact; it is not after a chunked body, whose length on the wire is unknown
+	usedReadAhead          bool // part of the next request was read while an answer was in flight
+	answerEnded            bool
+
+	mu             sync.Mutex
+	readAhead      []byte
+	extraReadAhead atomic.Int64  // its share of listener.extraReadAhead
+	watchDone      chan struct{} // closed when the watch has ended; nil without a watch
+	readInProgress bool          // a goroutine is reading from the network
+	writeClosed    bool          // nothing more is written, and bytes read are not passed on
+	aborted        bool          // closed without lingering
+
+	closePending bool      // the goroutine reading from the network closes it if that read ends without a byte
+	readDeadline time.Time // for reads of requests
 }
 
-// heard notes that the connection has just brought something.
-func (c *clientConn) heard() { c.latest.Store(int64(time.Since(c.l.begun))) }
-
-// begin tells that a whole request has been read, and gives whether there is
-// room for it beside the others that are open.
-func (c *clientConn) begin() bool {
-	c.l.mu.Lock()
-	defer c.l.mu.Unlock()
-	c.served, c.ended = true, false
-	if c.place != nil {
-		c.l.waiting.Remove(c.place)
-		c.place = nil
+// recordRead notes that the connection has just received bytes.
+func (c *clientConn) recordRead() { c.lastRead.Store(int64(time.Since(c.listener.started))) }
+
+// beginRequest records that a whole request has been read, and reports whether there is room for it
+// beside the other open requests.
+func (c *clientConn) beginRequest() bool {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.served, c.answerEnded = true, false
+	if c.waitingElement != nil {
+		c.listener.waiting.Remove(c.waitingElement)
+		c.waitingElement = nil
 	}
-	busy := c.l.open - c.l.waiting.Len()
-	return c.l.limit == 0 || float64(busy) <= float64(c.l.limit)*busyShare
+	busy := c.listener.open - c.listener.waiting.Len()
+	return c.listener.limit == 0 || float64(busy) <= float64(c.listener.limit)*maxBusyShare
 }
 
-// take notes a request that has been read, and tells whether nothing behind it has been
-// read as well: what fasthttp holds of a next request can't be got back from it.
-func (c *clientConn) take(r *fasthttp.Request) (clean bool) {
-	h := &r.Header
-	first := len(h.Method()) + len(h.RequestURI()) + len(h.Protocol()) + len("  \r\n")
-	c.counted = h.ContentLength() >= 0
-	c.taken += first + len(h.RawHeaders()) + len(r.Body())
-	return c.taken == c.got
+// countParsed counts a request that has been read, and reports whether nothing behind it has been read
+// yet: bytes of a next request that fasthttp has buffered can't be recovered from it.
+func (c *clientConn) countParsed(request *fasthttp.Request) (nothingBehind bool) {
+	header := &request.Header
+	requestLine := len(header.Method()) + len(header.RequestURI()) + len(header.Protocol()) + len("  \r\n")
+	c.parsedLengthKnown = header.ContentLength() >= 0
+	c.bytesParsed += requestLine + len(header.RawHeaders()) + len(request.Body())
+	return c.bytesParsed == c.bytesRead
 }
 
-// end tells that its answer is ready or, where that is a stream, over. What is left of it may
-// still have to be written: the connection waits for a next request once that is read for.
-func (c *clientConn) end() { c.ended = true }
+// endAnswer records that the answer is ready or, if it is a stream, has ended. Part of it may still have
+// to be written, so the connection counts as waiting only from the next read for a request.
+func (c *clientConn) endAnswer() { c.answerEnded = true }
 
-// again tells that the next request is being read for: all of the answer before has left.
-func (c *clientConn) again() {
-	c.ended = false
-	c.owes.Store(false)
+// awaitNextRequest records that the next request is being read: the previous answer has been written.
+func (c *clientConn) awaitNextRequest() {
+	c.answerEnded = false
+	c.owesPipelinedAnswer.Store(false)
 	c.mu.Lock()
-	c.reading.Store(len(c.ahead) > 0)
+	c.requestStarted.Store(len(c.readAhead) > 0)
 	c.mu.Unlock()
-	c.l.mu.Lock()
-	defer c.l.mu.Unlock()
-	if !c.left && c.place == nil {
-		c.place = c.l.waiting.PushBack(c)
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if !c.markedClosing && c.waitingElement == nil {
+		c.waitingElement = c.listener.waiting.PushBack(c)
 	}
 }
 
-// SetReadDeadline bounds the first request from the connection's begin on:
-// fasthttp counts anew from its first byte, and a client may send that late.
+// SetReadDeadline bounds the first request from the accept on: fasthttp restarts its timeout at the
+// first byte, and a client may send that late.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
-	if !c.written.Load() && t.After(c.first) {
-		t = c.first
+	if !c.answerStarted.Load() && t.After(c.firstRequestDeadline) {
+		t = c.firstRequestDeadline
 	}
-	return c.readUntil(t)
+	return c.limitRead(t)
 }
 
-// Write gives up on a client that does not read.
+// Write fails when the client does not read within writeTimeout.
 func (c *clientConn) Write(p []byte) (int, error) {
-	c.written.Store(true)
-	c.Conn.SetWriteDeadline(time.Now().Add(writeWait))
+	c.answerStarted.Store(true)
+	c.Conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	return c.Conn.Write(p)
 }
--- a/internal/platform/conn_test.go
+++ b/internal/platform/conn_test.go
@@ -8,16 +8,16 @@
 
 // In a crowd, the connections of those that never finish a request go before those of
 // clients that are served, and true requests that are being written go last.
-func TestACrowdGoesBeforeTrueClients(t *testing.T) {
+func TestEvict_Order(t *testing.T) {
 	now := time.Now()
 	l := newListener(nil, 6)
 	add := func(ageMs, quietMs int, served, reading bool) *clientConn {
 		near, far := net.Pipe()
 		t.Cleanup(func() { far.Close() })
-		c := &clientConn{Conn: near, l: l, came: now.Add(-time.Duration(ageMs) * time.Millisecond), served: served}
-		c.reading.Store(reading)
-		c.latest.Store(-int64(time.Duration(quietMs) * time.Millisecond))
-		c.place = l.waiting.PushBack(c)
+		c := &clientConn{Conn: near, listener: l, acceptedAt: now.Add(-time.Duration(ageMs) * time.Millisecond), served: served}
+		c.requestStarted.Store(reading)
+		c.lastRead.Store(-int64(time.Duration(quietMs) * time.Millisecond))
+		c.waitingElement = l.waiting.PushBack(c)
 		l.open++
 		return c
 	}
@@ -28,13 +28,13 @@
 	for _, want := range []struct{ who, why string }{
 		{"silent", "silent"}, {"idle", "idle"}, {"one that has stopped writing", "unfinished"}, {"a slow writer", "unfinished"}, {"new", "unfinished"},
 	} {
-		c, why := l.oldest(now)
+		c, why := l.evictIfFull(now)
 		if names[c] != want.who || why != want.why {
 			t.Fatalf("closes %q for being %q, want %q", names[c], why, want.who)
 		}
 		l.open++ // the new one takes its place
 	}
-	if c, _ := l.oldest(now); c != nil {
+	if c, _ := l.evictIfFull(now); c != nil {
 		t.Errorf("closes %q, which is owed an answer", names[c])
 	}
 	// Shared between two processes, each keeps to half, and gives back what has no request.
--- a/internal/platform/crowd_test.go
+++ b/internal/platform/crowd_test.go
@@ -24,40 +24,42 @@
 )
 
 // queue is a listener of connections that a test makes, or of errors in their place.
-type queue struct {
-	next  chan any // net.Conn or error
-	done  chan struct{}
-	once  sync.Once
-	taken atomic.Int32
+type fakeListener struct {
+	pending  chan any // net.Conn or error
+	done     chan struct{}
+	once     sync.Once
+	accepted atomic.Int32
 }
 
-func newQueue() *queue { return &queue{next: make(chan any, 99), done: make(chan struct{})} }
+func newFakeListener() *fakeListener {
+	return &fakeListener{pending: make(chan any, 99), done: make(chan struct{})}
+}
 
-func (q *queue) Accept() (net.Conn, error) {
+func (q *fakeListener) Accept() (net.Conn, error) {
 	select {
-	case v := <-q.next:
+	case v := <-q.pending:
 		if err, ok := v.(error); ok {
 			return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
 		}
-		q.taken.Add(1)
+		q.accepted.Add(1)
 		return v.(net.Conn), nil
 	case <-q.done:
 		return nil, net.ErrClosed
 	}
 }
 
-func (q *queue) Close() error   { q.once.Do(func() { close(q.done) }); return nil }
-func (q *queue) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
+func (q *fakeListener) Close() error   { q.once.Do(func() { close(q.done) }); return nil }
+func (q *fakeListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
 // sleepy is a connection whose reader wakes late: a machine short of processor time has
 // closed many by the time that those who read them run.
-type sleepy struct {
+type lateReadConn struct {
 	net.Conn
 	wake   chan struct{}
 	closed atomic.Bool
 }
 
-func (c *sleepy) Read(p []byte) (int, error) {
+func (c *lateReadConn) Read(p []byte) (int, error) {
 	<-c.wake
 	if c.closed.Load() {
 		return 0, net.ErrClosed
@@ -66,12 +68,12 @@
 }
 
 // SetReadDeadline tells nobody that the connection is closed.
-func (c *sleepy) SetReadDeadline(time.Time) error { return nil }
+func (c *lateReadConn) SetReadDeadline(time.Time) error { return nil }
 
-func (c *sleepy) Close() error { c.closed.Store(true); return c.Conn.Close() }
+func (c *lateReadConn) Close() error { c.closed.Store(true); return c.Conn.Close() }
 
 // ready asks whether the server takes clients, on a client's end of a connection.
-func ready(t *testing.T, c net.Conn) {
+func checkReady(t *testing.T, c net.Conn) {
 	t.Helper()
 	if _, err := io.WriteString(c, "GET "+readyPath+" HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 		t.Fatal(err)
@@ -87,9 +89,9 @@
 }
 
 // quiet serves a queue of connections with room for so many, to the test's end.
-func quiet(t *testing.T, gw Handler, limit int) (q *queue, s *Server, ended <-chan error) {
+func serveFakeListener(t *testing.T, gw Handler, limit int) (q *fakeListener, s *Server, ended <-chan error) {
 	t.Helper()
-	s, q = NewServer(gw, slog.New(slog.DiscardHandler), limit), newQueue()
+	s, q = NewServer(gw, slog.New(slog.DiscardHandler), limit), newFakeListener()
 	end := make(chan error, 1)
 	go func() { end <- s.Serve(q) }()
 	t.Cleanup(func() {
@@ -104,23 +106,23 @@
 // Connections that were closed for new ones are in the house until their readers have
 // woken. The next ones wait in the system's queue meanwhile: none is turned back, and no
 // more descriptors are taken.
-func TestACrowdWaitsWhileThoseClosedForItAreStillThere(t *testing.T) {
+func TestAccept_WaitsForClosingConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit, crowd = 8, 40
-		q, _, _ := quiet(t, nil, limit)
+		q, _, _ := serveFakeListener(t, nil, limit)
 		wake := make(chan struct{})
 		var far []net.Conn
 		for range crowd {
 			near, c := net.Pipe()
 			far = append(far, c)
-			q.next <- &sleepy{Conn: near, wake: wake}
+			q.pending <- &lateReadConn{Conn: near, wake: wake}
 		}
 		synctest.Wait()
-		if n := int(q.taken.Load()); n > limit+2 {
+		if n := int(q.accepted.Load()); n > limit+2 {
 			t.Errorf("%d connections taken with room for %d, of which none has woken", n, limit)
 		}
 		close(wake)
-		ready(t, far[crowd-1]) // it came last, and nothing closes it
+		checkReady(t, far[crowd-1]) // it came last, and nothing closes it
 		for _, c := range far[:crowd-limit] {
 			if text, err := io.ReadAll(c); len(text) > 0 || err != nil {
 				t.Errorf("one that said nothing was answered %q, %v", text, err)
@@ -131,18 +133,18 @@
 
 // A machine out of descriptors, or of memory for sockets, is waited for: the server stays,
 // and one connection without a request goes for the next.
-func TestOutOfDescriptorsTheServerStays(t *testing.T) {
+func TestAccept_OutOfDescriptors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q, _, ended := quiet(t, nil, 8)
+		q, _, ended := serveFakeListener(t, nil, 8)
 		begun := time.Now()
 		near, silent := net.Pipe()
-		q.next <- near
+		q.pending <- near
 		for _, err := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ECONNABORTED, syscall.ENETDOWN, syscall.EPERM} {
-			q.next <- err
+			q.pending <- err
 		}
 		near, c := net.Pipe()
-		q.next <- near
-		ready(t, c)
+		q.pending <- near
+		checkReady(t, c)
 		// At once by the bubble's clock: not only when its time for a request is up.
 		if _, err := silent.Read(make([]byte, 1)); !errors.Is(err, io.EOF) || time.Since(begun) >= readTimeout {
 			t.Errorf("the silent one: %v after %v", err, time.Since(begun))
@@ -154,22 +156,22 @@
 }
 
 // A host's own server decides what becomes of its listener and its connections.
-func TestAHostIsToldThatDescriptorsAreOut(t *testing.T) {
-	q := newQueue()
-	q.next <- syscall.EMFILE
-	if _, err := Listener(q).Accept(); !errors.Is(err, syscall.EMFILE) {
+func TestWrapListener_OutOfDescriptors(t *testing.T) {
+	q := newFakeListener()
+	q.pending <- syscall.EMFILE
+	if _, err := WrapListener(q).Accept(); !errors.Is(err, syscall.EMFILE) {
 		t.Errorf("accepted with %v", err)
 	}
 }
 
 // A stop does not wait for room: nothing is accepted from then on.
-func TestAStopEndsTheWaitForRoom(t *testing.T) {
+func TestShutdown_AcceptWaitingForRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q, s, ended := quiet(t, nil, 2)
+		q, s, ended := serveFakeListener(t, nil, 2)
 		wake := make(chan struct{})
 		for range 9 {
 			near, _ := net.Pipe()
-			q.next <- &sleepy{Conn: near, wake: wake}
+			q.pending <- &lateReadConn{Conn: near, wake: wake}
 		}
 		synctest.Wait()
 		stopped := make(chan error, 1)
@@ -186,37 +188,39 @@
 }
 
 // says is a Handler that gives every request the same reply.
-type says struct{ reply gateway.Reply }
+type fixedReply struct{ reply gateway.Reply }
 
-func (s says) Serve(context.Context, *gateway.Request) (gateway.Reply, error) { return s.reply, nil }
-func (s says) TurnAway(string) float64                                        { return 0 }
+func (s fixedReply) Serve(context.Context, *gateway.Request) (gateway.Reply, error) {
+	return s.reply, nil
+}
+func (s fixedReply) TurnAway(string) float64 { return 0 }
 
 // piece is a stream of one.
-type piece struct{ over bool }
+type singleEventStream struct{ done bool }
 
-func (p *piece) Next() ([]byte, error) {
-	if p.over {
+func (p *singleEventStream) Next() ([]byte, error) {
+	if p.done {
 		return nil, io.EOF
 	}
-	p.over = true
-	return []byte(event1), nil
+	p.done = true
+	return []byte(firstEvent), nil
 }
 
-func (*piece) Report() ashwood.Report { return nil }
-func (*piece) Close() error           { return nil }
+func (*singleEventStream) Report() ashwood.Report { return nil }
+func (*singleEventStream) Close() error           { return nil }
 
 // A connection whose answer, or the last chunk of it, is still being written is not closed
 // for a new one, although its request has ended for all but its client.
-func TestNoAnswerIsCutOffInACrowd(t *testing.T) {
+func TestEvict_AnswerBeingWritten(t *testing.T) {
 	new(fasthttp.ResponseHeader).Header() // starts fasthttp's clock of dates, which never ends, outside of the bubbles
 	for name, reply := range map[string]gateway.Reply{
-		"refused": {Kind: gateway.Refused}, "a stream's end": {Kind: gateway.Served, Stream: &piece{}},
+		"refused": {Kind: gateway.Refused}, "a stream's end": {Kind: gateway.Served, Stream: &singleEventStream{}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			q, _, _ := quiet(t, says{reply}, 3)
+			q, _, _ := serveFakeListener(t, fixedReply{reply}, 3)
 			near, c := net.Pipe() // a write on it waits for its reader
-			q.next <- near
-			if _, err := io.WriteString(c, request("chat", "", "{}")); err != nil {
+			q.pending <- near
+			if _, err := io.WriteString(c, requestText("chat", "", "{}")); err != nil {
 				t.Fatal(err)
 			}
 			var got []byte
@@ -230,7 +234,7 @@
 			synctest.Wait()
 			for range 9 {
 				near, _ := net.Pipe()
-				q.next <- near
+				q.pending <- near
 			}
 			synctest.Wait()
 			r, err := http.ReadResponse(bufio.NewReader(io.MultiReader(bytes.NewReader(got), c)), nil)
@@ -245,21 +249,21 @@
 }
 
 // unending is a connection whose client is told the end and never closes in turn.
-type unending struct{ net.Conn }
+type neverClosedConn struct{ net.Conn }
 
-func (unending) CloseWrite() error { return nil }
+func (neverClosedConn) CloseWrite() error { return nil }
 
 // Connections in the second step of their close are not waited for where a new client comes:
 // the first of them goes at once.
-func TestANewClientDoesNotWaitForConnectionsThatLinger(t *testing.T) {
+func TestAccept_AbortsLingeringConnections(t *testing.T) {
 	new(fasthttp.ResponseHeader).Header() // as above
 	synctest.Test(t, func(t *testing.T) {
-		q, s, _ := quiet(t, says{gateway.Reply{Kind: gateway.Refused}}, closingShare)
+		q, s, _ := serveFakeListener(t, fixedReply{gateway.Reply{Kind: gateway.Refused}}, closingDivisor)
 		begun := time.Now()
 		for range 3 {
 			near, c := net.Pipe()
-			q.next <- unending{near}
-			if _, err := io.WriteString(c, request("chat", "Connection: close\r\n", "{}")); err != nil {
+			q.pending <- neverClosedConn{near}
+			if _, err := io.WriteString(c, requestText("chat", "Connection: close\r\n", "{}")); err != nil {
 				t.Fatal(err)
 			}
 			r, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -269,13 +273,13 @@
 			io.Copy(io.Discard, r.Body)
 			synctest.Wait()
 		}
-		s.in.mu.Lock()
-		n := s.in.closing
-		s.in.mu.Unlock()
+		s.listener.mu.Lock()
+		n := s.listener.closing
+		s.listener.mu.Unlock()
 		near, c := net.Pipe()
-		q.next <- near
-		ready(t, c)
-		if waited := time.Since(begun); n == 0 || waited >= lingerTime {
+		q.pending <- near
+		checkReady(t, c)
+		if waited := time.Since(begun); n == 0 || waited >= lingerTimeout {
 			t.Errorf("with %d that linger, the new one waited %v", n, waited)
 		}
 	})
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -24,7 +24,7 @@
 	}
 	const oops = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
 	answers := []string{"\x00", list(7, false, "draining"), oops, oops, list(9, true, "up"), ""}
-	peer := engine(t, "d", "", func(s seen) string {
+	peer := scriptedEngine(t, "d", "", func(s engineRequest) string {
 		asked <- s.Target
 		a := answers[0]
 		answers = answers[1:]
@@ -66,7 +66,7 @@
 func TestDiscoveryMovesInMidWatch(t *testing.T) {
 	asked, speak := make(chan string, 9), make(chan struct{})
 	peer := func(name string, answers ...string) ashwood.Server {
-		return engine(t, name, "", func(s seen) string {
+		return scriptedEngine(t, name, "", func(s engineRequest) string {
 			asked <- name + " " + s.Target
 			if len(answers) == 0 {
 				return ""
@@ -121,7 +121,7 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(b), b)
 	}
 	answers := []string{"", list("up")[:90], list("draining")}
-	peer := engine(t, "d", "", func(seen) string {
+	peer := scriptedEngine(t, "d", "", func(engineRequest) string {
 		a := answers[0]
 		if len(answers) > 1 {
 			answers = answers[1:]
@@ -173,7 +173,7 @@
 		var first []float64
 		for seed := range int64(2) {
 			answers := []string{oops, oops, oops, oops, list, oops, ""}
-			peer := engine(t, "d", "", func(seen) string {
+			peer := scriptedEngine(t, "d", "", func(engineRequest) string {
 				a := answers[0]
 				answers = answers[1:]
 				return a
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// This file closes idle connections and the listener while the server drains. For a process that is stopped
-// (SIGSTOP) and then killed the system goes on completing handshakes, and taking bytes on connections that are open: nobody
-// answers these requests. So nothing is left open for longer than clients are owed it.
+// This file closes idle connections and the listener while the server drains. If the process is stopped
+// (SIGSTOP) and then killed, the kernel still completes handshakes and takes bytes on open connections,
+// and nobody answers these requests. So nothing stays open longer than clients need it.
 
-// Idle connections are closed in steps, some in each, so that their clients do not all connect anew at once.
+// Idle connections are closed in steps, so that their clients do not all reconnect at once.
 const (
-	idleStep  = 10 * time.Millisecond
-	idleSteps = 10
+	idleCloseInterval = 10 * time.Millisecond
+	idleCloseSteps    = 10
 )
 
-// Drain has each answer close its connection, so that clients go elsewhere, and closes idle
+// Drain makes each answer close its connection, so that clients go elsewhere, and closes idle
 // connections until Shutdown.
 func (s *Server) Drain() {
 	s.draining.Store(true)
-	s.closeIdle.Do(func() { s.idle.Go(s.drainIdle) })
+	s.idleCloserOnce.Do(func() { s.idleCloser.Go(s.closeIdleGradually) })
 }
 
-// drainIdle closes the connections that are idle behind an answer in the first steps, and later each as it becomes idle: an
-// answer that left as the drain began has not announced a close.
-func (s *Server) drainIdle() {
-	ticker := time.NewTicker(idleStep)
+// closeIdleGradually closes the connections that are idle after an answer during the first steps, and later
+// ones as they become idle: an answer written as the drain began did not announce a close.
+func (s *Server) closeIdleGradually() {
+	ticker := time.NewTicker(idleCloseInterval)
 	defer ticker.Stop()
 	closed := 0
-	for left := idleSteps; ; left = max(left-1, 1) {
-		closed += s.in.closeServed(left)
+	for divisor := idleCloseSteps; ; divisor = max(divisor-1, 1) {
+		closed += s.listener.closeIdleFraction(divisor)
 		select {
 		case <-s.stopping:
 			s.log.Info("shutdown: idle connections are closed", "count", closed)
@@ -36,7 +36,7 @@
 	}
 }
 
-// isStopping tells whether Shutdown has begun.
+// isStopping reports whether Shutdown has begun.
 func (s *Server) isStopping() bool {
 	select {
 	case <-s.stopping:
@@ -46,39 +46,39 @@
 	}
 }
 
-// stopDraining ends the closing of idle connections.
-func (s *Server) stopDraining() {
-	s.closeIdle.Do(func() {})
+// stopClosingIdle ends closeIdleGradually.
+func (s *Server) stopClosingIdle() {
+	s.idleCloserOnce.Do(func() {})
 	s.stopOnce.Do(func() { close(s.stopping) })
-	s.idle.Wait()
+	s.idleCloser.Wait()
 }
 
-// StopAccepting accepts the connections that wait and closes the listener; those that are open stay.
-func (s *Server) StopAccepting() { s.in.stopAccepting() }
+// StopAccepting accepts the connections that wait and closes the listener. Open connections stay.
+func (s *Server) StopAccepting() { s.listener.stopAccepting() }
 
-// stopAccepting returns once the listener is closed, also where another call closes it.
+// stopAccepting returns once the listener is closed, also when another call closes it.
 func (l *listener) stopAccepting() {
 	l.stopOnce.Do(func() {
-		l.takeQueue()
+		l.drainQueue()
 		if err := l.Close(); err != nil {
-			l.log.Warn("shutdown: the listener was not closed", "err", err)
+			l.log.Warn("shutdown: closing the listener failed", "err", err)
 		}
 	})
 }
 
-// closeServed closes one in so many of the connections that are idle behind an answer, those that have been for longest
-// first, and counts them.
-func (l *listener) closeServed(of int) (closed int) {
+// closeIdleFraction closes one in divisor of the connections that are idle after an answer, the longest
+// idle first, and counts them.
+func (l *listener) closeIdleFraction(divisor int) (closed int) {
 	var idle []*clientConn
 	l.mu.Lock()
 	for e := l.waiting.Front(); e != nil; e = e.Next() {
-		if c := e.Value.(*clientConn); c.served && !c.reading.Load() {
+		if c := e.Value.(*clientConn); c.served && !c.requestStarted.Load() {
 			idle = append(idle, c)
 		}
 	}
 	l.mu.Unlock()
-	for _, c := range idle[:(len(idle)+of-1)/of] {
-		if c.closeUnread() {
+	for _, c := range idle[:(len(idle)+divisor-1)/divisor] {
+		if c.closeIfNoRequest() {
 			closed++
 		}
 	}
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -18,7 +18,7 @@
 // on them (soak of silences, seed 905). A drain closes them; what has brought nothing or half a request, and what is opened later, is served.
 func TestDrain_ClosesIdleConnections(t *testing.T) {
 	const clients = 25
-	s, l := NewServer(says{gateway.Reply{Kind: gateway.Refused}}, slog.New(slog.DiscardHandler), 64), listen(t)
+	s, l := NewServer(fixedReply{gateway.Reply{Kind: gateway.Refused}}, slog.New(slog.DiscardHandler), 64), listen(t)
 	go s.Serve(l)
 	ask := func(c net.Conn, rest string) (closes bool) {
 		t.Helper()
@@ -31,29 +31,29 @@
 		return r.Close
 	}
 	open := func() net.Conn {
-		c := dial(t, l.Addr().String())
+		c := dialClient(t, l.Addr().String())
 		c.SetDeadline(time.Now().Add(10 * time.Second)) // the bound of all waits here
 		return c
 	}
 	var idle []net.Conn
 	for range clients {
 		c := open()
-		ask(c, request("chat", "", "{}"))
+		ask(c, requestText("chat", "", "{}"))
 		idle = append(idle, c)
 	}
 	silent, half := open(), open()
-	ask(half, request("chat", "", "{}"))
-	io.WriteString(half, request("chat", "", "{}")[:20])
-	until(t, "half a request has been read", func() bool {
-		s.in.mu.Lock()
-		defer s.in.mu.Unlock()
+	ask(half, requestText("chat", "", "{}"))
+	io.WriteString(half, requestText("chat", "", "{}")[:20])
+	waitFor(t, "half a request has been read", func() bool {
+		s.listener.mu.Lock()
+		defer s.listener.mu.Unlock()
 		reading := 0
-		for e := s.in.waiting.Front(); e != nil; e = e.Next() {
-			if e.Value.(*clientConn).reading.Load() {
+		for e := s.listener.waiting.Front(); e != nil; e = e.Next() {
+			if e.Value.(*clientConn).requestStarted.Load() {
 				reading++
 			}
 		}
-		return reading == 1 && s.in.waiting.Len() == clients+2
+		return reading == 1 && s.listener.waiting.Len() == clients+2
 	})
 	s.Drain()
 	for i, c := range idle {
@@ -63,25 +63,25 @@
 		}
 	}
 	for name, c := range map[string]net.Conn{"one that had brought nothing": silent, "a new one": open()} {
-		if !ask(c, request("chat", "", "{}")) {
+		if !ask(c, requestText("chat", "", "{}")) {
 			t.Errorf("%s is not closed behind its answer", name)
 		}
 	}
-	ask(half, request("chat", "", "{}")[20:])
-	stop(t, s)
+	ask(half, requestText("chat", "", "{}")[20:])
+	shutdownServer(t, s)
 }
 
 // Once a server has stopped accepting, clients are refused, and those that are connected are served.
-func TestStopAccepting_ServesWhoIsConnected(t *testing.T) {
-	s, c := open(t, says{gateway.Reply{Kind: gateway.Refused}})
-	until(t, "its connection is accepted", func() bool { return len(s.in.withoutRequest()) == 1 })
+func TestStopAccepting_OpenConnections(t *testing.T) {
+	s, c := serveAndDial(t, fixedReply{gateway.Reply{Kind: gateway.Refused}})
+	waitFor(t, "its connection is accepted", func() bool { return len(s.listener.waitingConns()) == 1 })
 	s.StopAccepting()
 	if nc, err := net.Dial("tcp", c.RemoteAddr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a new client: %v, %v", nc, err)
 	}
-	io.WriteString(c, request("chat", "", "{}"))
+	io.WriteString(c, requestText("chat", "", "{}"))
 	if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 		t.Errorf("a client that is connected: %v", err)
 	}
-	stop(t, s)
+	shutdownServer(t, s)
 }
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -17,14 +17,14 @@
 	"ashwood.example/ashwood/gateway"
 )
 
-const halfRequest = "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\nContent-Length: 2\r\n\r\n{"
+const partialRequest = "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\nContent-Length: 2\r\n\r\n{"
 
 // What has brought no request is closed as a shutdown begins, new connections too, whatever the
 // HTTP library keeps open; what has brought a part of one is still answered. Who asks is told
 // that the process takes no clients any more.
 func TestShutdown_ClosesConnectionsWithoutRequest(t *testing.T) {
-	h := &counts{says: says{gateway.Reply{Kind: gateway.Refused}}}
-	s, silent := open(t, h)
+	h := &countingHandler{fixedReply: fixedReply{gateway.Reply{Kind: gateway.Refused}}}
+	s, silent := serveAndDial(t, h)
 	dial := func() *net.TCPConn {
 		t.Helper()
 		c, err := net.Dial("tcp", silent.RemoteAddr().String())
@@ -36,7 +36,7 @@
 		return c.(*net.TCPConn)
 	}
 	half, idle, asks := dial(), dial(), dial()
-	io.WriteString(half, halfRequest)
+	io.WriteString(half, partialRequest)
 	for _, c := range []struct {
 		conn net.Conn
 		want int
@@ -48,12 +48,12 @@
 		}
 		s.Drain()
 	}
-	for s.in.halfRead() == 0 {
+	for s.listener.countPartlyRead() == 0 {
 		<-time.After(time.Millisecond)
 	}
 	stopped := make(chan struct{})
 	go func() {
-		stop(t, s)
+		shutdownServer(t, s)
 		close(stopped)
 	}()
 	for what, c := range map[string]net.Conn{"silent": silent, "idle": idle} {
@@ -76,9 +76,9 @@
 }
 
 // halfRead counts the connections from which a part of a request has been read.
-func (l *listener) halfRead() (n int) {
-	for _, c := range l.withoutRequest() {
-		if c.reading.Load() {
+func (l *listener) countPartlyRead() (n int) {
+	for _, c := range l.waitingConns() {
+		if c.requestStarted.Load() {
 			n++
 		}
 	}
@@ -86,15 +86,15 @@
 }
 
 // A request of which a part has come gets its error by the time at which the process ends.
-func TestEndBy_HalfReadRequestsGetTheirError(t *testing.T) {
+func TestExpireReadsAfter_PartialRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q, s, _ := quiet(t, nil, 8)
+		q, s, _ := serveFakeListener(t, nil, 8)
 		near, c := net.Pipe()
-		q.next <- near
-		io.WriteString(c, halfRequest)
+		q.pending <- near
+		io.WriteString(c, partialRequest)
 		synctest.Wait()
 		begun := time.Now()
-		s.EndBy(300 * time.Millisecond)
+		s.ExpireReadsAfter(300 * time.Millisecond)
 		r, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || r.StatusCode != http.StatusRequestTimeout || time.Since(begun) != 300*time.Millisecond {
 			t.Errorf("%v, %v after %v by the bubble's clock", r, err, time.Since(begun))
@@ -105,34 +105,34 @@
 
 // pausedStream is a stream whose end waits for a test.
 type pausedStream struct {
-	piece
+	singleEventStream
 	end chan struct{}
 }
 
 func (h *pausedStream) Next() ([]byte, error) {
-	if h.over {
+	if h.done {
 		<-h.end
 	}
-	return h.piece.Next()
+	return h.singleEventStream.Next()
 }
 
 // A client that was not told that its connection closes may have sent a request ahead of its
 // answer's end. If that was read, it is refused and not sent on: a close alone would lose it.
-func TestShutdown_RefusesWhatWasSentAhead(t *testing.T) {
+func TestShutdown_PipelinedRequest(t *testing.T) {
 	new(fasthttp.ResponseHeader).Header() // starts fasthttp's clock of dates, which never ends, outside of the bubble
 	for name, together := range map[string]bool{"sent behind it": false, "sent with it": true} {
-		t.Run(name, func(t *testing.T) { synctest.Test(t, func(t *testing.T) { refusesSentAhead(t, together) }) })
+		t.Run(name, func(t *testing.T) { synctest.Test(t, func(t *testing.T) { testPipelinedRefused(t, together) }) })
 	}
 }
 
-func refusesSentAhead(t *testing.T, together bool) {
+func testPipelinedRefused(t *testing.T, together bool) {
 	stream := &pausedStream{end: make(chan struct{})}
-	h := &counts{says: says{gateway.Reply{Kind: gateway.Served, Stream: stream}}}
-	q, s, _ := quiet(t, h, 8)
+	h := &countingHandler{fixedReply: fixedReply{gateway.Reply{Kind: gateway.Served, Stream: stream}}}
+	q, s, _ := serveFakeListener(t, h, 8)
 	near, c := net.Pipe()
-	q.next <- near
+	q.pending <- near
 	defer c.Close()
-	one := request("chat", "", "{}")
+	one := requestText("chat", "", "{}")
 	first, rest := one, one
 	if together {
 		first, rest = one+one, ""
@@ -159,7 +159,7 @@
 	}()
 	synctest.Wait()
 	close(stream.end)
-	if body, err := io.ReadAll(answer.Body); string(body) != event1 || err != nil {
+	if body, err := io.ReadAll(answer.Body); string(body) != firstEvent || err != nil {
 		t.Errorf("the first: %q, %v", body, err)
 	}
 	r, err := http.ReadResponse(in, nil)
@@ -173,22 +173,22 @@
 		t.Errorf("behind both: %d, %v", n, err)
 	}
 	c.Close()
-	if err := <-stopped; err != nil || h.got.Load() != 1 {
-		t.Errorf("%v, %d sent on", err, h.got.Load())
+	if err := <-stopped; err != nil || h.requests.Load() != 1 {
+		t.Errorf("%v, %d sent on", err, h.requests.Load())
 	}
 }
 
 // Behind a body in chunks nothing was sent ahead, although its bytes on the wire are more than
 // those of the request: the client sees its answer and the end, no refusal.
-func TestShutdown_ChunkedBodyIsNotSentAhead(t *testing.T) {
+func TestShutdown_ChunkedBodyIsNotPipelined(t *testing.T) {
 	new(fasthttp.ResponseHeader).Header() // as above
 	synctest.Test(t, func(t *testing.T) {
 		stream := &pausedStream{end: make(chan struct{})}
-		q, s, _ := quiet(t, says{gateway.Reply{Kind: gateway.Served, Stream: stream}}, 8)
+		q, s, _ := serveFakeListener(t, fixedReply{gateway.Reply{Kind: gateway.Served, Stream: stream}}, 8)
 		near, c := net.Pipe()
-		q.next <- near
+		q.pending <- near
 		defer c.Close()
-		text := strings.Replace(request("chat", "", "{}"), "Content-Length: 2\r\n", "Transfer-Encoding: chunked\r\n", 1)
+		text := strings.Replace(requestText("chat", "", "{}"), "Content-Length: 2\r\n", "Transfer-Encoding: chunked\r\n", 1)
 		io.WriteString(c, strings.TrimSuffix(text, "{}")+"2\r\n{}\r\n0\r\n\r\n")
 		in := bufio.NewReader(c)
 		r, err := http.ReadResponse(in, nil)
@@ -200,7 +200,7 @@
 		go func() { stopped <- s.Shutdown(context.Background()) }()
 		synctest.Wait()
 		close(stream.end)
-		if body, err := io.ReadAll(r.Body); string(body) != event1 || err != nil {
+		if body, err := io.ReadAll(r.Body); string(body) != firstEvent || err != nil {
 			t.Errorf("%q, %v", body, err)
 		}
 		if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
--- a/internal/platform/move.go
+++ b/internal/platform/move.go
@@ -16,50 +16,50 @@
 	"ashwood.example/ashwood/gateway"
 )
 
-// This file hands a begun answer to another process of the same gateway and takes one
-// over: both connections go there as they are, between two pieces of the answer, and the
-// bytes that were read ahead of them go with them. One process alone holds an answer.
-
-// Give hands another process a message with the client's and the engine's connections.
-// After an error nothing of them has gone.
-type Give func(message []byte, client, engine syscall.Conn) error
-
-// moved is an answer on its way from one process to another.
-type moved struct {
-	ID     ashwood.RequestID `json:"id"`
-	Class  string            `json:"class"`
-	Engine ashwood.Server    `json:"engine"`
-	Begun  float64           `json:"begun"` // ms, when the request was taken
-	Closes bool              `json:"closes"`
-	Ahead  []byte            `json:"ahead"` // of the client
-	Body   moving            `json:"body"`
+// This file hands an answer that has begun over to another process of the same gateway, and takes one
+// over. Both connections are passed as they are, between two pieces of the answer, together with the
+// bytes that were read ahead from them. An answer is never held by two processes.
+
+// HandoverFunc sends another process a message with the client's and the engine's connections. If it
+// returns an error, nothing has been sent.
+type HandoverFunc func(message []byte, client, engine syscall.Conn) error
+
+// handoverMessage is the JSON message that describes an answer to the process that takes it over.
+type handoverMessage struct {
+	ID         ashwood.RequestID `json:"id"`
+	Class      string            `json:"class"`
+	Engine     ashwood.Server    `json:"engine"`
+	TakenAt    float64           `json:"begun"` // ms, when the request was taken
+	CloseAfter bool              `json:"closes"`
+	ReadAhead  []byte            `json:"ahead"` // bytes read ahead from the client
+	Body       bodyState         `json:"body"`
 }
 
-// moving is where an engine's answer stands.
-type moving struct {
+// bodyState is how far the body of an engine's answer has been read.
+type bodyState struct {
 	Form     string `json:"form"` // chunks, length, close
-	Left     int    `json:"left"` // bytes of the chunk or of the whole
+	Left     int    `json:"left"` // bytes of the current chunk or of the whole body
 	Keep     bool   `json:"keep"`
 	Buffered []byte `json:"buffered"`
 	Tail     []byte `json:"tail"`
 }
 
-// errMoved ends an answer here that another process goes on with.
-var errMoved = errors.New("platform: another process goes on with the answer")
+// errHandedOver ends an answer in this process after another one has taken it over.
+var errHandedOver = errors.New("platform: the answer was handed over to another process")
 
-// Give has answers that have begun, and those that begin from now on, handed over; nil
-// ends that. One that can't be goes on here.
-func (s *Server) Give(give Give) {
-	if give == nil {
-		s.in.give.Store(nil)
+// SetHandover makes answers that have begun, now or later, go to another process through send; nil ends
+// that. An answer that can't be handed over finishes here.
+func (s *Server) SetHandover(send HandoverFunc) {
+	if send == nil {
+		s.listener.handover.Store(nil)
 		return
 	}
-	s.in.give.Store(&give)
+	s.listener.handover.Store(&send)
 }
 
-// Move hands the stream's parts to give, between two pieces.
+// Move passes the stream's state and connection to give, between two pieces.
 func (s *stream) Move(give func(gateway.Live) error) error {
-	state := moving{Keep: s.keep, Tail: s.tail}
+	state := bodyState{Keep: s.keep, Tail: s.tail}
 	switch b := s.body.(type) {
 	case *chunks:
 		state.Form, state.Left = "chunks", b.left
@@ -68,12 +68,12 @@
 	default:
 		state.Form = "close"
 	}
-	sc, ok := s.c.Conn.(syscall.Conn)
+	socket, ok := s.c.Conn.(syscall.Conn)
 	if !ok || s.begun != nil || s.done {
-		return errors.New("platform: this answer can't be moved")
+		return errors.New("platform: the answer can't be handed over in its current state")
 	}
 	state.Buffered, _ = s.c.br.Peek(s.c.br.Buffered())
-	if err := give(gateway.Live{Wire: state, Conn: sc}); err != nil {
+	if err := give(gateway.Live{Wire: state, Conn: socket}); err != nil {
 		return err
 	}
 	s.stop()
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// adopt makes a stream of an answer that another process has begun.
-func (e *Engines) adopt(ctx context.Context, nc net.Conn, addr string, state moving) (*stream, error) {
+// adoptStream continues an engine's answer that another process has begun.
+func (e *Engines) adoptStream(ctx context.Context, nc net.Conn, addr string, state bodyState) (*stream, error) {
 	c := &conn{Conn: nc, br: bufio.NewReaderSize(io.MultiReader(bytes.NewReader(state.Buffered), nc), 4096), addr: addr}
 	s := &stream{pool: e.pool, c: c, keep: state.Keep, tail: state.Tail}
 	switch state.Form {
@@ -94,104 +94,105 @@
 	case "close":
 		s.body = c.br
 	default:
-		return nil, fmt.Errorf("platform: an answer in the form %q", state.Form)
+		return nil, fmt.Errorf("platform: unknown body form %q in a handover message", state.Form)
 	}
 	if state.Left < 0 {
-		return nil, fmt.Errorf("platform: an answer with %d bytes left", state.Left)
+		return nil, fmt.Errorf("platform: handover message with %d bytes of the body left", state.Left)
 	}
 	s.stop = c.endWith(ctx)
-	e.pool.adopted()
+	e.pool.countAdopted()
 	return s, nil
 }
 
-// handOver gives the answer away if it is asked for, and tells whether it has.
-func (b *body) handOver() bool {
-	if b.conn == nil || !b.movable || !b.passed {
+// handOver hands the answer over if that is requested, and reports whether it has.
+func (b *answerBody) handOver() bool {
+	if b.conn == nil || !b.canHandOver || !b.started {
 		return false
 	}
-	give := b.conn.l.give.Load()
+	send := b.conn.listener.handover.Load()
 	client, ok := b.conn.Conn.(syscall.Conn)
-	m, can := b.stream.(gateway.Movable)
-	if give == nil || !ok || !can {
+	movable, canMove := b.stream.(gateway.Movable)
+	if send == nil || !ok || !canMove {
 		return false
 	}
-	b.conn.unwatch()
-	if len(b.conn.ahead) > aheadMost { // more than a message takes
-		b.movable = false
-		b.conn.watch(b.gone)
+	b.conn.stopWatch()
+	if len(b.conn.readAhead) > maxReadAhead { // more than a message has room for
+		b.canHandOver = false
+		b.conn.watchDisconnect(b.cancelClient)
 		return false
 	}
-	err := m.Move(func(v gateway.Live) error {
-		if b.client.Err() != nil {
-			return b.client.Err() // it has left: there is nothing to go on with
+	err := movable.Move(func(live gateway.Live) error {
+		if b.clientCtx.Err() != nil {
+			return b.clientCtx.Err() // the client has disconnected: there is nothing to continue
 		}
-		message, err := json.Marshal(moved{
-			ID: v.ID, Class: v.Class, Engine: v.Engine, Begun: v.Begun, Closes: b.closes, Ahead: b.conn.ahead, Body: v.Wire.(moving),
+		message, err := json.Marshal(handoverMessage{
+			ID: live.ID, Class: live.Class, Engine: live.Engine, TakenAt: live.Begun, CloseAfter: b.closeAfter, ReadAhead: b.conn.readAhead, Body: live.Wire.(bodyState),
 		})
 		if err != nil {
 			return fmt.Errorf("platform: %w", err)
 		}
-		return (*give)(message, client, v.Conn)
+		return (*send)(message, client, live.Conn)
 	})
 	if err != nil {
-		b.movable = false // it goes on here to its end
-		b.conn.watch(b.gone)
+		b.canHandOver = false // it finishes here
+		b.conn.watchDisconnect(b.cancelClient)
 		return false
 	}
-	b.conn.cut() // here alone: a shutdown would be the other process's too
+	b.conn.abort() // closes this process's descriptor alone: a shutdown would affect the other process too
 	return true
 }
 
-// Adopter is a Handler that can go on with answers begun elsewhere.
+// Adopter is a Handler that can continue answers begun by another process.
 type Adopter interface {
 	Handler
-	// Adopt counts a request in whose answer make goes on with; client is its client's life.
-	Adopt(client context.Context, live gateway.Live, make func(context.Context, gateway.Transport) (gateway.Stream, error)) (gateway.Stream, error)
+	// Adopt takes over a request whose answer has begun; newStream opens the rest of the answer. client
+	// ends when the request's client disconnects.
+	Adopt(client context.Context, live gateway.Live, newStream func(context.Context, gateway.Transport) (gateway.Stream, error)) (gateway.Stream, error)
 }
 
-// Adopt goes on with an answer that another process has handed over, to its end, and then
-// serves its client's connection like any other. It owns both connections.
-func (s *Server) Adopt(message []byte, clientConn, engine net.Conn) error {
+// Adopt continues an answer that another process has handed over to its end, and then serves its client's
+// connection like any other. It owns both connections.
+func (s *Server) Adopt(message []byte, clientSide, engineSide net.Conn) error {
 	fail := func(err error) error {
-		clientConn.Close()
-		engine.Close()
-		return fmt.Errorf("platform: an answer handed over: %w", err)
+		clientSide.Close()
+		engineSide.Close()
+		return fmt.Errorf("platform: adopting an answer: %w", err)
 	}
-	var m moved
-	if err := json.Unmarshal(message, &m); err != nil {
+	var handedOver handoverMessage
+	if err := json.Unmarshal(message, &handedOver); err != nil {
 		return fail(err)
 	}
-	gw, ok := s.gw.(Adopter)
+	adopter, ok := s.handler.(Adopter)
 	if !ok {
-		return fail(errors.New("nobody goes on with it"))
+		return fail(errors.New("the handler can't adopt answers"))
 	}
-	c := s.in.adopt(clientConn, m.Ahead)
-	client, gone := context.WithCancel(context.Background())
-	live := gateway.Live{ID: m.ID, Class: m.Class, Engine: m.Engine, Begun: m.Begun}
-	stream, err := gw.Adopt(client, live, func(ctx context.Context, t gateway.Transport) (gateway.Stream, error) {
+	c := s.listener.adoptConn(clientSide, handedOver.ReadAhead)
+	clientCtx, cancelClient := context.WithCancel(context.Background())
+	live := gateway.Live{ID: handedOver.ID, Class: handedOver.Class, Engine: handedOver.Engine, Begun: handedOver.TakenAt}
+	stream, err := adopter.Adopt(clientCtx, live, func(ctx context.Context, t gateway.Transport) (gateway.Stream, error) {
 		e, ok := t.(*Engines)
 		if !ok {
-			return nil, fmt.Errorf("engines are reached by %T here", t)
+			return nil, fmt.Errorf("unsupported transport %T", t)
 		}
-		return e.adopt(ctx, engine, m.Engine.Address, m.Body)
+		return e.adoptStream(ctx, engineSide, handedOver.Engine.Address, handedOver.Body)
 	})
 	if err != nil {
-		gone()
+		cancelClient()
 		c.Close()
 		return fail(err)
 	}
-	c.watch(gone)
-	b := &body{stream: stream, conn: c, client: client, gone: gone, movable: true, passed: true, closes: m.Closes, end: func() {
-		gone()
-		c.unwatch()
-		c.end()
+	c.watchDisconnect(cancelClient)
+	answer := &answerBody{stream: stream, conn: c, clientCtx: clientCtx, cancelClient: cancelClient, canHandOver: true, started: true, closeAfter: handedOver.CloseAfter, endRequest: func() {
+		cancelClient()
+		c.stopWatch()
+		c.endAnswer()
 	}}
-	s.adopted.Go(func() { s.relay(b, c) })
+	s.adoptedAnswers.Go(func() { s.relay(answer, c) })
 	return nil
 }
 
-// relay passes an adopted answer on as fasthttp does those of this process.
-func (s *Server) relay(b *body, c *clientConn) {
+// relay writes an adopted answer to its client as fasthttp does for answers of this process.
+func (s *Server) relay(b *answerBody, c *clientConn) {
 	w := bufio.NewWriterSize(c, 4096+16)
 	var piece [4096]byte
 	for {
@@ -204,14 +205,14 @@
 		if errors.Is(err, io.EOF) {
 			w.WriteString("0\r\n\r\n")
 		}
-		if e := w.Flush(); e != nil && err == nil {
-			err = e
+		if flushErr := w.Flush(); flushErr != nil && err == nil {
+			err = flushErr
 		}
 		if err == nil {
 			continue
 		}
 		b.Close()
-		if !errors.Is(err, io.EOF) || b.closes || s.draining.Load() || s.yielding.Load() {
+		if !errors.Is(err, io.EOF) || b.closeAfter || s.draining.Load() || s.keepAlivesDisabled.Load() {
 			c.Close()
 			return
 		}
@@ -220,18 +221,18 @@
 	}
 }
 
-// adopted counts a connection that came from another process.
-func (p *pool) adopted() {
+// countAdopted counts a connection that came from another process.
+func (p *pool) countAdopted() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open++
 }
 
-// adopt makes a connection of one that another process had accepted, with a request on its way.
-func (l *listener) adopt(nc net.Conn, ahead []byte) *clientConn {
+// adoptConn wraps a connection that another process accepted, with a request in flight.
+func (l *listener) adoptConn(nc net.Conn, ahead []byte) *clientConn {
 	now := time.Now()
-	c := &clientConn{Conn: nc, l: l, came: now, first: now, served: true, ahead: ahead}
-	c.written.Store(true)
+	c := &clientConn{Conn: nc, listener: l, acceptedAt: now, firstRequestDeadline: now, served: true, readAhead: ahead}
+	c.answerStarted.Store(true)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open++
--- a/internal/platform/move_test.go
+++ b/internal/platform/move_test.go
@@ -17,7 +17,7 @@
 )
 
 // doubled gives a connection's second descriptor, as another process gets it.
-func doubled(t *testing.T, sc syscall.Conn) net.Conn {
+func dupConn(t *testing.T, sc syscall.Conn) net.Conn {
 	raw, err := sc.SyscallConn()
 	if err != nil {
 		t.Error(err)
@@ -39,23 +39,23 @@
 }
 
 // pair is two servers of one gateway's engines; what the first has begun goes to the second.
-func pair(t *testing.T, script func(seen) string) (first, second *Server, addr string, sends *atomic.Int32) {
+func serverPair(t *testing.T, script func(engineRequest) string) (first, second *Server, addr string, sends *atomic.Int32) {
 	t.Helper()
 	sends = &atomic.Int32{}
-	list := []ashwood.Server{engine(t, "r1", "reader", reads), engine(t, "w1", "writer", writes(func(s seen) string {
+	list := []ashwood.Server{scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", scriptDecode(func(s engineRequest) string {
 		sends.Add(1)
 		return script(s)
 	}))}
-	first, addr = serve(t, list...)
-	second, _ = serve(t, list...)
+	first, addr = startServer(t, list...)
+	second, _ = startServer(t, list...)
 	return first, second, addr, sends
 }
 
 // giveTo has one server hand its answers to another, and gives how the first of them was taken.
-func giveTo(t *testing.T, first, second *Server) (given chan error) {
+func handOverTo(t *testing.T, first, second *Server) (given chan error) {
 	given = make(chan error, 1)
-	first.Give(func(message []byte, client, engine syscall.Conn) error {
-		a, b := doubled(t, client), doubled(t, engine)
+	first.SetHandover(func(message []byte, client, engine syscall.Conn) error {
+		a, b := dupConn(t, client), dupConn(t, engine)
 		go func() { given <- second.Adopt(message, a, b) }()
 		return nil
 	})
@@ -64,24 +64,24 @@
 
 // An answer is handed over in the middle of a chunk, with what had been read ahead of it
 // at both ends: its client gets every byte once, and is served on the same connection.
-func TestAnAnswerIsHandedOverInTheMiddleOfAChunk(t *testing.T) {
+func TestHandover_MidChunk(t *testing.T) {
 	goOn, taken, begun := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	const at = 7 // bytes of the ending that come with the first event
-	rest := chunk(ending)
-	first, second, addr, sends := pair(t, func(s seen) string {
+	rest := encodeChunk(lastEvents)
+	first, second, addr, sends := serverPair(t, func(s engineRequest) string {
 		if s.ID == "9b20" {
-			return whole()
+			return fullStream()
 		}
 		close(taken)
 		<-begun
-		io.WriteString(s.conn, head+chunk(event1)+rest[:at])
+		io.WriteString(s.conn, streamHead+encodeChunk(firstEvent)+rest[:at])
 		<-goOn
 		return rest[at:] + "0\r\n\r\n"
 	})
-	given := giveTo(t, first, second)
-	c := dial(t, addr)
-	next := strings.Replace(request("order", "", "{}"), "9b1f", "9b20", 1)
-	io.WriteString(c, request("order", "", "{}"))
+	given := handOverTo(t, first, second)
+	c := dialClient(t, addr)
+	next := strings.Replace(requestText("order", "", "{}"), "9b1f", "9b20", 1)
+	io.WriteString(c, requestText("order", "", "{}"))
 	<-taken
 	io.WriteString(c, next[:20]) // the next one begins before the answer does
 	close(begun)
@@ -90,7 +90,7 @@
 	}
 	close(goOn)
 	br := bufio.NewReader(c)
-	for n, want := range []string{event1 + ending, event1 + ending} {
+	for n, want := range []string{firstEvent + lastEvents, firstEvent + lastEvents} {
 		r, err := http.ReadResponse(br, nil)
 		if err != nil {
 			t.Fatalf("answer %d: %v", n, err)
@@ -109,17 +109,17 @@
 
 // A next request that was read together with the one before can't be handed over: the
 // answer stays, and both are answered. Behind the second nothing has been read, and its answer may go.
-func TestAnAnswerStaysWhereTheNextRequestWasRead(t *testing.T) {
-	first, _, addr, sends := pair(t, func(seen) string { return whole() })
-	first.Give(func(message []byte, _, _ syscall.Conn) error {
-		var m moved
+func TestHandover_PipelinedRequest(t *testing.T) {
+	first, _, addr, sends := serverPair(t, func(engineRequest) string { return fullStream() })
+	first.SetHandover(func(message []byte, _, _ syscall.Conn) error {
+		var m handoverMessage
 		if err := json.Unmarshal(message, &m); err != nil || m.ID != "9b20" {
 			t.Errorf("the answer to %q was handed over, %v", m.ID, err)
 		}
 		return errors.New("not wanted")
 	})
-	c := dial(t, addr)
-	one := request("order", "", "{}")
+	c := dialClient(t, addr)
+	one := requestText("order", "", "{}")
 	io.WriteString(c, one+strings.Replace(one, "9b1f", "9b20", 1))
 	br := bufio.NewReader(c)
 	for n := range 2 {
@@ -127,7 +127,7 @@
 		if err != nil {
 			t.Fatalf("answer %d: %v", n, err)
 		}
-		if body, err := io.ReadAll(r.Body); string(body) != event1+ending || err != nil {
+		if body, err := io.ReadAll(r.Body); string(body) != firstEvent+lastEvents || err != nil {
 			t.Errorf("answer %d: %q, %v", n, body, err)
 		}
 	}
@@ -137,15 +137,15 @@
 }
 
 // Where nothing has gone to the other process, the answer goes on where it is.
-func TestAnAnswerThatCanNotBeGivenGoesOn(t *testing.T) {
-	first, _, addr, sends := pair(t, func(seen) string { return whole() })
+func TestHandover_SendFails(t *testing.T) {
+	first, _, addr, sends := serverPair(t, func(engineRequest) string { return fullStream() })
 	asked := make(chan struct{}, 9)
-	first.Give(func([]byte, syscall.Conn, syscall.Conn) error {
+	first.SetHandover(func([]byte, syscall.Conn, syscall.Conn) error {
 		asked <- struct{}{}
 		return errors.New("nobody there")
 	})
-	c := dial(t, addr)
-	if r, body, err := ask(t, c, request("order", "", "{}")); err != nil || r.StatusCode != 200 || body != event1+ending {
+	c := dialClient(t, addr)
+	if r, body, err := roundTrip(t, c, requestText("order", "", "{}")); err != nil || r.StatusCode != 200 || body != firstEvent+lastEvents {
 		t.Errorf("%v, %q, %v", r, body, err)
 	}
 	if len(asked) != 1 || sends.Load() != 1 {
@@ -155,22 +155,22 @@
 
 // An answer that breaks after it was handed over ends its client's connection without the
 // last chunk; a message that can't be read closes what came with it.
-func TestWhatIsHandedOverBreaksLikeAnyOther(t *testing.T) {
+func TestHandover_BrokenStreamAndMessage(t *testing.T) {
 	goOn := make(chan struct{})
-	first, second, addr, _ := pair(t, func(s seen) string {
-		io.WriteString(s.conn, head+chunk(event1))
+	first, second, addr, _ := serverPair(t, func(s engineRequest) string {
+		io.WriteString(s.conn, streamHead+encodeChunk(firstEvent))
 		<-goOn
 		return "zz\r\n\x00" // no chunk's size, and a close
 	})
-	given := giveTo(t, first, second)
-	c := dial(t, addr)
-	io.WriteString(c, request("order", "", "{}"))
+	given := handOverTo(t, first, second)
+	c := dialClient(t, addr)
+	io.WriteString(c, requestText("order", "", "{}"))
 	if err := <-given; err != nil {
 		t.Fatal(err)
 	}
 	close(goOn)
 	got, err := io.ReadAll(c)
-	if !strings.Contains(string(got), event1) || strings.Contains(string(got), "\r\n0\r\n") || err != nil {
+	if !strings.Contains(string(got), firstEvent) || strings.Contains(string(got), "\r\n0\r\n") || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
 	for _, message := range []string{"", "{", `{"body":{"form":"odd"}}`, `{"body":{"form":"chunks","left":-1}}`} {
--- a/internal/platform/nethttp.go
+++ b/internal/platform/nethttp.go
@@ -14,36 +14,36 @@
 	"ashwood.example/ashwood/gateway"
 )
 
-// NetHTTP is the platform's protocol on net/http. What a client sees is what it
-// sees of a Server: bounds on what is read, events flushed as they come, a broken
-// stream that ends the connection without the last chunk.
+// NetHTTP serves the platform's protocol on net/http. Clients see the same as from a Server: bounds on
+// what is read, events flushed as they arrive, and a broken stream ends the connection without the
+// last chunk.
 type NetHTTP struct {
 	Handler Handler
-	Front   string // to limits
+	Front   string // name of the front in package limits
 	Log     *slog.Logger
 }
 
-// ServeHTTP answers a request. The client's leaving is noticed by the request's
-// context, which net/http ends.
+// ServeHTTP answers a request. A client's disconnect is noticed through the request's context, which
+// net/http cancels.
 func (n *NetHTTP) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	begun := false // an answer has: nothing else may be said
+	streamStarted := false // once an answer has started, no other status can be sent
 	defer func() {
 		p := recover()
 		if p == nil {
 			return
 		}
 		if err, ok := p.(error); ok && errors.Is(err, http.ErrAbortHandler) {
-			panic(p) // net/http's own way to break a connection
+			panic(p) // net/http's own way to abort a connection
 		}
 		n.Log.Error("panic", "value", p, "stack", string(debug.Stack()))
-		if begun {
+		if streamStarted {
 			panic(http.ErrAbortHandler)
 		}
 		http.Error(w, "internal error", http.StatusInternalServerError)
 	}()
-	req, code, err := n.read(w, r)
+	req, code, err := n.readRequest(w, r)
 	if err != nil {
-		w.Header().Set("Connection", "close") // what follows may not begin where it seems to
+		w.Header().Set("Connection", "close") // the next request may not begin where it seems to
 		http.Error(w, err.Error(), code)
 		return
 	}
@@ -58,8 +58,8 @@
 	}
 	switch reply.Kind {
 	case gateway.Served:
-		begun = true
-		n.pass(w, reply.Stream)
+		streamStarted = true
+		n.writeStream(w, reply.Stream)
 	case gateway.Refused:
 		if reply.RetryAfter > 0 {
 			w.Header().Set("Retry-After", strconv.FormatFloat(reply.RetryAfter/1000, 'f', 3, 64))
@@ -67,45 +67,45 @@
 		http.Error(w, refusedText, http.StatusServiceUnavailable)
 	case gateway.Failed:
 		http.Error(w, failedText(reply.Err), http.StatusBadGateway)
-	default: // the client has left
+	default: // the client has disconnected
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// read takes a request in, within bounds of size and time.
-func (n *NetHTTP) read(w http.ResponseWriter, r *http.Request) (*gateway.Request, int, error) {
+// readRequest reads a request within bounds of size and time.
+func (n *NetHTTP) readRequest(w http.ResponseWriter, r *http.Request) (*gateway.Request, int, error) {
 	rc := http.NewResponseController(w)
-	// A host's writer may not let the deadline be set; its own then holds.
-	set := rc.SetReadDeadline(time.Now().Add(readTimeout)) == nil
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
-	if set {
-		_ = rc.SetReadDeadline(time.Time{}) // it could be set a moment ago
+	// A host's writer may not support read deadlines; its own then applies.
+	deadlineSet := rc.SetReadDeadline(time.Now().Add(readTimeout)) == nil
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBody))
+	if deadlineSet {
+		_ = rc.SetReadDeadline(time.Time{}) // setting it worked a moment ago
 	}
-	var large *http.MaxBytesError
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		return nil, http.StatusRequestEntityTooLarge, err
 	case err != nil:
 		return nil, http.StatusRequestTimeout, err
 	}
-	req, err := Parse(r.Method, r.URL.RequestURI(), body, func(name string) []string { return r.Header.Values(name) })
+	req, err := ParseRequest(r.Method, r.URL.RequestURI(), body, func(name string) []string { return r.Header.Values(name) })
 	if err != nil {
 		return nil, http.StatusBadRequest, err
 	}
 	for name, values := range r.Header {
 		for _, value := range values {
-			pass(req, name, value)
+			forwardHeader(req, name, value)
 		}
 	}
 	req.Front = n.Front
-	if at, err := netip.ParseAddrPort(r.RemoteAddr); err == nil {
-		req.Client = at.Addr().Unmap()
+	if addr, err := netip.ParseAddrPort(r.RemoteAddr); err == nil {
+		req.Client = addr.Addr().Unmap()
 	}
 	return req, 0, nil
 }
 
-// pass writes an answer as it comes.
-func (n *NetHTTP) pass(w http.ResponseWriter, stream gateway.Stream) {
+// writeStream writes an answer piece by piece as it arrives.
+func (n *NetHTTP) writeStream(w http.ResponseWriter, stream gateway.Stream) {
 	defer stream.Close()
 	rc := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -115,13 +115,13 @@
 			return
 		}
 		if err == nil {
-			_ = rc.SetWriteDeadline(time.Now().Add(writeWait)) // where the host's writer lets it be set
+			_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout)) // if the host's writer supports it
 			if _, err = w.Write(piece); err == nil {
 				err = rc.Flush()
 			}
 		}
 		if err != nil {
-			n.Log.Debug("a stream broke", "err", err)
+			n.Log.Debug("answer to a client broke off", "err", err)
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/internal/platform/panic_test.go
+++ b/internal/platform/panic_test.go
@@ -14,58 +14,58 @@
 )
 
 // faulty is a handler that panics at every class but one.
-type faulty struct{}
+type panickingHandler struct{}
 
-func (faulty) Serve(_ context.Context, req *gateway.Request) (gateway.Reply, error) {
+func (panickingHandler) Serve(_ context.Context, req *gateway.Request) (gateway.Reply, error) {
 	if req.Class == "chat" {
 		panic("a fault in the handler")
 	}
 	return gateway.Reply{Kind: gateway.Refused}, nil
 }
 
-func (faulty) TurnAway(string) float64 { return 0 }
+func (panickingHandler) TurnAway(string) float64 { return 0 }
 
 // brokenStream panics at its first piece or, behind a first one, at the next.
-type brokenStream struct{ pieces int }
+type panickingStream struct{ pieces int }
 
-func (s *brokenStream) Next() ([]byte, error) {
+func (s *panickingStream) Next() ([]byte, error) {
 	if s.pieces--; s.pieces < 0 {
 		panic("a fault in a stream")
 	}
 	return []byte("data: {}\n\n"), nil
 }
 
-func (s *brokenStream) Report() ashwood.Report { return nil }
+func (s *panickingStream) Report() ashwood.Report { return nil }
 
-func (s *brokenStream) Close() error { return nil }
+func (s *panickingStream) Close() error { return nil }
 
-type streaming struct{ pieces int }
+type panickingStreamHandler struct{ pieces int }
 
-func (h streaming) Serve(context.Context, *gateway.Request) (gateway.Reply, error) {
-	return gateway.Reply{Kind: gateway.Served, Stream: &brokenStream{pieces: h.pieces}}, nil
+func (h panickingStreamHandler) Serve(context.Context, *gateway.Request) (gateway.Reply, error) {
+	return gateway.Reply{Kind: gateway.Served, Stream: &panickingStream{pieces: h.pieces}}, nil
 }
 
-func (streaming) TurnAway(string) float64 { return 0 }
+func (panickingStreamHandler) TurnAway(string) float64 { return 0 }
 
 // A request that was read is answered although its handler panics, and so is the next one on
 // the same connection.
-func TestPanic_RequestIsAnswered(t *testing.T) {
+func TestPanic_InHandler(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	l := listen(t)
-	s := NewServer(faulty{}, log, 50)
+	s := NewServer(panickingHandler{}, log, 50)
 	go s.Serve(l)
-	t.Cleanup(func() { stop(t, s) })
-	c := dial(t, l.Addr().String())
+	t.Cleanup(func() { shutdownServer(t, s) })
+	c := dialClient(t, l.Addr().String())
 	for i, want := range []int{http.StatusInternalServerError, http.StatusServiceUnavailable, http.StatusInternalServerError} {
 		class := "chat"
 		if want == http.StatusServiceUnavailable {
 			class = "order"
 		}
-		if r, _, err := ask(t, c, request(class, "", "{}")); err != nil || r.StatusCode != want {
+		if r, _, err := roundTrip(t, c, requestText(class, "", "{}")); err != nil || r.StatusCode != want {
 			t.Errorf("request %d: %v, %v, want %d", i, r, err, want)
 		}
 	}
-	host := httptest.NewServer(&NetHTTP{Handler: faulty{}, Log: log})
+	host := httptest.NewServer(&NetHTTP{Handler: panickingHandler{}, Log: log})
 	defer host.Close()
 	req, err := http.NewRequest(http.MethodPost, host.URL, strings.NewReader("{}"))
 	if err != nil {
@@ -82,19 +82,19 @@
 
 // An answer whose stream panics ends its client's connection without the last chunk: what was
 // passed on is not taken for a whole answer.
-func TestPanic_StreamBreaks(t *testing.T) {
+func TestPanic_InStream(t *testing.T) {
 	for pieces := range 2 {
 		l := listen(t)
-		s := NewServer(streaming{pieces}, slog.New(slog.DiscardHandler), 50)
+		s := NewServer(panickingStreamHandler{pieces}, slog.New(slog.DiscardHandler), 50)
 		go s.Serve(l)
-		c := dial(t, l.Addr().String())
-		if _, err := io.WriteString(c, request("chat", "", "{}")); err != nil {
+		c := dialClient(t, l.Addr().String())
+		if _, err := io.WriteString(c, requestText("chat", "", "{}")); err != nil {
 			t.Fatal(err)
 		}
 		text, err := io.ReadAll(c)
 		if err != nil || strings.Count(string(text), "data: {}") != pieces || strings.HasSuffix(string(text), "0\r\n\r\n") {
 			t.Errorf("%d pieces: %q, %v", pieces, text, err)
 		}
-		stop(t, s)
+		shutdownServer(t, s)
 	}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -18,7 +18,7 @@
 )
 
 // seen is a request as an engine got it.
-type seen struct {
+type engineRequest struct {
 	Method, Target, ID, Body string
 	conn                     net.Conn
 }
@@ -35,7 +35,7 @@
 
 // engine is a scripted peer: answer gives the bytes to write for a request,
 // "" for none; the connection is closed after bytes that end with "\x00".
-func engine(t *testing.T, name, kind string, answer func(seen) string) ashwood.Server {
+func scriptedEngine(t *testing.T, name, kind string, answer func(engineRequest) string) ashwood.Server {
 	l := listen(t)
 	serve := func(c net.Conn) {
 		defer c.Close()
@@ -46,7 +46,7 @@
 				return
 			}
 			body, _ := io.ReadAll(r.Body)
-			out := answer(seen{r.Method, r.RequestURI, r.Header.Get(headerID), string(body), c})
+			out := answer(engineRequest{r.Method, r.RequestURI, r.Header.Get(headerID), string(body), c})
 			io.WriteString(c, strings.TrimSuffix(out, "\x00"))
 			if strings.HasSuffix(out, "\x00") {
 				return
@@ -66,40 +66,42 @@
 }
 
 const (
-	parsed = "HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\nX-Pressure: inflight=1\r\n\r\n{\"cached_tokens\":16}"
-	held   = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	freed  = "HTTP/1.1 204 No Content\r\n\r\n"
-	full   = "HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
-	head   = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-	event1 = "data: {\"a\":1}\n\n"
-	ending = "data: [DONE]\n\n: X-Pressure: inflight=3,queue=1,x0=0.5\n\n"
+	prefillResponse    = "HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\nX-Pressure: inflight=1\r\n\r\n{\"cached_tokens\":16}"
+	reservedResponse   = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	releasedResponse   = "HTTP/1.1 204 No Content\r\n\r\n"
+	turnedAwayResponse = "HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
+	streamHead         = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	firstEvent         = "data: {\"a\":1}\n\n"
+	lastEvents         = "data: [DONE]\n\n: X-Pressure: inflight=3,queue=1,x0=0.5\n\n"
 )
 
-func chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
+func encodeChunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
-func whole() string { return head + chunk(event1) + chunk(ending) + "0\r\n\r\n" }
+func fullStream() string {
+	return streamHead + encodeChunk(firstEvent) + encodeChunk(lastEvents) + "0\r\n\r\n"
+}
 
-func reads(s seen) string {
+func scriptPrefill(s engineRequest) string {
 	if s.Method == "DELETE" {
-		return freed
+		return releasedResponse
 	}
-	return parsed
+	return prefillResponse
 }
 
 // writes answers requests by script and the calls beside them well.
-func writes(script func(seen) string) func(seen) string {
-	return func(s seen) string {
+func scriptDecode(script func(engineRequest) string) func(engineRequest) string {
+	return func(s engineRequest) string {
 		switch {
 		case s.Method == "DELETE":
-			return freed
+			return releasedResponse
 		case strings.HasPrefix(s.Target, roomsPath):
-			return held
+			return reservedResponse
 		}
 		return script(s)
 	}
 }
 
-func settings() ashwood.Settings {
+func testSettings() ashwood.Settings {
 	class := func(name string, e ashwood.Effect) ashwood.Class {
 		return ashwood.Class{Name: name, Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: e}
 	}
@@ -113,16 +115,16 @@
 }
 
 // start brings up a gateway with these engines and gives a connection to it.
-func start(t *testing.T, list ...ashwood.Server) net.Conn {
+func startAndDial(t *testing.T, list ...ashwood.Server) net.Conn {
 	t.Helper()
-	_, addr := serve(t, list...)
-	return dial(t, addr)
+	_, addr := startServer(t, list...)
+	return dialClient(t, addr)
 }
 
-func serve(t *testing.T, list ...ashwood.Server) (s *Server, addr string) {
+func startServer(t *testing.T, list ...ashwood.Server) (s *Server, addr string) {
 	t.Helper()
 	log, c := slog.New(slog.DiscardHandler), clock.System()
-	gw, err := gateway.New(settings(), 1, NewEngines(settings(), c, 50), c, log)
+	gw, err := gateway.New(testSettings(), 1, NewEngines(testSettings(), c, 50), c, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +138,7 @@
 	return s, l.Addr().String()
 }
 
-func dial(t *testing.T, addr string) net.Conn {
+func dialClient(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -147,13 +149,13 @@
 	return c
 }
 
-func request(class, extra, body string) string {
+func requestText(class, extra, body string) string {
 	return fmt.Sprintf("POST /v1/chat/completions?x=%%2F HTTP/1.1\r\nHost: service.internal\r\nX-Txn: 9b1f\r\nX-Lane: %s\r\n"+
 		"X-Entity: 7f3a\r\nX-Remaining: 15.000\r\nX-Labels: prefix=5c0f,prompt_len=64,prefix_len=32,max_out=9\r\n%sContent-Length: %d\r\n\r\n%s",
 		class, extra, len(body), body)
 }
 
-func ask(t *testing.T, c net.Conn, text string) (*http.Response, string, error) {
+func roundTrip(t *testing.T, c net.Conn, text string) (*http.Response, string, error) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
@@ -166,18 +168,18 @@
 	return r, string(body), err
 }
 
-func TestBytesPassThroughBothWays(t *testing.T) {
-	got := make(chan seen, 9)
-	c := start(t, engine(t, "r1", "reader", reads),
-		engine(t, "w1", "writer", writes(func(s seen) string { got <- s; return whole() })))
+func TestServer_BytesUnchanged(t *testing.T) {
+	got := make(chan engineRequest, 9)
+	c := startAndDial(t, scriptedEngine(t, "r1", "reader", scriptPrefill),
+		scriptedEngine(t, "w1", "writer", scriptDecode(func(s engineRequest) string { got <- s; return fullStream() })))
 	for range 2 { // on one connection
-		r, body, err := ask(t, c, request("chat", "", `{"odd" :  "spacing"}`))
-		if err != nil || r.StatusCode != 200 || body != event1+ending {
+		r, body, err := roundTrip(t, c, requestText("chat", "", `{"odd" :  "spacing"}`))
+		if err != nil || r.StatusCode != 200 || body != firstEvent+lastEvents {
 			t.Fatalf("%v, %v, %q", r.Status, err, body)
 		}
 		s := <-got
 		s.conn = nil
-		want := seen{Method: "POST", Target: "/v1/chat/completions?x=%2F", ID: "9b1f", Body: `{"odd" :  "spacing"}`}
+		want := engineRequest{Method: "POST", Target: "/v1/chat/completions?x=%2F", ID: "9b1f", Body: `{"odd" :  "spacing"}`}
 		if s != want {
 			t.Errorf("the writer got %+v, want %+v", s, want)
 		}
@@ -186,33 +188,33 @@
 
 // An order is sent again only on proof that it has not run, and a client is
 // told to try again only then too.
-func TestOutcomesOfAnOrder(t *testing.T) {
+func TestSideEffect_FirstAttemptOutcomes(t *testing.T) {
 	tests := []struct {
 		name, first string
 		code        int
 		writes      int
 	}{
-		{"turned away", full, 200, 2},
+		{"turned away", turnedAwayResponse, 200, 2},
 		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", 502, 1},
 		{"503 without proof", "HTTP/1.1 503 Oops\r\nContent-Length: 0\r\n\r\n", 502, 1},
-		{"202 from a writer", parsed, 502, 1},
+		{"202 from a writer", prefillResponse, 502, 1},
 		{"reset", "\x00", 502, 1},
-		{"broken before an event", head + "\x00", 502, 1},
-		{"broken within the first event", head + chunk("data: {\"a\"") + "\x00", 502, 1},
-		{"a first event in pieces", head + chunk("data: {\"a\"") + chunk(":1}\n") + chunk("\n") + "0\r\n\r\n", 200, 1},
-		{"an answer without a blank line", head + chunk("data: [DONE]") + "0\r\n\r\n", 200, 1},
+		{"broken before an event", streamHead + "\x00", 502, 1},
+		{"broken within the first event", streamHead + encodeChunk("data: {\"a\"") + "\x00", 502, 1},
+		{"a first event in pieces", streamHead + encodeChunk("data: {\"a\"") + encodeChunk(":1}\n") + encodeChunk("\n") + "0\r\n\r\n", 200, 1},
+		{"an answer without a blank line", streamHead + encodeChunk("data: [DONE]") + "0\r\n\r\n", 200, 1},
 	}
 	for _, tt := range tests {
-		got := make(chan seen, 9)
-		script := writes(func(s seen) string {
+		got := make(chan engineRequest, 9)
+		script := scriptDecode(func(s engineRequest) string {
 			got <- s
 			if len(got) == 1 {
 				return tt.first
 			}
-			return whole()
+			return fullStream()
 		})
-		c := start(t, engine(t, "r1", "reader", reads), engine(t, "w1", "writer", script), engine(t, "w2", "writer", script))
-		r, body, err := ask(t, c, request("order", "", "{}"))
+		c := startAndDial(t, scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", script), scriptedEngine(t, "w2", "writer", script))
+		r, body, err := roundTrip(t, c, requestText("order", "", "{}"))
 		if err != nil || r.StatusCode != tt.code || len(got) != tt.writes {
 			t.Errorf("%s: %s after %d writes, want %d after %d: %s, %v", tt.name, r.Status, len(got), tt.code, tt.writes, body, err)
 		}
@@ -220,20 +222,20 @@
 }
 
 // What is refused comes back when told to.
-func TestRefusalCarriesRetryAfter(t *testing.T) {
-	c := start(t)
-	r, body, err := ask(t, c, strings.Replace(request("order", "", "{}"), "15.000", "0.100", 1))
+func TestRefusal_RetryAfter(t *testing.T) {
+	c := startAndDial(t)
+	r, body, err := roundTrip(t, c, strings.Replace(requestText("order", "", "{}"), "15.000", "0.100", 1))
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") != "0.500" || err != nil {
 		t.Errorf("%s, Retry-After %q, %q, %v", r.Status, r.Header.Get("Retry-After"), body, err)
 	}
 }
 
 // A stream that breaks must not look whole: the connection ends without the last chunk.
-func TestBrokenStreamEndsTheConnection(t *testing.T) {
-	c := start(t, engine(t, "r1", "reader", reads),
-		engine(t, "w1", "writer", writes(func(seen) string { return head + chunk(event1) + "\x00" })))
-	r, body, err := ask(t, c, request("chat", "", "{}"))
-	if r.StatusCode != 200 || body != event1 || err != io.ErrUnexpectedEOF {
+func TestStream_BrokenEndsConnection(t *testing.T) {
+	c := startAndDial(t, scriptedEngine(t, "r1", "reader", scriptPrefill),
+		scriptedEngine(t, "w1", "writer", scriptDecode(func(engineRequest) string { return streamHead + encodeChunk(firstEvent) + "\x00" })))
+	r, body, err := roundTrip(t, c, requestText("chat", "", "{}"))
+	if r.StatusCode != 200 || body != firstEvent || err != io.ErrUnexpectedEOF {
 		t.Errorf("%s, %q, %v", r.Status, body, err)
 	}
 }
@@ -241,7 +243,7 @@
 // From any engine some answers arrive spoilt, on connections that stay open. One
 // spoilt before its first event was passed on may have run; a later one ends the
 // client's connection without the last chunk.
-func TestSpoiltAnswers(t *testing.T) {
+func TestStream_MalformedAnswers(t *testing.T) {
 	good := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
 	tests := []struct {
 		name, answer string
@@ -252,37 +254,37 @@
 		{"a head that does not go on", "HTTP/1.1 200 OK\r\nX-Half: ", false},
 		{"a head without end", good + strings.Repeat("X-More: and more\r\n", 999), false},
 		{"nothing but 1xx", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterim), false},
-		{"no event behind the head", head, false},
-		{"a first size that is none", head + "zz\r\n" + event1, false},
-		{"a first chunk of 3 GB", head + "c0000000\r\n" + event1, false},
-		{"a first chunk beyond its size", head + "2\r\n" + event1 + "\r\n", false},
-		{"a size that is none", head + chunk(event1) + "-1\r\n", true},
-		{"a size that does not end", head + chunk(event1) + strings.Repeat("0", 9999), true},
-		{"a chunk of 3 GB", head + chunk(event1) + "c0000000\r\n" + event1, true},
-		{"a chunk beyond its size", head + chunk(event1) + "2\r\n" + event1 + "\r\n", true},
-		{"a chunk short of its size", head + chunk(event1) + "ff\r\n" + event1, true},
-		{"lines without end behind the last chunk", head + chunk(event1) + "0\r\n" + strings.Repeat("a: b\r\n", 99), true},
+		{"no event behind the head", streamHead, false},
+		{"a first size that is none", streamHead + "zz\r\n" + firstEvent, false},
+		{"a first chunk of 3 GB", streamHead + "c0000000\r\n" + firstEvent, false},
+		{"a first chunk beyond its size", streamHead + "2\r\n" + firstEvent + "\r\n", false},
+		{"a size that is none", streamHead + encodeChunk(firstEvent) + "-1\r\n", true},
+		{"a size that does not end", streamHead + encodeChunk(firstEvent) + strings.Repeat("0", 9999), true},
+		{"a chunk of 3 GB", streamHead + encodeChunk(firstEvent) + "c0000000\r\n" + firstEvent, true},
+		{"a chunk beyond its size", streamHead + encodeChunk(firstEvent) + "2\r\n" + firstEvent + "\r\n", true},
+		{"a chunk short of its size", streamHead + encodeChunk(firstEvent) + "ff\r\n" + firstEvent, true},
+		{"lines without end behind the last chunk", streamHead + encodeChunk(firstEvent) + "0\r\n" + strings.Repeat("a: b\r\n", 99), true},
 	}
 	for _, tt := range tests {
 		for _, class := range []string{"chat", "order"} {
 			first := make(chan bool, 1)
 			first <- true
-			script := writes(func(seen) string {
+			script := scriptDecode(func(engineRequest) string {
 				select {
 				case <-first:
 					return tt.answer
 				default:
-					return whole()
+					return fullStream()
 				}
 			})
-			c := start(t, engine(t, "r1", "reader", reads), engine(t, "w1", "writer", script), engine(t, "w2", "writer", script))
-			r, body, err := ask(t, c, request(class, "", "{}"))
+			c := startAndDial(t, scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", script), scriptedEngine(t, "w2", "writer", script))
+			r, body, err := roundTrip(t, c, requestText(class, "", "{}"))
 			switch {
 			case tt.begun:
-				if r.StatusCode != 200 || body != event1 || err != io.ErrUnexpectedEOF {
+				if r.StatusCode != 200 || body != firstEvent || err != io.ErrUnexpectedEOF {
 					t.Errorf("%s, %s: %s, %q, %v", tt.name, class, r.Status, body, err)
 				}
-			case class == "order" && r.StatusCode != 502, class == "chat" && (r.StatusCode != 200 || body != event1+ending):
+			case class == "order" && r.StatusCode != 502, class == "chat" && (r.StatusCode != 200 || body != firstEvent+lastEvents):
 				t.Errorf("%s, %s: %s, %q, %v", tt.name, class, r.Status, body, err)
 			}
 		}
@@ -290,30 +292,30 @@
 }
 
 // Other answers are good and bring more than belongs to them.
-func TestGoodAnswersWithMoreThanBelongsToThem(t *testing.T) {
+func TestAnswers_InterimAndExtraBytes(t *testing.T) {
 	const interim = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-	odd := strings.Replace(whole(), "\r\nContent", "\r\nX-Pressure: inflight=-3,queue=much\r\nContent", 1)
-	c := start(t, engine(t, "r1", "reader", func(s seen) string {
+	odd := strings.Replace(fullStream(), "\r\nContent", "\r\nX-Pressure: inflight=-3,queue=much\r\nContent", 1)
+	c := startAndDial(t, scriptedEngine(t, "r1", "reader", func(s engineRequest) string {
 		if s.Method == "DELETE" {
-			return freed
+			return releasedResponse
 		}
-		return interim + parsed + parsed
-	}), engine(t, "w1", "writer", writes(func(seen) string { return interim + interim + odd + full })))
+		return interim + prefillResponse + prefillResponse
+	}), scriptedEngine(t, "w1", "writer", scriptDecode(func(engineRequest) string { return interim + interim + odd + turnedAwayResponse })))
 	for range 3 { // on connections that nothing is left on
-		if r, body, err := ask(t, c, request("order", "", "{}")); r.StatusCode != 200 || body != event1+ending || err != nil {
+		if r, body, err := roundTrip(t, c, requestText("order", "", "{}")); r.StatusCode != 200 || body != firstEvent+lastEvents || err != nil {
 			t.Errorf("%s, %q, %v", r.Status, body, err)
 		}
 	}
 }
 
 // fasthttp does not look whether its client is there while a handler runs.
-func TestClientsCloseEndsTheAttemptAndLetsGo(t *testing.T) {
-	got, ended := make(chan seen, 9), make(chan string, 9)
-	c := start(t, engine(t, "r1", "reader", func(s seen) string {
+func TestClientDisconnect_CancelsAttempt(t *testing.T) {
+	got, ended := make(chan engineRequest, 9), make(chan string, 9)
+	c := startAndDial(t, scriptedEngine(t, "r1", "reader", func(s engineRequest) string {
 		ended <- s.Method
-		return reads(s)
-	}), engine(t, "w1", "writer", writes(func(s seen) string { got <- s; return "" })))
-	io.WriteString(c, request("order", "", "{}"))
+		return scriptPrefill(s)
+	}), scriptedEngine(t, "w1", "writer", scriptDecode(func(s engineRequest) string { got <- s; return "" })))
+	io.WriteString(c, requestText("order", "", "{}"))
 	s := <-got
 	c.Close()
 	if _, err := s.conn.Read(make([]byte, 1)); err != io.EOF && err == nil {
--- a/internal/platform/queue.go
+++ b/internal/platform/queue.go
@@ -13,111 +13,111 @@
 	"ashwood.example/ashwood/internal/sockcall"
 )
 
-// This file empties the system's queue of connections before a listener is closed: the close resets
-// those that wait there, with the requests that their clients have written. However often the
-// queue is looked at, a connection may come up between the last look and the close. So the system is kept from
-// taking new ones first, and the last look comes behind that.
+// This file empties the kernel's accept queue before a listener is closed: the close resets the
+// connections that wait in it, with the requests that their clients have written. However often the
+// queue is polled, a connection may complete its handshake between the last poll and the close. So the
+// kernel is first told to drop new handshakes, and the last poll follows that.
 
-// queueWait is for how long the connections that wait in the system's queue are accepted at the
-// end, and queueLate by how much later the process may notice: it was held up then, and more have come.
+// queueDrainTime is how long the connections in the accept queue are accepted at the end. If the process
+// notices the end later than by queueDrainSlack, it was delayed and more connections have arrived.
 const (
-	queueWait = 20 * time.Millisecond
-	queueLate = 10 * time.Millisecond
+	queueDrainTime  = 20 * time.Millisecond
+	queueDrainSlack = 10 * time.Millisecond
 )
 
-// handshakeWait is for how long a connection whose handshake had begun as the queue was sealed
-// may take to come up. Clients that connect meanwhile get no answer, and are refused when they try again.
-const handshakeWait = 5 * time.Millisecond
+// handshakeTimeout is how long a handshake that began before new ones were dropped may take to
+// complete. Clients that connect meanwhile get no reply, and are refused when they retry.
+const handshakeTimeout = 5 * time.Millisecond
 
-// deadliner is a listener whose Accept can be bounded.
-type deadliner interface{ SetDeadline(time.Time) error }
+// deadlineListener is a listener whose Accept can be bounded.
+type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// takeQueue accepts the connections that wait in the system's queue, and then ends Accept.
-func (l *listener) takeQueue() {
+// drainQueue accepts the connections that wait in the accept queue, and then ends Accept.
+func (l *listener) drainQueue() {
 	l.mu.Lock()
-	bounded, ok := l.Listener.(deadliner)
-	l.queueTaken, l.queueFrom = make(chan struct{}), time.Now()
+	inner, ok := l.Listener.(deadlineListener)
+	l.queueDrained, l.queueDrainStart = make(chan struct{}), time.Now()
 	l.mu.Unlock()
-	if !ok || bounded.SetDeadline(time.Now().Add(queueWait)) != nil {
+	if !ok || inner.SetDeadline(time.Now().Add(queueDrainTime)) != nil {
 		return // it can't be bounded, or has been closed
 	}
 	select {
-	case <-l.queueTaken:
-	case <-time.After(lingerTime): // it waits for room
+	case <-l.queueDrained:
+	case <-time.After(lingerTimeout): // Accept waits for room
 	}
 }
 
-// endOfQueue tells whether an error of Accept is the end that takeQueue has set, and whether Accept
-// is to go on all the same: the process was late to notice, or a connection has come since.
-func (l *listener) endOfQueue(err error) (over, goOn bool) {
+// checkQueueEnd reports whether an error of Accept is the deadline that drainQueue has set, and whether
+// Accept is to be retried nevertheless: the process noticed it late, or a connection has arrived since.
+func (l *listener) checkQueueEnd(err error) (ended, retry bool) {
 	l.mu.Lock()
-	asked := l.queueTaken != nil && errors.Is(err, os.ErrDeadlineExceeded)
-	late := time.Since(l.queueFrom) > queueWait+queueLate
+	draining := l.queueDrained != nil && errors.Is(err, os.ErrDeadlineExceeded)
+	late := time.Since(l.queueDrainStart) > queueDrainTime+queueDrainSlack
 	l.mu.Unlock()
 	switch {
-	case !asked:
+	case !draining:
 		return false, false
-	case late && l.acceptLonger():
+	case late && l.extendQueueDrain():
 		return false, true
-	case l.sealQueue() && l.connectionWaits() && l.acceptLonger():
+	case l.stopHandshakes() && l.connectionPending() && l.extendQueueDrain():
 		return false, true
 	}
-	l.endQueue()
+	l.finishQueueDrain()
 	return true, false
 }
 
-// sealedQueueIsEmpty tells whether all connections have been accepted from a queue that takes no
-// new one, with which Accept ends.
-func (l *listener) sealedQueueIsEmpty() bool {
+// queueIsEmpty reports whether new handshakes are dropped and all connections have been accepted from the
+// queue, which ends Accept.
+func (l *listener) queueIsEmpty() bool {
 	l.mu.Lock()
-	sealed := l.queueSealed
+	sealed := l.handshakesDropped
 	l.mu.Unlock()
-	if !sealed || l.connectionWaits() && l.acceptLonger() {
+	if !sealed || l.connectionPending() && l.extendQueueDrain() {
 		return false
 	}
-	l.endQueue()
+	l.finishQueueDrain()
 	return true
 }
 
-// acceptLonger bounds Accept anew at the end, and tells whether it could.
-func (l *listener) acceptLonger() bool {
+// extendQueueDrain sets a new deadline for Accept at the end, and reports whether it could.
+func (l *listener) extendQueueDrain() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	bounded, ok := l.Listener.(deadliner)
-	if !ok || l.ended {
+	inner, ok := l.Listener.(deadlineListener)
+	if !ok || l.closed {
 		return false
 	}
-	l.queueFrom = time.Now()
-	return bounded.SetDeadline(l.queueFrom.Add(queueWait)) == nil
+	l.queueDrainStart = time.Now()
+	return inner.SetDeadline(l.queueDrainStart.Add(queueDrainTime)) == nil
 }
 
-// endQueue tells who waits for it that no more connections will be accepted.
-func (l *listener) endQueue() {
+// finishQueueDrain notifies drainQueue that no more connections will be accepted.
+func (l *listener) finishQueueDrain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.ended {
-		l.ended = true
-		close(l.queueTaken)
+	if !l.closed {
+		l.closed = true
+		close(l.queueDrained)
 	}
 }
 
-// sealQueue has the system take no new connection, and tells whether that is new. Where a system does not
-// know of it, the connections that come up to the last look are accepted all the same.
-func (l *listener) sealQueue() bool {
+// stopHandshakes makes the kernel drop new handshakes, and reports whether this call did it first. On a
+// system without socket filters, connections are accepted up to the last poll.
+func (l *listener) stopHandshakes() bool {
 	l.mu.Lock()
-	sealed := l.queueSealed
-	l.queueSealed = true
+	already := l.handshakesDropped
+	l.handshakesDropped = true
 	l.mu.Unlock()
-	if sealed {
+	if already {
 		return false
 	}
 	if err := l.control(dropHandshakes); err != nil {
-		l.log.Info("shutdown: the listener takes new connections up to its close", "err", err)
+		l.log.Info("shutdown: new handshakes can't be dropped, the listener accepts connections until its close", "err", err)
 	}
 	return true
 }
 
-// Of a TCP header.
+// Offset, flags and length in a TCP header.
 const (
 	flagsOffset = 13
 	flagSYN     = 0x02
@@ -125,8 +125,8 @@
 	allBytes    = 1<<32 - 1
 )
 
-// dropHandshakes has the system drop what begins a handshake at a listening socket. All else passes: accepted connections
-// inherit the filter, and a handshake that has begun is to end.
+// dropHandshakes makes the kernel drop SYN packets to a listening socket. All else passes: accepted
+// connections inherit the filter, and handshakes that have begun must be able to complete.
 func dropHandshakes(fd int) error {
 	raw, err := bpf.Assemble([]bpf.Instruction{
 		bpf.LoadAbsolute{Off: flagsOffset, Size: 1},
@@ -136,19 +136,19 @@
 		bpf.RetConstant{Val: 0},
 	})
 	if err != nil {
-		return fmt.Errorf("filter: %w", err)
+		return fmt.Errorf("platform: socket filter: %w", err)
 	}
 	program := make([]unix.SockFilter, len(raw))
-	for i, in := range raw {
-		program[i] = unix.SockFilter{Code: in.Op, Jt: in.Jt, Jf: in.Jf, K: in.K}
+	for i, instruction := range raw {
+		program[i] = unix.SockFilter{Code: instruction.Op, Jt: instruction.Jt, Jf: instruction.Jf, K: instruction.K}
 	}
 	return unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER,
 		&unix.SockFprog{Len: uint16(len(program)), Filter: &program[0]})
 }
 
-// connectionWaits tells whether a connection can be accepted, or comes up within handshakeWait.
-func (l *listener) connectionWaits() (waits bool) {
-	end := time.Now().Add(handshakeWait)
+// connectionPending reports whether a connection can be accepted now or within handshakeTimeout.
+func (l *listener) connectionPending() (waits bool) {
+	end := time.Now().Add(handshakeTimeout)
 	err := l.control(func(fd int) error {
 		events := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 		for {
@@ -163,7 +163,7 @@
 	return err == nil && waits
 }
 
-// control has a call made on the listening socket.
+// control calls a function with the descriptor of the listening socket.
 func (l *listener) control(call func(fd int) error) error {
 	l.mu.Lock()
 	socket, ok := l.Listener.(syscall.Conn)
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -16,48 +16,48 @@
 	"ashwood.example/ashwood/gateway"
 )
 
-// parseRequest reads a request that fasthttp has taken.
-func parseRequest(r *fasthttp.Request) (*gateway.Request, error) {
-	h := &r.Header
-	if err := framing(h); err != nil {
+// parseFastHTTP parses a request that fasthttp has read.
+func parseFastHTTP(request *fasthttp.Request) (*gateway.Request, error) {
+	header := &request.Header
+	if err := checkFraming(header); err != nil {
 		return nil, err
 	}
-	req, err := Parse(string(h.Method()), string(h.RequestURI()), r.Body(), func(name string) (values []string) {
-		for _, v := range h.PeekAll(name) {
+	req, err := ParseRequest(string(header.Method()), string(header.RequestURI()), request.Body(), func(name string) (values []string) {
+		for _, v := range header.PeekAll(name) {
 			values = append(values, string(v))
 		}
 		return values
 	})
 	if err == nil {
-		for name, value := range h.All() {
-			pass(req, string(name), string(value))
+		for name, value := range header.All() {
+			forwardHeader(req, string(name), string(value))
 		}
 	}
 	return req, err
 }
 
-// pass notes a header for the engine: all go there as they came (a client's key for
-// repeats, say), but for those of one connection that are listed below, or that the gateway
-// sets itself; others that a Connection header names are passed on all the same. What can't
-// be written as a line of its own stays here.
-func pass(req *gateway.Request, name, value string) {
-	if !ours[strings.ToLower(name)] && httpguts.ValidHeaderFieldName(name) && httpguts.ValidHeaderFieldValue(value) {
+// forwardHeader adds a header to those sent to the engine. Headers are forwarded unchanged (an
+// idempotency key, for example), except the hop-by-hop ones and those that the gateway sets itself,
+// listed below; others that a Connection header names are forwarded too. A header that is not valid as
+// one line is dropped.
+func forwardHeader(req *gateway.Request, name, value string) {
+	if !notForwarded[strings.ToLower(name)] && httpguts.ValidHeaderFieldName(name) && httpguts.ValidHeaderFieldValue(value) {
 		req.Header = append(req.Header, [2]string{name, value})
 	}
 }
 
-// ours are the headers that are not passed on.
-var ours = map[string]bool{
+// notForwarded are the headers that are not sent to the engine.
+var notForwarded = map[string]bool{
 	"connection": true, "keep-alive": true, "proxy-connection": true, "proxy-authenticate": true, "proxy-authorization": true,
 	"te": true, "trailer": true, "transfer-encoding": true, "upgrade": true, "expect": true, "content-length": true, "host": true,
 	strings.ToLower(headerID): true, strings.ToLower(headerLeft): true,
 }
 
-// Parse takes out the fields that decisions need. It is strict: what is faulty or
-// may be read in two ways reaches no engine. header gives all values of a name.
-func Parse(method, target string, body []byte, header func(name string) []string) (*gateway.Request, error) {
+// ParseRequest extracts the fields that routing decisions need. It is strict: a request that is malformed
+// or ambiguous reaches no engine. header returns all values of a name.
+func ParseRequest(method, target string, body []byte, header func(name string) []string) (*gateway.Request, error) {
 	req := &gateway.Request{Method: method, Target: target, Body: body}
-	if !json.Valid(req.Body) { // cut off, or behind a length that is wrong
+	if !json.Valid(req.Body) { // cut off, or sent with a wrong length
 		return nil, errors.New("the body is no JSON")
 	}
 	fields := map[string]string{}
@@ -74,38 +74,38 @@
 	req.Class = fields[headerClass]
 	req.Tenant = fields[headerTenant]
 	req.Retry = fields[headerResent] == "1"
-	if strings.Trim(string(req.ID), ".") == "" || len(req.ID) > maxID || strings.ContainsFunc(string(req.ID), notInID) {
+	if strings.Trim(string(req.ID), ".") == "" || len(req.ID) > maxIDLength || strings.ContainsFunc(string(req.ID), isInvalidInID) {
 		return nil, fmt.Errorf("header %s: %.80q is no request id", headerID, req.ID)
 	}
 	if req.Class == "" {
 		return nil, fmt.Errorf("header %s is missing", headerClass)
 	}
-	left, err := number(fields[headerLeft])
-	if err != nil || left > maxLeft {
+	remaining, err := parseNumber(fields[headerLeft])
+	if err != nil || remaining > maxRemainingSeconds {
 		return nil, fmt.Errorf("header %s: %w", headerLeft, cmp.Or(err, errTooLong))
 	}
-	req.Remaining = left * 1000
+	req.Remaining = remaining * 1000
 	req.Session = gateway.Key(fields[headerSession])
-	return req, labels(req, fields[headerLabels])
+	return req, parseLabels(req, fields[headerLabels])
 }
 
-// labels reads what the labels tell of a prompt.
-func labels(req *gateway.Request, text string) (err error) {
+// parseLabels reads the labels that describe a prompt.
+func parseLabels(req *gateway.Request, text string) (err error) {
 	for _, label := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(label), "=")
-		var into *float64
+		var field *float64
 		switch name {
 		case "prefix":
 			req.Prefix = gateway.Key(value)
 		case "prompt_len":
-			into = &req.PromptTokens
+			field = &req.PromptTokens
 		case "prefix_len":
-			into = &req.PrefixTokens
+			field = &req.PrefixTokens
 		case "max_out":
-			into = &req.MaxOut
+			field = &req.MaxOut
 		}
-		if into != nil {
-			if *into, err = number(value); err != nil {
+		if field != nil {
+			if *field, err = parseNumber(value); err != nil {
 				return fmt.Errorf("header %s: %s: %w", headerLabels, name, err)
 			}
 		}
@@ -114,38 +114,37 @@
 }
 
 const (
-	maxID   = 128
-	maxLeft = 86400 // s
+	maxIDLength         = 128
+	maxRemainingSeconds = 86400 // one day
 )
 
-var errTooLong = fmt.Errorf("longer than %d seconds", maxLeft)
+var errTooLong = fmt.Errorf("longer than %d seconds", maxRemainingSeconds)
 
-// framing refuses a request whose end can be seen in two places: its body may
-// hide another one.
-func framing(h *fasthttp.RequestHeader) error {
-	length, encoding := 0, 0
+// checkFraming rejects a request whose end is ambiguous: its body may hide another request.
+func checkFraming(h *fasthttp.RequestHeader) error {
+	lengths, encodings := 0, 0
 	for line := range bytes.Lines(h.RawHeaders()) {
 		name, _, _ := bytes.Cut(line, []byte(":"))
 		switch name = bytes.TrimSpace(name); {
 		case bytes.EqualFold(name, []byte(fasthttp.HeaderContentLength)):
-			length++
+			lengths++
 		case bytes.EqualFold(name, []byte(fasthttp.HeaderTransferEncoding)):
-			encoding++
+			encodings++
 		}
 	}
-	if length+encoding > 1 {
+	if lengths+encodings > 1 {
 		return errors.New("more than one header tells the body's length")
 	}
 	return nil
 }
 
-// notInID tells what no id has: it becomes part of a path.
-func notInID(r rune) bool {
+// isInvalidInID reports whether a rune may not occur in a request id, which becomes part of a path.
+func isInvalidInID(r rune) bool {
 	return !(r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || strings.ContainsRune("-_.:~", r))
 }
 
-// number reads a plain decimal number, without sign or exponent.
-func number(text string) (float64, error) {
+// parseNumber parses a plain decimal number, without sign or exponent.
+func parseNumber(text string) (float64, error) {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || v > 1e9 || strings.Trim(text, "0123456789.") != "" {
 		return 0, fmt.Errorf("%.80q is no number from 0 to 1e9", text)
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -16,7 +16,7 @@
 )
 
 // headers is an engine that tells the headers of what it is sent, and says 202.
-func headers(t *testing.T) (ashwood.Server, <-chan http.Header) {
+func headerRecorder(t *testing.T) (ashwood.Server, <-chan http.Header) {
 	t.Helper()
 	l, got := listen(t), make(chan http.Header, 9)
 	go func() {
@@ -37,7 +37,7 @@
 					if r.Method == http.MethodPost {
 						got <- r.Header
 					}
-					io.WriteString(nc, parsed)
+					io.WriteString(nc, prefillResponse)
 				}
 			}()
 		}
@@ -48,7 +48,7 @@
 // What a client says of its request reaches the engine as it came: a key by which engines
 // drop repeats, say. What is said to the next one on the way alone does not, nor what frames
 // the message or is the gateway's to say.
-func TestHeadersGoToTheEngineAsTheyCame(t *testing.T) {
+func TestForwardHeader_BothFronts(t *testing.T) {
 	const extra = "Idempotency-Key: 7f:3a,\"b\"\r\nX-Mark: one\r\nX-Mark: two\r\nConnection: keep-alive\r\nKeep-Alive: timeout=9\r\n" +
 		"TE: trailers\r\nContent-Type: application/json\r\nX-Org: payroll\r\n"
 	want := map[string][]string{
@@ -65,14 +65,14 @@
 			t.Errorf("%s: %s is %q", front, headerLeft, h.Get(headerLeft))
 		}
 	}
-	v, got := headers(t)
-	c := start(t, v)
-	io.WriteString(c, request("chat", extra, "{}"))
+	v, got := headerRecorder(t)
+	c := startAndDial(t, v)
+	io.WriteString(c, requestText("chat", extra, "{}"))
 	check("fasthttp", <-got)
 
-	v, got = headers(t)
+	v, got = headerRecorder(t)
 	log, clk := slog.New(slog.DiscardHandler), clock.System()
-	gw, err := gateway.New(settings(), 1, NewEngines(settings(), clk, 50), clk, log)
+	gw, err := gateway.New(testSettings(), 1, NewEngines(testSettings(), clk, 50), clk, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,27 +80,27 @@
 	go gw.Run(t.Context())
 	host := httptest.NewServer(&NetHTTP{Handler: gw, Log: log})
 	defer host.Close()
-	nc := dial(t, host.Listener.Addr().String())
-	io.WriteString(nc, request("chat", extra, "{}"))
+	nc := dialClient(t, host.Listener.Addr().String())
+	io.WriteString(nc, requestText("chat", extra, "{}"))
 	check("net/http", <-got)
 	nc.Close()
 }
 
 // slowly is a clock by which each look at it takes 100 ms.
-type slowly struct{ *clock.Manual }
+type steppingClock struct{ *clock.Manual }
 
-func (s slowly) Now() float64 {
+func (s steppingClock) Now() float64 {
 	s.Advance(100)
 	return s.Manual.Now()
 }
 
 // The time that an attempt tells its engine is what is left when it is written: the connect
 // before has taken its part.
-func TestAnAttemptTellsWhatIsLeftBehindItsConnect(t *testing.T) {
-	v, got := headers(t)
-	c := slowly{clock.NewManual(0)}
-	e := NewEngines(settings(), c, 9)
-	answer := attempt(t.Context(), e, v)
+func TestSend_RemainingTimeAfterConnect(t *testing.T) {
+	v, got := headerRecorder(t)
+	c := steppingClock{clock.NewManual(0)}
+	e := NewEngines(testSettings(), c, 9)
+	answer := sendAsync(t.Context(), e, v)
 	h := <-got
 	if left, err := strconv.ParseFloat(h.Get(headerLeft), 64); err != nil || left > 4.8 || left < 4 {
 		t.Errorf("told %q s of 5, although looks at the clock took at least 0.2", h.Get(headerLeft))
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -22,116 +22,117 @@
 )
 
 const (
-	maxBody = 256 << 10
-	// From a connection's begin to its first request's last byte: some write for 2 s, and
-	// who never ends is owed an error or a close within 3 s. Later ones have as long from
-	// their first byte.
+	maxRequestBody = 256 << 10
+	// From the accept to the last byte of the first request: some clients write for 2 s, and one that
+	// never finishes must get an error or a close within 3 s. Later requests have as long from their
+	// first byte.
 	readTimeout = 2700 * time.Millisecond
 	idleTimeout = 5 * time.Second // between requests
 	readyPath   = "/-/ready"
-	frontName   = "http" // to limits
+	frontName   = "http" // name of this front in package limits
 )
 
-// Handler takes requests to their answers, as a gateway or a router does.
+// Handler serves requests: a gateway or a router.
 type Handler interface {
 	Serve(ctx context.Context, req *gateway.Request) (gateway.Reply, error)
-	// TurnAway tells of a request of a class that is refused before, for want of room, and
-	// gives the ms that its client is to stay away; 0 = no advice.
+	// TurnAway records that a request of a class is refused before it is served, for want of room, and
+	// returns the ms after which its client may retry; 0 = no advice.
 	TurnAway(class string) float64
 }
 
-// Server takes clients' requests.
+// Server serves the platform's HTTP/1.1 protocol to clients, on fasthttp.
 type Server struct {
-	gw       Handler
-	log      *slog.Logger
-	http     *fasthttp.Server
-	in       *listener
-	draining atomic.Bool // for good
-	yielding atomic.Bool // while a newer process serves
-	adopted  sync.WaitGroup
-	expiry   atomic.Pointer[time.Timer] // of EndBy
+	handler            Handler
+	log                *slog.Logger
+	http               *fasthttp.Server
+	listener           *listener
+	draining           atomic.Bool // set for good by Drain
+	keepAlivesDisabled atomic.Bool // while a newer process serves
+	adoptedAnswers     sync.WaitGroup
+	readExpiry         atomic.Pointer[time.Timer] // set by ExpireReadsAfter
 
-	closeIdle sync.Once // begins the closing of idle connections, or keeps it from beginning
-	idle      sync.WaitGroup
-	stopping  chan struct{} // closed as Shutdown begins
-	stopOnce  sync.Once
+	idleCloserOnce sync.Once // starts idleCloser, or prevents its start
+	idleCloser     sync.WaitGroup
+	stopping       chan struct{} // closed when Shutdown begins
+	stopOnce       sync.Once
 }
 
-// NewServer makes a server for at most limit connections at once: its listener sees to
-// that. fasthttp's own limit answers beyond it, without a time to return, and counts
-// connections that are being closed; it is left at what is never reached.
-func NewServer(gw Handler, log *slog.Logger, limit int) *Server {
-	s := &Server{gw: gw, log: log, in: newListener(nil, limit), stopping: make(chan struct{})}
-	s.in.log = log
+// NewServer returns a server for at most limit connections at once. Its listener enforces the limit:
+// fasthttp's own limit answers beyond it without a Retry-After, and counts connections that are being
+// closed, so it keeps its default, which is never reached.
+func NewServer(handler Handler, log *slog.Logger, limit int) *Server {
+	s := &Server{handler: handler, log: log, listener: newListener(nil, limit), stopping: make(chan struct{})}
+	s.listener.log = log
 	s.http = &fasthttp.Server{
-		Handler: s.handle, ErrorHandler: s.malformed, MaxRequestBodySize: maxBody,
+		Handler: s.handle, ErrorHandler: s.handleReadError, MaxRequestBodySize: maxRequestBody,
 		ReadTimeout: readTimeout, IdleTimeout: idleTimeout, NoDefaultServerHeader: true, NoDefaultDate: true,
-		CloseOnShutdown: true, Logger: discard{},
-		ReduceMemoryUsage: true, // or each idle connection would keep its last request's body
+		CloseOnShutdown: true, Logger: discardLogger{},
+		ReduceMemoryUsage: true, // otherwise each idle connection would keep the body of its last request
 	}
 	return s
 }
 
-type discard struct{}
+type discardLogger struct{}
 
-func (discard) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// Serve answers on a listener until Shutdown.
+// Serve accepts connections on a listener and answers their requests until Shutdown.
 func (s *Server) Serve(l net.Listener) error {
-	s.in.mu.Lock() // a Shutdown may come at once
-	s.in.Listener = l
-	s.in.mu.Unlock()
-	return s.http.Serve(s.in)
+	s.listener.mu.Lock() // Shutdown may run at the same time
+	s.listener.Listener = l
+	s.listener.mu.Unlock()
+	return s.http.Serve(s.listener)
 }
 
-// Yield has each answer close its connection, as Drain does, for as long as a newer
-// process takes clients on the same address.
-func (s *Server) Yield(on bool) { s.yielding.Store(on) }
+// DisableKeepAlives makes each answer close its connection, as Drain does, while a newer process takes
+// clients on the same address.
+func (s *Server) DisableKeepAlives(on bool) { s.keepAlivesDisabled.Store(on) }
 
-// Share says how many processes share the connections that the limit allows.
-func (s *Server) Share(processes int) { s.in.share(processes) }
+// Share sets how many processes share the connections that the limit allows.
+func (s *Server) Share(processes int) { s.listener.share(processes) }
 
-// EndBy says how long requests may still be read, since the process ends. Those of which
-// a part has come get the error of a request that is not whole in time.
-func (s *Server) EndBy(left time.Duration) {
+// ExpireReadsAfter limits how long requests may still be read, because the process ends. Requests that
+// have been read in part by then get the error of a request that is not complete in time.
+func (s *Server) ExpireReadsAfter(left time.Duration) {
 	at := time.Now().Add(left)
-	s.in.readBy.Store(&at)
-	s.expiry.Store(time.AfterFunc(left, s.in.expire))
+	s.listener.readLimit.Store(&at)
+	s.readExpiry.Store(time.AfterFunc(left, s.listener.expireReads))
 }
 
-// Shutdown takes nothing more and waits for what it has taken, until ctx ends. Connections without a request
-// are closed here: the library's own sweep compares readings of the wall clock, leaves new
-// connections that have brought nothing for 5 s, and drops a request that has just been read. It comes when none is open.
+// Shutdown stops accepting and waits until ctx ends for the requests that it has taken. It closes
+// connections without a request itself: fasthttp's own sweep compares wall-clock readings, leaves open
+// for 5 s new connections that have sent nothing, and drops a request that has just been read. That sweep
+// runs only when no connection is open.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.draining.Store(true)
 	s.StopAccepting()
-	s.stopDraining()
-	closed := s.in.closeIdle()
+	s.stopClosingIdle()
+	closed := s.listener.closeWaiting()
 	s.log.Info("shutdown: connections without a request are closed", "count", closed)
-	err := s.in.waitOpen(ctx)
+	err := s.listener.waitNoneOpen(ctx)
 	if err == nil {
 		err = s.http.ShutdownWithContext(ctx)
 	}
-	s.adopted.Wait() // each ends with its answer: its connection is closed behind it by now
-	s.in.wait()
-	if t := s.expiry.Load(); t != nil {
-		t.Stop()
+	s.adoptedAnswers.Wait() // each ends with its answer, and its connection is closed by now
+	s.listener.waitAllClosed()
+	if timer := s.readExpiry.Load(); timer != nil {
+		timer.Stop()
 	}
 	return err
 }
 
-// malformed answers what could not be read as a request.
-func (s *Server) malformed(ctx *fasthttp.RequestCtx, err error) {
+// handleReadError answers a request that could not be read.
+func (s *Server) handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	code := fasthttp.StatusBadRequest
-	var small *fasthttp.ErrSmallBuffer
+	var smallBuffer *fasthttp.ErrSmallBuffer
 	var timeout net.Error
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
 		code = fasthttp.StatusRequestTimeout
-		s.log.Debug("turned back", "why", "slow")
+		s.log.Debug("request was not complete in time", "why", "slow")
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		code = fasthttp.StatusRequestEntityTooLarge
-	case errors.As(err, &small):
+	case errors.As(err, &smallBuffer):
 		code = fasthttp.StatusRequestHeaderFieldsTooLarge
 	}
 	ctx.Error(err.Error(), code)
@@ -144,75 +145,75 @@
 			ctx.Error("internal error", fasthttp.StatusInternalServerError)
 		}
 	}()
-	c, own := ctx.Conn().(*clientConn)
-	clean := own && c.take(&ctx.Request)
+	conn, ownListener := ctx.Conn().(*clientConn)
+	nothingBehind := ownListener && conn.countParsed(&ctx.Request)
 	switch {
-	case own && c.sentAhead() && s.isStopping(): // it is refused, as where its connection is closed behind that answer
+	case ownListener && conn.isPipelined() && s.isStopping(): // as where the connection closes after the answer
 		refuse(ctx, 0)
 	case string(ctx.Path()) == readyPath && ctx.IsGet():
-		ctx.SetStatusCode(s.readiness())
-		if own { // it is no request of a client's, and nothing more is owed for it
-			c.end()
+		ctx.SetStatusCode(s.readinessStatus())
+		if ownListener { // it is not a client's request, and no answer to one is pending
+			conn.endAnswer()
 		}
 	default:
-		Answer(ctx, s.gw, frontName)
+		HandleFastHTTP(ctx, s.handler, frontName)
 	}
-	if s.draining.Load() || s.yielding.Load() {
+	if s.draining.Load() || s.keepAlivesDisabled.Load() {
 		ctx.SetConnectionClose()
 	}
-	if b, ok := ctx.Response.BodyStream().(*body); ok {
-		b.movable = clean && ctx.Request.Header.IsHTTP11()
-		b.closes = ctx.Response.ConnectionClose() || ctx.Request.Header.ConnectionClose()
+	if b, ok := ctx.Response.BodyStream().(*answerBody); ok {
+		b.canHandOver = nothingBehind && ctx.Request.Header.IsHTTP11()
+		b.closeAfter = ctx.Response.ConnectionClose() || ctx.Request.Header.ConnectionClose()
 	}
 }
 
-// readiness is the answer to who asks whether this process takes clients.
-func (s *Server) readiness() int {
+// readinessStatus is the answer to a readiness check: whether this process takes clients.
+func (s *Server) readinessStatus() int {
 	if s.draining.Load() {
 		return fasthttp.StatusServiceUnavailable
 	}
 	return fasthttp.StatusOK
 }
 
-// Answer routes a request in the platform's form and answers it. A streamed
-// answer goes on after Answer has returned, for as long as it lasts.
-func Answer(ctx *fasthttp.RequestCtx, gw Handler, front string) {
-	req, err := parseRequest(&ctx.Request)
+// HandleFastHTTP parses a request in the platform's form, has it served and answers it. A streamed answer
+// continues after HandleFastHTTP has returned.
+func HandleFastHTTP(ctx *fasthttp.RequestCtx, handler Handler, front string) {
+	req, err := parseFastHTTP(&ctx.Request)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
-		ctx.SetConnectionClose() // what follows may not begin where it seems to
+		ctx.SetConnectionClose() // the next request may not begin where it seems to
 		return
 	}
 	req.Front = front
 	if addr, ok := netip.AddrFromSlice(ctx.RemoteIP()); ok {
 		req.Client = addr.Unmap()
 	}
-	client, gone := context.WithCancel(context.Background())
+	clientCtx, cancelClient := context.WithCancel(context.Background())
 	conn, _ := ctx.Conn().(*clientConn)
-	logRead(conn, ctx, req)
-	room := true
+	logRequestRead(conn, ctx, req)
+	admitted := true
 	if conn != nil {
-		room = conn.begin()
-		conn.watch(gone)
+		admitted = conn.beginRequest()
+		conn.watchDisconnect(cancelClient)
 	}
-	end := func() {
-		gone()
+	endRequest := func() {
+		cancelClient()
 		if conn != nil {
-			conn.unwatch()
-			conn.end()
+			conn.stopWatch()
+			conn.endAnswer()
 		}
 	}
-	streams := false
+	streaming := false
 	defer func() {
-		if !streams {
-			end()
+		if !streaming {
+			endRequest()
 		}
 	}()
-	if !room {
-		refuse(ctx, gw.TurnAway(req.Class))
+	if !admitted {
+		refuse(ctx, handler.TurnAway(req.Class))
 		return
 	}
-	reply, err := gw.Serve(client, req)
+	reply, err := handler.Serve(clientCtx, req)
 	switch {
 	case errors.Is(err, ashwood.ErrDuplicate):
 		ctx.Error(err.Error(), fasthttp.StatusConflict)
@@ -223,10 +224,10 @@
 	}
 	switch reply.Kind {
 	case gateway.Served:
-		streams = true
+		streaming = true
 		ctx.SetContentType("text/event-stream")
-		ctx.SetBodyStream(&body{
-			stream: reply.Stream, end: end, conn: conn, client: client, gone: gone,
+		ctx.SetBodyStream(&answerBody{
+			stream: reply.Stream, endRequest: endRequest, conn: conn, clientCtx: clientCtx, cancelClient: cancelClient,
 		}, -1)
 	case gateway.Refused:
 		refuse(ctx, reply.RetryAfter)
@@ -238,14 +239,14 @@
 	}
 }
 
-// logRead records a request that has been read, with its connection's age and how many have
-// been read from it, this one among them.
-func logRead(conn *clientConn, ctx *fasthttp.RequestCtx, req *gateway.Request) {
+// logRequestRead logs a request that has been read, with the age of its connection and the number of
+// requests read from it, including this one.
+func logRequestRead(conn *clientConn, ctx *fasthttp.RequestCtx, req *gateway.Request) {
 	if conn == nil {
 		return // a host's own listener: there is no log
 	}
-	reqlog.Write(conn.l.log, reqlog.Change{ID: string(req.ID), Class: req.Class, State: reqlog.Read, Left: req.Remaining},
-		slog.Int64("connection_ms", time.Since(conn.came).Milliseconds()), slog.Uint64("of_connection", ctx.ConnRequestNum()))
+	reqlog.Write(conn.listener.log, reqlog.Change{ID: string(req.ID), Class: req.Class, State: reqlog.Read, Left: req.Remaining},
+		slog.Int64("connection_ms", time.Since(conn.acceptedAt).Milliseconds()), slog.Uint64("of_connection", ctx.ConnRequestNum()))
 }
 
 const refusedText = "refused: try again later"
@@ -257,60 +258,60 @@
 	return "failed: it may have run: " + err.Error()
 }
 
-// refuse tells a client to come back after a pause in ms, 0 = no advice.
-func refuse(ctx *fasthttp.RequestCtx, pause float64) {
+// refuse tells a client to retry after some ms; 0 = no advice.
+func refuse(ctx *fasthttp.RequestCtx, retryAfter float64) {
 	ctx.Error(refusedText, fasthttp.StatusServiceUnavailable)
-	if pause > 0 {
-		ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(pause/1000, 'f', 3, 64))
+	if retryAfter > 0 {
+		ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(retryAfter/1000, 'f', 3, 64))
 	}
 }
 
-// body feeds a stream's pieces to fasthttp, which flushes each. When Read
-// fails, fasthttp closes the connection without the last chunk.
-type body struct {
-	stream gateway.Stream
-	rest   []byte
-	end    func()
+// answerBody passes the pieces of a stream to fasthttp, which flushes each. When Read fails, fasthttp
+// closes the connection without the last chunk.
+type answerBody struct {
+	stream     gateway.Stream
+	pending    []byte
+	endRequest func()
 
-	conn    *clientConn     // nil where it is not the platform's own listener's
-	client  context.Context // of the client
-	gone    func()          // ends it
-	movable bool            // another process could go on with it
-	passed  bool            // a piece has been passed on
-	whole   bool            // all of it has been
-	closes  bool            // the client's connection is to be closed behind it
+	conn         *clientConn     // nil unless it belongs to the platform's own listener
+	clientCtx    context.Context // done when the client has disconnected
+	cancelClient func()          // cancels clientCtx
+	canHandOver  bool            // another process can take it over
+	started      bool            // a piece has been passed on
+	complete     bool            // all of the stream has been passed on
+	closeAfter   bool            // the client's connection is closed after it
 }
 
-func (b *body) Read(p []byte) (n int, err error) {
-	defer func() { // fasthttp calls this outside the handler, which recovers for itself
+func (b *answerBody) Read(p []byte) (n int, err error) {
+	defer func() { // fasthttp calls Read outside the handler, which has its own recover
 		if v := recover(); v != nil {
-			err = fmt.Errorf("platform: panic in a stream: %v", v)
+			err = fmt.Errorf("platform: panic while reading an answer's stream: %v", v)
 		}
 	}()
-	if len(b.rest) == 0 {
+	if len(b.pending) == 0 {
 		if b.handOver() {
-			return 0, errMoved
+			return 0, errHandedOver
 		}
 		piece, err := b.stream.Next()
 		if err != nil {
-			if b.whole = errors.Is(err, io.EOF); !b.whole {
-				err = fmt.Errorf("platform: broken stream: %w", err)
+			if b.complete = errors.Is(err, io.EOF); !b.complete {
+				err = fmt.Errorf("platform: the answer's stream broke: %w", err)
 			}
 			return 0, err
 		}
-		b.rest = piece
+		b.pending = piece
 	}
-	n = copy(p, b.rest)
-	b.rest, b.passed = b.rest[n:], true
+	n = copy(p, b.pending)
+	b.pending, b.started = b.pending[n:], true
 	return n, nil
 }
 
 // Close is called by fasthttp once the answer has ended or failed.
-func (b *body) Close() error {
+func (b *answerBody) Close() error {
 	err := b.stream.Close()
-	b.end()
-	if b.conn != nil && b.whole && !b.closes {
-		b.conn.finish()
+	b.endRequest()
+	if b.conn != nil && b.complete && !b.closeAfter {
+		b.conn.checkPipelined()
 	}
 	return err
 }
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-func TestMalformedRequestsAreAnsweredWithTheReason(t *testing.T) {
+func TestServer_MalformedRequests(t *testing.T) {
 	tests := []struct {
 		old, new, reason string
 		code             int
@@ -34,8 +34,8 @@
 		{"Content-Length: 2\r\n", "Content-Length: 999999\r\n", "", 413},
 	}
 	for _, tt := range tests {
-		c := start(t)
-		r, body, _ := ask(t, c, strings.Replace(request("chat", "", "{}"), tt.old, tt.new, 1))
+		c := startAndDial(t)
+		r, body, _ := roundTrip(t, c, strings.Replace(requestText("chat", "", "{}"), tt.old, tt.new, 1))
 		if r.StatusCode != tt.code || !strings.Contains(body, tt.reason) {
 			t.Errorf("%q: %s, %q", tt.new, r.Status, body)
 		}
@@ -50,14 +50,14 @@
 
 // Clients keep coming for a while after SIGTERM, over open connections and new
 // ones. They are served and told to close, and what runs at the end is finished.
-func TestDrainingServerTakesWhatComesAndFinishesIt(t *testing.T) {
+func TestDrain_NewAndRunningRequests(t *testing.T) {
 	writing, finish := make(chan struct{}, 9), make(chan struct{})
-	s, addr := serve(t, engine(t, "r1", "reader", reads), engine(t, "w1", "writer", writes(func(seen) string {
+	s, addr := startServer(t, scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", scriptDecode(func(engineRequest) string {
 		writing <- struct{}{}
 		<-finish
-		return whole()
+		return fullStream()
 	})))
-	open := dial(t, addr)
+	open := dialClient(t, addr)
 	s.Drain()
 	type answer struct {
 		code  int
@@ -65,10 +65,10 @@
 		close bool
 	}
 	answers, ended := make(chan answer, 2), make(chan error, 1)
-	for _, c := range []net.Conn{open, dial(t, addr)} {
+	for _, c := range []net.Conn{open, dialClient(t, addr)} {
 		id := fmt.Sprintf("X-Txn: %p", c)
 		go func() {
-			r, body, err := ask(t, c, strings.Replace(request("order", "", "{}"), "X-Txn: 9b1f", id, 1))
+			r, body, err := roundTrip(t, c, strings.Replace(requestText("order", "", "{}"), "X-Txn: 9b1f", id, 1))
 			if err != nil {
 				t.Error(err)
 			}
@@ -78,7 +78,7 @@
 	}
 	go func() { ended <- s.Shutdown(context.Background()) }()
 	close(finish)
-	want := answer{200, event1 + ending, true}
+	want := answer{200, firstEvent + lastEvents, true}
 	if a, b := <-answers, <-answers; a != want || b != want {
 		t.Errorf("got %+v and %+v, want %+v", a, b, want)
 	}
@@ -89,30 +89,30 @@
 
 // Clients may keep connections that they never use again, or open many and say
 // nothing. A new client gets in, and no connection with a request is closed.
-func TestNewClientsGetInPastSilentConnections(t *testing.T) {
+func TestEvict_SilentConnections(t *testing.T) {
 	writing, finish := make(chan struct{}, 9), make(chan struct{})
-	s, addr := serve(t, engine(t, "r1", "reader", reads), engine(t, "w1", "writer", writes(func(seen) string {
+	s, addr := startServer(t, scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", scriptDecode(func(engineRequest) string {
 		writing <- struct{}{}
 		<-finish
-		return whole()
+		return fullStream()
 	})))
-	busy := dial(t, addr)
-	io.WriteString(busy, request("order", "", "{}"))
+	busy := dialClient(t, addr)
+	io.WriteString(busy, requestText("order", "", "{}"))
 	<-writing
-	silent := dial(t, addr)
-	for range s.in.most {
-		dial(t, addr)
+	silent := dialClient(t, addr)
+	for range s.listener.maxConns {
+		dialClient(t, addr)
 	}
 	if _, err := silent.Read(make([]byte, 1)); err == nil {
 		t.Error("the oldest silent connection got an answer")
 	}
 	close(finish)
-	for name, c := range map[string]net.Conn{"busy": busy, "new": dial(t, addr)} {
+	for name, c := range map[string]net.Conn{"busy": busy, "new": dialClient(t, addr)} {
 		text := ""
 		if name == "new" {
-			text = strings.Replace(request("order", "", "{}"), "9b1f", "9b20", 1)
+			text = strings.Replace(requestText("order", "", "{}"), "9b1f", "9b20", 1)
 		}
-		if r, body, err := ask(t, c, text); r.StatusCode != 200 || err != nil {
+		if r, body, err := roundTrip(t, c, text); r.StatusCode != 200 || err != nil {
 			t.Errorf("%s: %s, %q, %v", name, r.Status, body, err)
 		}
 	}
@@ -120,10 +120,10 @@
 
 // A client that says nothing, half of a request or a little now and then is
 // not waited for beyond the time for a whole request.
-func TestRequestsThatNeverEndAreGivenUp(t *testing.T) {
-	_, addr := serve(t)
-	conns := []net.Conn{dial(t, addr), dial(t, addr), dial(t, addr)}
-	io.WriteString(conns[1], request("chat", "", "{}")[:200])
+func TestReadTimeout_UnfinishedRequests(t *testing.T) {
+	_, addr := startServer(t)
+	conns := []net.Conn{dialClient(t, addr), dialClient(t, addr), dialClient(t, addr)}
+	io.WriteString(conns[1], requestText("chat", "", "{}")[:200])
 	go func() {
 		for range time.Tick(50 * time.Millisecond) {
 			if _, err := io.WriteString(conns[2], "X"); err != nil {
