--- a/internal/platform/abandon_test.go
+++ b/internal/platform/abandon_test.go
@@ -17,7 +17,7 @@
 	"ashwood.example/ashwood/internal/clock"
 )
 
-// attempt sends a request to an engine in the background, until ctx ends or it is answered.
+// sendAsync sends a request to an engine in the background, until ctx ends or it is answered.
 func sendAsync(ctx context.Context, e *Engines, engine ashwood.Server) <-chan gateway.Answer {
 	answer := make(chan gateway.Answer, 1)
 	go func() {
@@ -29,36 +29,36 @@
 	return answer
 }
 
-// slowToSee is an engine's end of a connection on which a request has come whole, and the
-// answer so far has been sent. The test goes on from there.
-func slowEngine(t *testing.T, begun string) (ashwood.Server, <-chan *net.TCPConn) {
+// slowEngine is an engine that has read a whole request and sent the given part of an answer. The test
+// continues on the engine's end of the connection.
+func slowEngine(t *testing.T, sent string) (ashwood.Server, <-chan *net.TCPConn) {
 	t.Helper()
-	l, there := listen(t), make(chan *net.TCPConn, 1)
+	l, peers := listen(t), make(chan *net.TCPConn, 1)
 	go func() {
 		nc, err := l.Accept()
 		if err != nil {
 			return
 		}
 		t.Cleanup(func() { nc.Close() })
-		nc.SetDeadline(time.Now().Add(10 * time.Second)) // the bound of all waits here
+		nc.SetDeadline(time.Now().Add(10 * time.Second)) // bounds all waits here
 		r, err := http.ReadRequest(bufio.NewReader(nc))
 		if err == nil {
 			_, err = io.Copy(io.Discard, r.Body)
 		}
 		if err == nil {
-			_, err = io.WriteString(nc, begun)
+			_, err = io.WriteString(nc, sent)
 		}
 		if err != nil {
 			t.Error(err)
 		}
-		there <- nc.(*net.TCPConn)
+		peers <- nc.(*net.TCPConn)
 	}()
-	return ashwood.Server{ID: "r1", Address: l.Addr().String()}, there
+	return ashwood.Server{ID: "r1", Address: l.Addr().String()}, peers
 }
 
-// An attempt that is given up is over once its engine has seen that: until then another one,
-// or the word that trying again does no harm, could come before its end. Whatever the answer
-// had brought, the engine sees the end of what is sent to it first, and no reset.
+// An abandoned attempt is over only when its engine has noticed: before that, another attempt, or an
+// answer that allows the client to retry, could overtake its end. Whatever part of the answer has
+// arrived, the engine first sees the end of what is sent to it, and no reset.
 func TestAbandon_WaitsForEngineToClose(t *testing.T) {
 	const opening = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, begun := range map[string]string{
@@ -72,30 +72,30 @@
 		answer := sendAsync(ctx, e, engine)
 		peer := <-there
 		cancel()
-		for range 50 { // it is at work, and has not looked
+		for range 50 { // the engine is working and does not read
 			if _, err := peer.Write([]byte("x")); errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) {
-				t.Fatalf("%s: the connection is gone before its engine has seen the end: %v", name, err)
+				t.Fatalf("%s: connection reset before the engine read the end: %v", name, err)
 			}
 		}
 		if rest, err := io.ReadAll(peer); len(rest) > 0 || err != nil {
-			t.Errorf("%s: the engine sees %q, %v in place of the end", name, rest, err)
+			t.Errorf("%s: the engine read %q, %v, want the end", name, rest, err)
 		}
 		if len(answer) > 0 {
-			t.Errorf("%s: given up before its engine has closed: %v", name, (<-answer).Err)
+			t.Errorf("%s: abandoned before the engine closed: %v", name, (<-answer).Err)
 		}
 		peer.Close()
-		// A reader's 202 tells that it has read, whatever becomes of the rest.
+		// A prefill engine's 202 means that the prompt has been read, whatever happens to the body.
 		if a := <-answer; a.Status != ashwood.ConnectionLost && (name != "half a body" || a.Status != ashwood.Parsed) || a.Err == nil {
-			t.Errorf("%s: ended as %v, %v", name, a.Status, a.Err)
+			t.Errorf("%s: status %v, error %v", name, a.Status, a.Err)
 		}
 		if e.pool.open != 0 {
-			t.Errorf("%s: %d connections are left", name, e.pool.open)
+			t.Errorf("%s: %d connections left open", name, e.pool.open)
 		}
 	}
 }
 
-// A machine that has vanished never says that it has seen the end: the wait has a bound, in
-// time and in what still comes.
+// A machine that has vanished never closes its end: the wait is bounded in time and in the bytes that
+// still arrive.
 func TestAbandon_Bounds(t *testing.T) {
 	for _, floods := range []bool{false, true} {
 		c := clock.NewManual(0)
@@ -106,24 +106,24 @@
 		peer := <-there
 		cancel()
 		if rest, err := io.ReadAll(peer); len(rest) > 0 || err != nil {
-			t.Fatalf("the engine sees %q, %v", rest, err)
+			t.Fatalf("the engine read %q, %v, want the end", rest, err)
 		}
 		if floods {
 			go io.Copy(peer, endlessReader{})
 		}
 		for len(answer) == 0 {
 			if !floods {
-				c.Advance(noticeWait) // again and again: its timer may not be set yet
+				c.Advance(noticeWait) // repeated because the timer may not be set yet
 			}
 			runtime.Gosched()
 		}
 		if a := <-answer; a.Status != ashwood.ConnectionLost {
-			t.Errorf("floods %v: ended as %v, %v", floods, a.Status, a.Err)
+			t.Errorf("floods %v: status %v, error %v", floods, a.Status, a.Err)
 		}
 	}
 }
 
-// endless is a source that never ends.
+// endlessReader is a source that never ends.
 type endlessReader struct{}
 
 func (endlessReader) Read(p []byte) (int, error) { return len(p), nil }
--- a/internal/platform/closing_test.go
+++ b/internal/platform/closing_test.go
@@ -17,7 +17,7 @@
 	"ashwood.example/ashwood/gateway"
 )
 
-// counts is a Handler that counts what it gets, and answers.
+// countingHandler is a Handler that counts its requests and gives a fixed reply.
 type countingHandler struct {
 	fixedReply
 	requests atomic.Int32
@@ -28,7 +28,7 @@
 	return h.fixedReply.Serve(ctx, r)
 }
 
-// open serves on a real socket and connects a client to it.
+// serveAndDial starts a server on a real socket and connects a client to it.
 func serveAndDial(t *testing.T, gw Handler) (*Server, *net.TCPConn) {
 	t.Helper()
 	s, l := NewServer(gw, slog.New(slog.DiscardHandler), 64), listen(t)
@@ -38,11 +38,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(10 * time.Second)) // the bound of all waits here
+	nc.SetDeadline(time.Now().Add(10 * time.Second)) // bounds all waits here
 	return s, nc.(*net.TCPConn)
 }
 
-// stop stops a server within a bound.
+// shutdownServer shuts a server down within a bound.
 func shutdownServer(t *testing.T, s *Server) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -52,7 +52,7 @@
 	}
 }
 
-// evictOne closes the connection that is the first to go for a new one.
+// evictOne closes the connection that is first in the eviction order.
 func evictOne(s *Server) {
 	s.listener.mu.Lock()
 	c, why := s.listener.evict(time.Now())
@@ -60,10 +60,10 @@
 	s.listener.closeEvicted(c, why)
 }
 
-// A client's request may be under way in the moment in which its resting connection is
-// closed. The client sees the end, no reset: nothing of its request has been read, so that it
-// may send it again. What comes after the end is not sent on. What comes before it, while the
-// connection's reader is being woken, is read and answered: see TestClosing_RequestReadAsItsConnectionIsClosed.
+// A client may be sending a request while its idle connection is closed. The client sees the end and no
+// reset: nothing of its request has been read, so it may send it again. What arrives after the end is
+// not sent to an engine. What arrives before it, while the goroutine reading from the connection is
+// being interrupted, is read and answered: see TestClosing_RequestReadAsItsConnectionIsClosed.
 func TestClosing_RequestAfterClose(t *testing.T) {
 	for name, shut := range map[string]func(*Server){
 		"evicted for another": evictOne,
@@ -79,39 +79,39 @@
 			t.Fatal(err)
 		}
 		io.Copy(io.Discard, r.Body)
-		var resting []*clientConn
-		waitFor(t, "it rests", func() bool {
-			resting = s.listener.waitingConns()
-			return len(resting) == 1
+		var idle []*clientConn
+		waitFor(t, "the connection is idle", func() bool {
+			idle = s.listener.waitingConns()
+			return len(idle) == 1
 		})
-		over := make(chan struct{})
+		shutDone := make(chan struct{})
 		go func() {
 			shut(s)
-			close(over)
+			close(shutDone)
 		}()
-		waitFor(t, "it is shut", resting[0].isWriteClosed)
-		for range 3 { // the second would meet the reset that the first brings
+		waitFor(t, "its write side is closed", idle[0].isWriteClosed)
+		for range 3 { // the second write would fail if the first caused a reset
 			if _, err := io.WriteString(c, requestText("chat", "", "{}")); err != nil {
-				t.Errorf("%s: %v", name, err)
+				t.Errorf("%s: writing a request: %v", name, err)
 			}
 		}
 		if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
-			t.Errorf("%s: its client sees %q, %v in place of the end", name, rest, err)
+			t.Errorf("%s: the client read %q, %v, want the end", name, rest, err)
 		}
 		c.Close()
-		<-over
+		<-shutDone
 		shutdownServer(t, s)
 		if n := gw.requests.Load(); n != 1 {
-			t.Errorf("%s: %d requests were sent on", name, n)
+			t.Errorf("%s: %d requests were served, want 1", name, n)
 		}
 		if s.listener.open+s.listener.closing+s.listener.lingering.Len() != 0 {
-			t.Errorf("%s: left open %d, closing %d, lingering %d", name, s.listener.open, s.listener.closing, s.listener.lingering.Len())
+			t.Errorf("%s: at the end: open %d, closing %d, lingering %d", name, s.listener.open, s.listener.closing, s.listener.lingering.Len())
 		}
 	}
 }
 
-// An answer behind which the connection is closed reaches a client that has sent more than
-// was read: a reset would take it away.
+// An answer after which the connection is closed reaches a client that has sent more than was read: a
+// reset would discard it.
 func TestClosing_UnreadBytesKeepAnswer(t *testing.T) {
 	tail := string(make([]byte, 64<<10))
 	for name, in := range map[string]string{
@@ -123,14 +123,14 @@
 		if _, err := io.WriteString(c, in); err != nil {
 			t.Fatal(err)
 		}
-		waitFor(t, name+": it is closed", func() bool {
+		waitFor(t, name+": the connection is closed", func() bool {
 			s.listener.mu.Lock()
 			defer s.listener.mu.Unlock()
 			return s.listener.open == 0
 		})
 		r, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("%s: no answer: %v", name, err)
 		}
 		if text, err := io.ReadAll(r.Body); len(text) == 0 || err != nil || r.StatusCode < 400 {
 			t.Errorf("%s: %s, %q, %v", name, r.Status, text, err)
@@ -140,15 +140,15 @@
 	}
 }
 
-// A client that never closes keeps a descriptor for no longer than the second step may take,
-// and less long where room is wanted.
+// The descriptor of a client that never closes is held for at most the bound of the second step, and
+// less if there is no room for a new connection.
 func TestLinger_Bounds(t *testing.T) {
 	s, c := serveAndDial(t, fixedReply{gateway.Reply{Kind: gateway.Refused}})
 	io.WriteString(c, requestText("chat", "Connection: close\r\n", "{}"))
 	if _, err := io.ReadAll(c); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "its time is up", func() bool {
+	waitFor(t, "the connection has been closed after lingering", func() bool {
 		s.listener.mu.Lock()
 		defer s.listener.mu.Unlock()
 		return s.listener.closing == 0
@@ -162,12 +162,12 @@
 			t.Fatal(err)
 		}
 		defer far.Close()
-		v := &clientConn{Conn: near, listener: l}
+		conn := &clientConn{Conn: near, listener: l}
 		l.open++
-		v.Close()
-		v.Close() // again, as a server does
+		conn.Close()
+		conn.Close() // a server may call it again
 	}
-	waitFor(t, "all linger", func() bool {
+	waitFor(t, "all connections linger", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return l.lingering.Len() == 3
@@ -182,14 +182,14 @@
 	}
 }
 
-// isShut tells whether the first step of the close has been made.
+// isWriteClosed reports whether the first step of the close has been made.
 func (c *clientConn) isWriteClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writeClosed
 }
 
-// ends are both ends of a connection on the loopback.
+// connPair returns both ends of a loopback connection.
 func connPair(t *testing.T) (near, far net.Conn, err error) {
 	t.Helper()
 	l := listen(t)
@@ -199,7 +199,7 @@
 	return near, far, err
 }
 
-// until waits for a condition, within a bound.
+// waitFor waits for a condition, within a bound.
 func waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !is(); time.Sleep(time.Millisecond) {
@@ -209,52 +209,52 @@
 	}
 }
 
-// A client that leaves is seen to, whatever it has sent ahead; and nothing of that is begun
-// once it has left.
+// A client's disconnect is detected whatever it has pipelined, and nothing of that is begun once it has
+// disconnected.
 func TestWatchDisconnect_PipelinedBytes(t *testing.T) {
 	half := "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Txn: "
 	second := "POST / HTTP/1.1\r\nHost: a\r\nX-Txn: second\r\nX-Lane: chat\r\nX-Remaining: 9\r\nContent-Length: 2\r\n\r\n{}"
 	large := "POST / HTTP/1.1\r\nHost: a\r\nX-Txn: large\r\nX-Lane: chat\r\nX-Remaining: 9\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 200000)
 	for name, tail := range map[string]string{"a byte": "P", "half a request": half, "whole requests": second + second, "more": second + half + "x",
 		"a large request": large, "a large request and half of one": large + half} {
-		begun, over := make(chan engineRequest, 9), make(chan error, 9)
+		received, ended := make(chan engineRequest, 9), make(chan error, 9)
 		s, addr := startServer(t, scriptedEngine(t, "r1", "reader", func(v engineRequest) string {
 			if v.Method == "DELETE" {
 				return releasedResponse
 			}
-			begun <- v
+			received <- v
 			if v.Method == "POST" {
-				v.conn.SetReadDeadline(time.Now().Add(4 * time.Second)) // before the request's own time is up
-				_, err := v.conn.Read(make([]byte, 1))                  // until the gateway gives it up
-				over <- err
+				v.conn.SetReadDeadline(time.Now().Add(4 * time.Second)) // before the request's own deadline
+				_, err := v.conn.Read(make([]byte, 1))                  // until the gateway cancels the attempt
+				ended <- err
 				return "\x00"
 			}
 			return prefillResponse
 		}))
 		c := dialClient(t, addr).(*net.TCPConn)
 		io.WriteString(c, requestText("chat", "", "{}"))
-		<-begun
-		io.WriteString(c, tail) // the watch has begun: it would have ended with this
+		<-received
+		io.WriteString(c, tail) // the watch is running; without reading ahead it would end here
 		c.CloseWrite()
-		if err := <-over; err != io.EOF {
-			t.Errorf("%s: its attempt ends with %v", name, err)
+		if err := <-ended; err != io.EOF {
+			t.Errorf("%s: the attempt ended with %v, want io.EOF", name, err)
 		}
 		if rest, err := io.ReadAll(c); err != nil {
-			t.Errorf("%s: %q, %v", name, rest, err)
+			t.Errorf("%s: the client read %q, %v", name, rest, err)
 		}
 		c.Close()
 		shutdownServer(t, s)
-		if lent := s.listener.extraReadAhead.Load(); lent != 0 {
-			t.Errorf("%s: %d bytes of room are lent at the end", name, lent)
+		if extra := s.listener.extraReadAhead.Load(); extra != 0 {
+			t.Errorf("%s: %d extra read-ahead bytes still counted at the end", name, extra)
 		}
-		if n := len(begun); n > 0 {
-			t.Errorf("%s: %d more attempts were begun, of %v", name, n, (<-begun).ID)
+		if n := len(received); n > 0 {
+			t.Errorf("%s: %d more attempts, of request %v", name, n, (<-received).ID)
 		}
 	}
 }
 
-// A process that was held up while it accepted the last connections looks again: more have come
-// meanwhile. Then Accept ends, once.
+// A process that was delayed while it accepted the last connections tries again, as more have arrived
+// meanwhile. Then Accept ends, and the end is reported once.
 func TestCheckQueueEnd_ProcessDelayed(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -263,21 +263,21 @@
 	defer inner.Close()
 	l := newListener(inner, 8)
 	if over, goOn := l.checkQueueEnd(os.ErrDeadlineExceeded); over || goOn {
-		t.Error("it has ended though nobody asked")
+		t.Error("ended although no drain was requested")
 	}
 	l.queueDrained, l.queueDrainStart = make(chan struct{}), time.Now().Add(-time.Second)
 	if over, goOn := l.checkQueueEnd(os.ErrDeadlineExceeded); over || !goOn {
-		t.Errorf("held up: over %v, goes on %v", over, goOn)
+		t.Errorf("delayed: ended %v, retry %v", over, goOn)
 	}
 	l.queueDrainStart = time.Now()
 	for range 2 {
 		if over, goOn := l.checkQueueEnd(os.ErrDeadlineExceeded); !over || goOn {
-			t.Errorf("in time: over %v, goes on %v", over, goOn)
+			t.Errorf("in time: ended %v, retry %v", over, goOn)
 		}
 	}
 	select {
 	case <-l.queueDrained:
 	default:
-		t.Error("who waits for the end is not told")
+		t.Error("queueDrained was not closed")
 	}
 }
--- a/internal/platform/conn_test.go
+++ b/internal/platform/conn_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// In a crowd, the connections of those that never finish a request go before those of
-// clients that are served, and true requests that are being written go last.
+// The eviction order: a silent connection first, then one that is idle after an answer, then those with an
+// unfinished first request, of which the one that has sent nothing for longest goes first.
 func TestEvict_Order(t *testing.T) {
 	now := time.Now()
 	l := newListener(nil, 6)
@@ -30,22 +30,22 @@
 	} {
 		c, why := l.evictIfFull(now)
 		if names[c] != want.who || why != want.why {
-			t.Fatalf("closes %q for being %q, want %q", names[c], why, want.who)
+			t.Fatalf("evicted %q as %q, want %q", names[c], why, want.who)
 		}
 		l.open++ // the new one takes its place
 	}
 	if c, _ := l.evictIfFull(now); c != nil {
-		t.Errorf("closes %q, which is owed an answer", names[c])
+		t.Errorf("evicted %q, which must get an answer", names[c])
 	}
-	// Shared between two processes, each keeps to half, and gives back what has no request.
+	// Shared between two processes, each keeps to half and closes excess connections without a request.
 	l = newListener(nil, 6)
 	for range 6 {
 		add(1000, 1000, true, false)
 	}
 	if l.share(2); l.open != 3 || l.limit != 3 {
-		t.Errorf("%d open of %d", l.open, l.limit)
+		t.Errorf("shared by two: %d open, limit %d, want 3 of 3", l.open, l.limit)
 	}
 	if l.share(1); l.limit != 6 {
-		t.Errorf("a limit of %d for one alone", l.limit)
+		t.Errorf("limit %d for a single process, want 6", l.limit)
 	}
 }
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -19,11 +19,11 @@
 	"ashwood.example/ashwood/gateway"
 )
 
-// crossing is a listener whose connections do something between the moment in which the system has given a
-// request's bytes and the one in which their reader goes on: a thread may be held up there.
+// racingListener is a listener whose connections run a function between the read of a request's bytes
+// and the return to the reading goroutine, which may be descheduled there.
 type racingListener struct {
 	net.Listener
-	afterRead atomic.Pointer[func()] // once; nil = nothing
+	afterRead atomic.Pointer[func()] // called once; nil = nothing
 }
 
 func (l *racingListener) Accept() (net.Conn, error) {
@@ -53,9 +53,10 @@
 	return n, err
 }
 
-// A request that has been read is answered, though its connection is about to be closed as one that rests. What was seen: nothing at
-// the client but a clean end, and no line in the log, as its bytes were dropped: receive looked whether the connection
-// was shut only behind the read, and the bytes that this had given were gone. An open risk of incident 34, by reading.
+// A request that has been read is answered although its connection is about to be closed as idle. It was
+// lost without an error: the client saw a clean end, and nothing was logged. readNetwork checked only
+// after the read whether the connection was closed, and dropped the bytes that it had read. Found by
+// reading the code, as an open risk of incident 34.
 func TestClosing_RequestReadAsItsConnectionIsClosed(t *testing.T) {
 	for name, closes := range map[string]func(*Server){
 		"evicted for another": evictOne,
@@ -63,20 +64,20 @@
 		"as it drains":        func(s *Server) { s.listener.closeIdleFraction(1) },
 		"by a whole shutdown": func(s *Server) {
 			ended, cancel := context.WithCancel(context.Background())
-			cancel() // it waits for nobody, or it would for this request
+			cancel() // without waiting, otherwise it would wait for this request
 			s.Shutdown(ended)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			gw := &countingHandler{fixedReply: fixedReply{gateway.Reply{Kind: gateway.Refused}}}
-			s, l := NewServer(gw, slog.New(slog.DiscardHandler), 64), &racingListener{Listener: listen(t)}
+			handler := &countingHandler{fixedReply: fixedReply{gateway.Reply{Kind: gateway.Refused}}}
+			s, l := NewServer(handler, slog.New(slog.DiscardHandler), 64), &racingListener{Listener: listen(t)}
 			go s.Serve(l)
 			c, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(10 * time.Second)) // the bound of all waits here
+			c.SetDeadline(time.Now().Add(10 * time.Second)) // bounds all waits here
 			in := bufio.NewReader(c)
 			ask := func() error {
 				io.WriteString(c, requestText("chat", "", "{}"))
@@ -90,7 +91,7 @@
 			if err := ask(); err != nil {
 				t.Fatal(err)
 			}
-			waitFor(t, "it rests", func() bool {
+			waitFor(t, "the connection is idle", func() bool {
 				s.listener.mu.Lock()
 				defer s.listener.mu.Unlock()
 				return s.listener.waiting.Len() == 1
@@ -98,21 +99,21 @@
 			then := func() { closes(s) }
 			l.afterRead.Store(&then)
 			if err := ask(); err != nil {
-				t.Errorf("the request that had been read: %v", err)
+				t.Errorf("no answer to the request that had been read: %v", err)
 			}
-			if n := gw.requests.Load(); n != 2 {
-				t.Errorf("%d requests were taken", n)
+			if n := handler.requests.Load(); n != 2 {
+				t.Errorf("%d requests were served, want 2", n)
 			}
 			c.Close()
 			shutdownServer(t, s)
 			if s.listener.open+s.listener.closing+s.listener.lingering.Len() != 0 {
-				t.Errorf("left open %d, closing %d, lingering %d", s.listener.open, s.listener.closing, s.listener.lingering.Len())
+				t.Errorf("at the end: open %d, closing %d, lingering %d", s.listener.open, s.listener.closing, s.listener.lingering.Len())
 			}
 		})
 	}
 }
 
-// lateClient is a listener to which a client connects between its last accept at a stop and its close.
+// lateClientListener is a listener to which a client connects between the last accept at a stop and the close.
 type lateClientListener struct {
 	*net.TCPListener
 	connect func()
@@ -126,8 +127,9 @@
 	return c, err
 }
 
-// Soak seed 100 (once, in the CI script): gateway 3 runs again at 2.744 with SIGTERM pending, accepts for 20 ms what waits, and closes its listener;
-// a request written whole at 2.766 on a new connection, which the system had taken into the queue, is reset by that: "read: connection reset by peer".
+// Soak seed 100 (once, in the CI script): gateway 3 resumes at 2.744 with SIGTERM pending, accepts
+// waiting connections for 20 ms and closes its listener. That resets a new connection in the accept
+// queue, on which a whole request was written at 2.766: "read: connection reset by peer".
 func TestClosing_ConnectionAfterLastAccept(t *testing.T) {
 	gw := &countingHandler{fixedReply: fixedReply{gateway.Reply{Kind: gateway.Refused}}}
 	s := NewServer(gw, slog.New(slog.DiscardHandler), 64)
@@ -142,7 +144,7 @@
 		io.WriteString(c, requestText("chat", "", "{}"))
 		client <- c
 	}})
-	waitFor(t, "it serves", func() bool {
+	waitFor(t, "the server accepts connections", func() bool {
 		s.listener.mu.Lock()
 		defer s.listener.mu.Unlock()
 		return s.listener.Listener != nil
@@ -157,11 +159,11 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
-		t.Errorf("a client behind the last accept: %v", err)
+		t.Errorf("a client that connected after the last accept: %v", err)
 	}
 }
 
-// connectsAtClose is a listener to which a client connects in the moment of its close.
+// connectAtCloseListener is a listener to which a client connects at the moment of its close.
 type connectAtCloseListener struct {
 	*net.TCPListener
 	connect func()
@@ -173,11 +175,12 @@
 	return l.TCPListener.Close()
 }
 
-// No connection comes up behind the last look into the queue, to be reset by the close: its client is refused when it
-// tries again. One that was accepted before goes on. The same story as above, a moment later.
+// No connection is established after the last poll of the accept queue, to be reset by the close: its
+// client is refused when it retries. A connection accepted before is still served. This is the failure of
+// TestClosing_ConnectionAfterLastAccept, a moment later.
 func TestClosing_ConnectionAfterLastPoll(t *testing.T) {
 	var plain net.ListenConfig
-	plain.SetMultipathTCP(false) // as the front's own listeners; such a socket takes no filter
+	plain.SetMultipathTCP(false) // like the listeners of the front; a multipath socket takes no filter
 	l, err := plain.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -195,7 +198,7 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	io.WriteString(c, "POST ")
-	waitFor(t, "a part of its request has been read", func() bool {
+	waitFor(t, "part of its request has been read", func() bool {
 		waiting := s.listener.waitingConns()
 		return len(waiting) == 1 && waiting[0].requestStarted.Load()
 	})
@@ -204,7 +207,7 @@
 		shutdownServer(t, s)
 		close(stopped)
 	}()
-	waitFor(t, "the queue has been emptied", func() bool {
+	waitFor(t, "the accept queue has been emptied", func() bool {
 		s.listener.mu.Lock()
 		defer s.listener.mu.Unlock()
 		return s.listener.closed
@@ -216,11 +219,11 @@
 	<-stopped
 	var timeout net.Error
 	if !errors.As(atClose, &timeout) || !timeout.Timeout() {
-		t.Errorf("a client that connects before the close: %v", atClose)
+		t.Errorf("a client that connects before the close: %v, want a timeout", atClose)
 	}
 }
 
-// wokenConn brings a client's bytes behind a read that has been woken by its deadline, before who reads goes on.
+// wokenConn receives a client's bytes after a read was interrupted by its deadline, before the reader continues.
 type wokenConn struct {
 	*net.TCPConn
 	woken func()
@@ -234,12 +237,13 @@
 	return n, err
 }
 
-// A request that has come whole is not dropped with its connection at a stop, though it has not been read yet. What was seen:
-// TestClosing_ConnectionBehindTheLastAccept, beside 24 busy processes, gets "unexpected EOF" some ten times in a thousand: its connection
-// has been accepted, and is shut before its reader begins; the bytes are then read to be dropped.
+// A whole request that has arrived but is not read yet is not dropped with its connection at a stop.
+// TestClosing_ConnectionAfterLastAccept got "unexpected EOF" about ten times in a thousand beside 24 busy
+// processes: its connection was accepted and closed before its reading goroutine started, and the
+// request was then read only to be dropped.
 func TestClosing_RequestNotYetRead(t *testing.T) {
 	const sent = "POST "
-	for name, readsFirst := range map[string]bool{"the reader has not begun": false, "the reader was woken for the close": true} {
+	for name, readsFirst := range map[string]bool{"the reader has not started": false, "the reader was interrupted for the close": true} {
 		t.Run(name, func(t *testing.T) {
 			near, far, err := connPair(t)
 			if err != nil {
@@ -251,7 +255,7 @@
 			c.waitingElement = l.waiting.PushBack(c)
 			arrive := func() {
 				io.WriteString(far, sent)
-				waitFor(t, "the bytes have come", c.hasUnreadBytes)
+				waitFor(t, "the bytes have arrived", c.hasUnreadBytes)
 			}
 			read := make(chan string, 1)
 			reads := func() {
@@ -262,7 +266,7 @@
 			if readsFirst {
 				c.Conn = &wokenConn{TCPConn: near.(*net.TCPConn), woken: arrive}
 				go reads()
-				waitFor(t, "it reads", func() bool {
+				waitFor(t, "a read is in progress", func() bool {
 					c.mu.Lock()
 					defer c.mu.Unlock()
 					return c.readInProgress
@@ -274,10 +278,10 @@
 				go reads()
 			}
 			if got, want := <-read, fmt.Sprint(sent, nil); got != want {
-				t.Errorf("its reader gets %q, want %q", got, want)
+				t.Errorf("the reader got %q, want %q", got, want)
 			}
 			if l.open != 1 || l.waiting.Len() != 1 || l.closing != 0 {
-				t.Errorf("open %d, waiting %d, closing %d", l.open, l.waiting.Len(), l.closing)
+				t.Errorf("open %d, waiting %d, closing %d, want 1, 1, 0", l.open, l.waiting.Len(), l.closing)
 			}
 		})
 	}
--- a/internal/platform/crowd_test.go
+++ b/internal/platform/crowd_test.go
@@ -23,7 +23,7 @@
 	"ashwood.example/ashwood/gateway"
 )
 
-// queue is a listener of connections that a test makes, or of errors in their place.
+// fakeListener is a listener whose connections, or errors in their place, a test provides.
 type fakeListener struct {
 	pending  chan any // net.Conn or error
 	done     chan struct{}
@@ -51,8 +51,8 @@
 func (q *fakeListener) Close() error   { q.once.Do(func() { close(q.done) }); return nil }
 func (q *fakeListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// sleepy is a connection whose reader wakes late: a machine short of processor time has
-// closed many by the time that those who read them run.
+// lateReadConn is a connection whose reading goroutine runs late: a machine short of processor time has
+// closed many connections by the time their readers run.
 type lateReadConn struct {
 	net.Conn
 	wake   chan struct{}
@@ -67,12 +67,12 @@
 	return c.Conn.Read(p)
 }
 
-// SetReadDeadline tells nobody that the connection is closed.
+// SetReadDeadline does not interrupt the reader.
 func (c *lateReadConn) SetReadDeadline(time.Time) error { return nil }
 
 func (c *lateReadConn) Close() error { c.closed.Store(true); return c.Conn.Close() }
 
-// ready asks whether the server takes clients, on a client's end of a connection.
+// checkReady sends a readiness check on a client's end of a connection, and expects 200.
 func checkReady(t *testing.T, c net.Conn) {
 	t.Helper()
 	if _, err := io.WriteString(c, "GET "+readyPath+" HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// quiet serves a queue of connections with room for so many, to the test's end.
+// serveFakeListener serves a fakeListener with the given limit until the test ends.
 func serveFakeListener(t *testing.T, gw Handler, limit int) (q *fakeListener, s *Server, ended <-chan error) {
 	t.Helper()
 	s, q = NewServer(gw, slog.New(slog.DiscardHandler), limit), newFakeListener()
@@ -98,14 +98,13 @@
 		if err := s.Shutdown(context.Background()); err != nil {
 			t.Error(err)
 		}
-		time.Sleep(time.Minute) // of the bubble's clock: fasthttp's pool looks now and then whether it has ended
+		time.Sleep(time.Minute) // of the bubble's clock: fasthttp's worker pool polls whether it has ended
 	})
 	return q, s, end
 }
 
-// Connections that were closed for new ones are in the house until their readers have
-// woken. The next ones wait in the system's queue meanwhile: none is turned back, and no
-// more descriptors are taken.
+// Connections that were evicted hold a descriptor until their readers have returned. Meanwhile the next
+// ones wait in the accept queue: none is closed, and no more descriptors are used.
 func TestAccept_WaitsForClosingConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit, crowd = 8, 40
@@ -119,20 +118,20 @@
 		}
 		synctest.Wait()
 		if n := int(q.accepted.Load()); n > limit+2 {
-			t.Errorf("%d connections taken with room for %d, of which none has woken", n, limit)
+			t.Errorf("%d connections accepted with a limit of %d and no reader returned", n, limit)
 		}
 		close(wake)
-		checkReady(t, far[crowd-1]) // it came last, and nothing closes it
+		checkReady(t, far[crowd-1]) // it came last, so it is not evicted
 		for _, c := range far[:crowd-limit] {
 			if text, err := io.ReadAll(c); len(text) > 0 || err != nil {
-				t.Errorf("one that said nothing was answered %q, %v", text, err)
+				t.Errorf("a silent connection read %q, %v, want the end", text, err)
 			}
 		}
 	})
 }
 
-// A machine out of descriptors, or of memory for sockets, is waited for: the server stays,
-// and one connection without a request goes for the next.
+// Without descriptors, or memory for sockets, the server does not stop: it evicts one connection
+// without a request and accepts the next.
 func TestAccept_OutOfDescriptors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q, _, ended := serveFakeListener(t, nil, 8)
@@ -145,26 +144,26 @@
 		near, c := net.Pipe()
 		q.pending <- near
 		checkReady(t, c)
-		// At once by the bubble's clock: not only when its time for a request is up.
+		// At once by the bubble's clock, not only after readTimeout.
 		if _, err := silent.Read(make([]byte, 1)); !errors.Is(err, io.EOF) || time.Since(begun) >= readTimeout {
-			t.Errorf("the silent one: %v after %v", err, time.Since(begun))
+			t.Errorf("the silent connection: %v after %v", err, time.Since(begun))
 		}
 		if len(ended) > 0 {
-			t.Errorf("the server ended with %v", <-ended)
+			t.Errorf("the server stopped with %v", <-ended)
 		}
 	})
 }
 
-// A host's own server decides what becomes of its listener and its connections.
+// A host's own server handles the errors of its listener and its connections itself.
 func TestWrapListener_OutOfDescriptors(t *testing.T) {
 	q := newFakeListener()
 	q.pending <- syscall.EMFILE
 	if _, err := WrapListener(q).Accept(); !errors.Is(err, syscall.EMFILE) {
-		t.Errorf("accepted with %v", err)
+		t.Errorf("Accept returned %v, want EMFILE", err)
 	}
 }
 
-// A stop does not wait for room: nothing is accepted from then on.
+// Shutdown does not wait for room: nothing is accepted from then on.
 func TestShutdown_AcceptWaitingForRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q, s, ended := serveFakeListener(t, nil, 2)
@@ -178,7 +177,7 @@
 		go func() { stopped <- s.Shutdown(context.Background()) }()
 		synctest.Wait()
 		if len(ended) == 0 {
-			t.Error("it waits for room, and nobody will make any")
+			t.Error("Serve still waits for room")
 		}
 		close(wake)
 		if err := <-stopped; err != nil {
@@ -187,7 +186,7 @@
 	})
 }
 
-// says is a Handler that gives every request the same reply.
+// fixedReply is a Handler that gives every request the same reply.
 type fixedReply struct{ reply gateway.Reply }
 
 func (s fixedReply) Serve(context.Context, *gateway.Request) (gateway.Reply, error) {
@@ -195,7 +194,7 @@
 }
 func (s fixedReply) TurnAway(string) float64 { return 0 }
 
-// piece is a stream of one.
+// singleEventStream is a stream of one event.
 type singleEventStream struct{ done bool }
 
 func (p *singleEventStream) Next() ([]byte, error) {
@@ -209,23 +208,23 @@
 func (*singleEventStream) Report() ashwood.Report { return nil }
 func (*singleEventStream) Close() error           { return nil }
 
-// A connection whose answer, or the last chunk of it, is still being written is not closed
-// for a new one, although its request has ended for all but its client.
+// A connection whose answer, or the last chunk of it, is still being written is not evicted, although
+// its request has ended for the gateway.
 func TestEvict_AnswerBeingWritten(t *testing.T) {
-	new(fasthttp.ResponseHeader).Header() // starts fasthttp's clock of dates, which never ends, outside of the bubbles
+	new(fasthttp.ResponseHeader).Header() // starts fasthttp's date clock, which never ends, outside the bubbles
 	for name, reply := range map[string]gateway.Reply{
 		"refused": {Kind: gateway.Refused}, "a stream's end": {Kind: gateway.Served, Stream: &singleEventStream{}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			q, _, _ := serveFakeListener(t, fixedReply{reply}, 3)
-			near, c := net.Pipe() // a write on it waits for its reader
+			near, c := net.Pipe() // a write blocks until the other end reads
 			q.pending <- near
 			if _, err := io.WriteString(c, requestText("chat", "", "{}")); err != nil {
 				t.Fatal(err)
 			}
 			var got []byte
 			var first [4096]byte
-			if reply.Stream != nil { // the head and the event; its end is still to come
+			if reply.Stream != nil { // the head and the event; the end is still to come
 				n, err := c.Read(first[:])
 				if got = first[:n]; err != nil {
 					t.Fatal(err)
@@ -239,7 +238,7 @@
 			synctest.Wait()
 			r, err := http.ReadResponse(bufio.NewReader(io.MultiReader(bytes.NewReader(got), c)), nil)
 			if err != nil {
-				t.Fatalf("%s: %v", name, err)
+				t.Fatalf("%s: no answer: %v", name, err)
 			}
 			if body, err := io.ReadAll(r.Body); err != nil || len(body) == 0 {
 				t.Errorf("%s: %q, %v", name, body, err)
@@ -248,15 +247,15 @@
 	}
 }
 
-// unending is a connection whose client is told the end and never closes in turn.
+// neverClosedConn is a connection whose client sees the end and never closes its side.
 type neverClosedConn struct{ net.Conn }
 
 func (neverClosedConn) CloseWrite() error { return nil }
 
-// Connections in the second step of their close are not waited for where a new client comes:
-// the first of them goes at once.
+// A new client does not wait for connections in the second step of their close: the oldest of them is
+// aborted at once.
 func TestAccept_AbortsLingeringConnections(t *testing.T) {
-	new(fasthttp.ResponseHeader).Header() // as above
+	new(fasthttp.ResponseHeader).Header() // as in TestEvict_AnswerBeingWritten
 	synctest.Test(t, func(t *testing.T) {
 		q, s, _ := serveFakeListener(t, fixedReply{gateway.Reply{Kind: gateway.Refused}}, closingDivisor)
 		begun := time.Now()
@@ -280,7 +279,7 @@
 		q.pending <- near
 		checkReady(t, c)
 		if waited := time.Since(begun); n == 0 || waited >= lingerTimeout {
-			t.Errorf("with %d that linger, the new one waited %v", n, waited)
+			t.Errorf("with %d connections closing, the new one waited %v", n, waited)
 		}
 	})
 }
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -14,8 +14,9 @@
 	"ashwood.example/ashwood/gateway"
 )
 
-// How idle connections stayed open for half a second behind SIGTERM: a process stopped in that time leaves unanswered what clients send
-// on them (soak of silences, seed 905). A drain closes them; what has brought nothing or half a request, and what is opened later, is served.
+// Idle connections stayed open for half a second after SIGTERM: a process stopped in that time leaves
+// unanswered what clients send on them (silence soak, seed 905). Drain closes them. Connections that
+// have sent nothing or part of a request, and new ones, are still served.
 func TestDrain_ClosesIdleConnections(t *testing.T) {
 	const clients = 25
 	s, l := NewServer(fixedReply{gateway.Reply{Kind: gateway.Refused}}, slog.New(slog.DiscardHandler), 64), listen(t)
@@ -32,7 +33,7 @@
 	}
 	open := func() net.Conn {
 		c := dialClient(t, l.Addr().String())
-		c.SetDeadline(time.Now().Add(10 * time.Second)) // the bound of all waits here
+		c.SetDeadline(time.Now().Add(10 * time.Second)) // bounds all waits here
 		return c
 	}
 	var idle []net.Conn
@@ -41,10 +42,10 @@
 		ask(c, requestText("chat", "", "{}"))
 		idle = append(idle, c)
 	}
-	silent, half := open(), open()
-	ask(half, requestText("chat", "", "{}"))
-	io.WriteString(half, requestText("chat", "", "{}")[:20])
-	waitFor(t, "half a request has been read", func() bool {
+	silent, partial := open(), open()
+	ask(partial, requestText("chat", "", "{}"))
+	io.WriteString(partial, requestText("chat", "", "{}")[:20])
+	waitFor(t, "part of a request has been read", func() bool {
 		s.listener.mu.Lock()
 		defer s.listener.mu.Unlock()
 		reading := 0
@@ -57,31 +58,31 @@
 	})
 	s.Drain()
 	for i, c := range idle {
-		c.SetReadDeadline(time.Now().Add(idleTimeout / 5)) // before the library closes it
+		c.SetReadDeadline(time.Now().Add(idleTimeout / 5)) // before fasthttp closes it
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Errorf("idle connection %d: %v", i, err)
 		}
 	}
-	for name, c := range map[string]net.Conn{"one that had brought nothing": silent, "a new one": open()} {
+	for name, c := range map[string]net.Conn{"a silent connection": silent, "a new connection": open()} {
 		if !ask(c, requestText("chat", "", "{}")) {
-			t.Errorf("%s is not closed behind its answer", name)
+			t.Errorf("%s is not closed after its answer", name)
 		}
 	}
-	ask(half, requestText("chat", "", "{}")[20:])
+	ask(partial, requestText("chat", "", "{}")[20:])
 	shutdownServer(t, s)
 }
 
-// Once a server has stopped accepting, clients are refused, and those that are connected are served.
+// Once a server has stopped accepting, new clients are refused, and connected ones are served.
 func TestStopAccepting_OpenConnections(t *testing.T) {
 	s, c := serveAndDial(t, fixedReply{gateway.Reply{Kind: gateway.Refused}})
 	waitFor(t, "its connection is accepted", func() bool { return len(s.listener.waitingConns()) == 1 })
 	s.StopAccepting()
 	if nc, err := net.Dial("tcp", c.RemoteAddr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a new client: %v, %v", nc, err)
+		t.Errorf("a new client: %v, %v, want ECONNREFUSED", nc, err)
 	}
 	io.WriteString(c, requestText("chat", "", "{}"))
 	if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
-		t.Errorf("a client that is connected: %v", err)
+		t.Errorf("a connected client: %v", err)
 	}
 	shutdownServer(t, s)
 }
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -19,12 +19,12 @@
 
 const partialRequest = "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\nContent-Length: 2\r\n\r\n{"
 
-// What has brought no request is closed as a shutdown begins, new connections too, whatever the
-// HTTP library keeps open; what has brought a part of one is still answered. Who asks is told
-// that the process takes no clients any more.
+// Shutdown closes connections that have sent no request, also new ones, although fasthttp would keep
+// some open. A request that has been read in part is still answered. A readiness check fails as soon as
+// the server drains.
 func TestShutdown_ClosesConnectionsWithoutRequest(t *testing.T) {
-	h := &countingHandler{fixedReply: fixedReply{gateway.Reply{Kind: gateway.Refused}}}
-	s, silent := serveAndDial(t, h)
+	handler := &countingHandler{fixedReply: fixedReply{gateway.Reply{Kind: gateway.Refused}}}
+	s, silent := serveAndDial(t, handler)
 	dial := func() *net.TCPConn {
 		t.Helper()
 		c, err := net.Dial("tcp", silent.RemoteAddr().String())
@@ -44,7 +44,7 @@
 		io.WriteString(c.conn, "GET "+readyPath+" HTTP/1.1\r\nHost: a\r\n\r\n")
 		r, err := http.ReadResponse(bufio.NewReader(c.conn), nil)
 		if err != nil || r.StatusCode != c.want {
-			t.Fatalf("ready: %v, %v", r, err)
+			t.Fatalf("readiness: %v, %v", r, err)
 		}
 		s.Drain()
 	}
@@ -64,18 +64,18 @@
 	}
 	select {
 	case <-stopped:
-		t.Error("the server does not wait for a request that it has read in part")
+		t.Error("the server does not wait for a partly read request")
 	default:
 	}
 	io.WriteString(half, "}")
 	if r, err := http.ReadResponse(bufio.NewReader(half), nil); err != nil || r.StatusCode != http.StatusBadRequest || !r.Close {
-		t.Errorf("half read: %v, %v", r, err) // it has no class
+		t.Errorf("half read: %v, %v", r, err) // the request has no class
 	}
 	half.Close()
 	<-stopped
 }
 
-// halfRead counts the connections from which a part of a request has been read.
+// countPartlyRead counts the connections from which part of a request has been read.
 func (l *listener) countPartlyRead() (n int) {
 	for _, c := range l.waitingConns() {
 		if c.requestStarted.Load() {
@@ -85,7 +85,7 @@
 	return n
 }
 
-// A request of which a part has come gets its error by the time at which the process ends.
+// A partly read request gets its error by the time at which the process ends.
 func TestExpireReadsAfter_PartialRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q, s, _ := serveFakeListener(t, nil, 8)
@@ -103,32 +103,32 @@
 	})
 }
 
-// pausedStream is a stream whose end waits for a test.
+// pausedStream is a stream whose end waits for the test.
 type pausedStream struct {
 	singleEventStream
 	end chan struct{}
 }
 
-func (h *pausedStream) Next() ([]byte, error) {
-	if h.done {
-		<-h.end
+func (s *pausedStream) Next() ([]byte, error) {
+	if s.done {
+		<-s.end
 	}
-	return h.singleEventStream.Next()
+	return s.singleEventStream.Next()
 }
 
-// A client that was not told that its connection closes may have sent a request ahead of its
-// answer's end. If that was read, it is refused and not sent on: a close alone would lose it.
+// A client whose answer did not announce a close may have pipelined a request. If that was read, it is
+// refused and not served: a close alone would lose it.
 func TestShutdown_PipelinedRequest(t *testing.T) {
-	new(fasthttp.ResponseHeader).Header() // starts fasthttp's clock of dates, which never ends, outside of the bubble
-	for name, together := range map[string]bool{"sent behind it": false, "sent with it": true} {
+	new(fasthttp.ResponseHeader).Header() // starts fasthttp's date clock, which never ends, outside the bubble
+	for name, together := range map[string]bool{"sent after the first": false, "sent with the first": true} {
 		t.Run(name, func(t *testing.T) { synctest.Test(t, func(t *testing.T) { testPipelinedRefused(t, together) }) })
 	}
 }
 
 func testPipelinedRefused(t *testing.T, together bool) {
 	stream := &pausedStream{end: make(chan struct{})}
-	h := &countingHandler{fixedReply: fixedReply{gateway.Reply{Kind: gateway.Served, Stream: stream}}}
-	q, s, _ := serveFakeListener(t, h, 8)
+	handler := &countingHandler{fixedReply: fixedReply{gateway.Reply{Kind: gateway.Served, Stream: stream}}}
+	q, s, _ := serveFakeListener(t, handler, 8)
 	near, c := net.Pipe()
 	q.pending <- near
 	defer c.Close()
@@ -151,7 +151,7 @@
 		defer close(stopped)
 		stopped <- s.Shutdown(context.Background())
 	}()
-	defer func() { // or the next shutdown, at the test's end, would wait for this one outside of the bubble's time
+	defer func() { // otherwise the next shutdown, at the test's end, would wait for this one outside the bubble's time
 		c.Close()
 		for range stopped {
 			continue
@@ -160,28 +160,28 @@
 	synctest.Wait()
 	close(stream.end)
 	if body, err := io.ReadAll(answer.Body); string(body) != firstEvent || err != nil {
-		t.Errorf("the first: %q, %v", body, err)
+		t.Errorf("first answer: %q, %v", body, err)
 	}
 	r, err := http.ReadResponse(in, nil)
 	if err != nil || r.StatusCode != http.StatusServiceUnavailable || !r.Close {
-		t.Fatalf("the second: %v, %v", r, err)
+		t.Fatalf("second answer: %v, %v", r, err)
 	}
 	if body, err := io.ReadAll(r.Body); string(body) != refusedText || err != nil {
-		t.Errorf("the second: %q, %v", body, err)
+		t.Errorf("second answer: %q, %v", body, err)
 	}
 	if n, err := in.Read(make([]byte, 1)); n > 0 || err != io.EOF {
-		t.Errorf("behind both: %d, %v", n, err)
+		t.Errorf("after both: %d bytes, %v", n, err)
 	}
 	c.Close()
-	if err := <-stopped; err != nil || h.requests.Load() != 1 {
-		t.Errorf("%v, %d sent on", err, h.requests.Load())
+	if err := <-stopped; err != nil || handler.requests.Load() != 1 {
+		t.Errorf("Shutdown: %v; %d requests served, want 1", err, handler.requests.Load())
 	}
 }
 
-// Behind a body in chunks nothing was sent ahead, although its bytes on the wire are more than
-// those of the request: the client sees its answer and the end, no refusal.
+// A chunked body does not count as a pipelined request although it has more bytes on the wire than in
+// the parsed request: the client sees its answer and the end, no refusal.
 func TestShutdown_ChunkedBodyIsNotPipelined(t *testing.T) {
-	new(fasthttp.ResponseHeader).Header() // as above
+	new(fasthttp.ResponseHeader).Header() // as in TestShutdown_PipelinedRequest
 	synctest.Test(t, func(t *testing.T) {
 		stream := &pausedStream{end: make(chan struct{})}
 		q, s, _ := serveFakeListener(t, fixedReply{gateway.Reply{Kind: gateway.Served, Stream: stream}}, 8)
@@ -204,7 +204,7 @@
 			t.Errorf("%q, %v", body, err)
 		}
 		if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
-			t.Errorf("behind the answer: %q, %v", rest, err)
+			t.Errorf("after the answer: %q, %v", rest, err)
 		}
 		c.Close()
 		if err := <-stopped; err != nil {
--- a/internal/platform/move_test.go
+++ b/internal/platform/move_test.go
@@ -16,7 +16,7 @@
 	"ashwood.example/ashwood"
 )
 
-// doubled gives a connection's second descriptor, as another process gets it.
+// dupConn returns a connection's second descriptor, as another process receives it.
 func dupConn(t *testing.T, sc syscall.Conn) net.Conn {
 	raw, err := sc.SyscallConn()
 	if err != nil {
@@ -38,7 +38,7 @@
 	return c
 }
 
-// pair is two servers of one gateway's engines; what the first has begun goes to the second.
+// serverPair starts two servers with the same engines; the first hands its answers over to the second.
 func serverPair(t *testing.T, script func(engineRequest) string) (first, second *Server, addr string, sends *atomic.Int32) {
 	t.Helper()
 	sends = &atomic.Int32{}
@@ -51,22 +51,22 @@
 	return first, second, addr, sends
 }
 
-// giveTo has one server hand its answers to another, and gives how the first of them was taken.
-func handOverTo(t *testing.T, first, second *Server) (given chan error) {
-	given = make(chan error, 1)
+// handOverTo makes one server hand its answers over to another; adopted receives the result of the first.
+func handOverTo(t *testing.T, first, second *Server) (adopted chan error) {
+	adopted = make(chan error, 1)
 	first.SetHandover(func(message []byte, client, engine syscall.Conn) error {
 		a, b := dupConn(t, client), dupConn(t, engine)
-		go func() { given <- second.Adopt(message, a, b) }()
+		go func() { adopted <- second.Adopt(message, a, b) }()
 		return nil
 	})
-	return given
+	return adopted
 }
 
-// An answer is handed over in the middle of a chunk, with what had been read ahead of it
-// at both ends: its client gets every byte once, and is served on the same connection.
+// An answer is handed over in the middle of a chunk, with what has been read ahead on both
+// connections: the client gets every byte once, and is served on the same connection.
 func TestHandover_MidChunk(t *testing.T) {
 	goOn, taken, begun := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	const at = 7 // bytes of the ending that come with the first event
+	const at = 7 // bytes of the last events that arrive with the first event
 	rest := encodeChunk(lastEvents)
 	first, second, addr, sends := serverPair(t, func(s engineRequest) string {
 		if s.ID == "9b20" {
@@ -78,14 +78,14 @@
 		<-goOn
 		return rest[at:] + "0\r\n\r\n"
 	})
-	given := handOverTo(t, first, second)
+	adopted := handOverTo(t, first, second)
 	c := dialClient(t, addr)
 	next := strings.Replace(requestText("order", "", "{}"), "9b1f", "9b20", 1)
 	io.WriteString(c, requestText("order", "", "{}"))
 	<-taken
-	io.WriteString(c, next[:20]) // the next one begins before the answer does
+	io.WriteString(c, next[:20]) // the next request begins before the answer does
 	close(begun)
-	if err := <-given; err != nil {
+	if err := <-adopted; err != nil {
 		t.Fatal(err)
 	}
 	close(goOn)
@@ -103,18 +103,18 @@
 		}
 	}
 	if sends.Load() != 2 {
-		t.Errorf("%d sends of two orders", sends.Load())
+		t.Errorf("%d sends for two requests", sends.Load())
 	}
 }
 
-// A next request that was read together with the one before can't be handed over: the
-// answer stays, and both are answered. Behind the second nothing has been read, and its answer may go.
+// An answer can't be handed over if the next request was read together with its own: it finishes here,
+// and both requests are answered. Nothing has been read behind the second, so its answer may be handed over.
 func TestHandover_PipelinedRequest(t *testing.T) {
 	first, _, addr, sends := serverPair(t, func(engineRequest) string { return fullStream() })
 	first.SetHandover(func(message []byte, _, _ syscall.Conn) error {
 		var m handoverMessage
 		if err := json.Unmarshal(message, &m); err != nil || m.ID != "9b20" {
-			t.Errorf("the answer to %q was handed over, %v", m.ID, err)
+			t.Errorf("handover of the answer to %q, %v", m.ID, err)
 		}
 		return errors.New("not wanted")
 	})
@@ -132,11 +132,11 @@
 		}
 	}
 	if sends.Load() != 2 {
-		t.Errorf("%d sends of two orders", sends.Load())
+		t.Errorf("%d sends for two requests", sends.Load())
 	}
 }
 
-// Where nothing has gone to the other process, the answer goes on where it is.
+// If the handover fails before anything was sent, the answer finishes in this process.
 func TestHandover_SendFails(t *testing.T) {
 	first, _, addr, sends := serverPair(t, func(engineRequest) string { return fullStream() })
 	asked := make(chan struct{}, 9)
@@ -149,23 +149,23 @@
 		t.Errorf("%v, %q, %v", r, body, err)
 	}
 	if len(asked) != 1 || sends.Load() != 1 {
-		t.Errorf("given %d times, sent %d times", len(asked), sends.Load())
+		t.Errorf("%d handovers tried, %d sends, want 1 and 1", len(asked), sends.Load())
 	}
 }
 
-// An answer that breaks after it was handed over ends its client's connection without the
-// last chunk; a message that can't be read closes what came with it.
+// An answer that breaks after its handover ends its client's connection without the last chunk. A message
+// that can't be parsed closes the connections that came with it.
 func TestHandover_BrokenStreamAndMessage(t *testing.T) {
 	goOn := make(chan struct{})
 	first, second, addr, _ := serverPair(t, func(s engineRequest) string {
 		io.WriteString(s.conn, streamHead+encodeChunk(firstEvent))
 		<-goOn
-		return "zz\r\n\x00" // no chunk's size, and a close
+		return "zz\r\n\x00" // not a chunk size, then a close
 	})
-	given := handOverTo(t, first, second)
+	adopted := handOverTo(t, first, second)
 	c := dialClient(t, addr)
 	io.WriteString(c, requestText("order", "", "{}"))
-	if err := <-given; err != nil {
+	if err := <-adopted; err != nil {
 		t.Fatal(err)
 	}
 	close(goOn)
@@ -177,11 +177,11 @@
 		near, far := net.Pipe()
 		near2, far2 := net.Pipe()
 		if err := second.Adopt([]byte(message), near, near2); err == nil {
-			t.Errorf("%q is gone on with", message)
+			t.Errorf("message %q was adopted", message)
 		}
 		for _, c := range []net.Conn{far, far2} {
 			if _, err := c.Read(make([]byte, 1)); err == nil {
-				t.Errorf("%q: a connection stays open", message)
+				t.Errorf("message %q: a connection stays open", message)
 			}
 		}
 	}
--- a/internal/platform/panic_test.go
+++ b/internal/platform/panic_test.go
@@ -13,7 +13,7 @@
 	"ashwood.example/ashwood/gateway"
 )
 
-// faulty is a handler that panics at every class but one.
+// panickingHandler is a handler that panics for one class of requests.
 type panickingHandler struct{}
 
 func (panickingHandler) Serve(_ context.Context, req *gateway.Request) (gateway.Reply, error) {
@@ -25,7 +25,7 @@
 
 func (panickingHandler) TurnAway(string) float64 { return 0 }
 
-// brokenStream panics at its first piece or, behind a first one, at the next.
+// panickingStream panics after the given number of pieces.
 type panickingStream struct{ pieces int }
 
 func (s *panickingStream) Next() ([]byte, error) {
@@ -47,8 +47,8 @@
 
 func (panickingStreamHandler) TurnAway(string) float64 { return 0 }
 
-// A request that was read is answered although its handler panics, and so is the next one on
-// the same connection.
+// A request that was read is answered although its handler panics, and so is the next one on the same
+// connection.
 func TestPanic_InHandler(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	l := listen(t)
@@ -80,8 +80,8 @@
 	}
 }
 
-// An answer whose stream panics ends its client's connection without the last chunk: what was
-// passed on is not taken for a whole answer.
+// An answer whose stream panics ends its client's connection without the last chunk, so that the part
+// sent is not taken for a whole answer.
 func TestPanic_InStream(t *testing.T) {
 	for pieces := range 2 {
 		l := listen(t)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -17,7 +17,7 @@
 	"ashwood.example/ashwood/internal/clock"
 )
 
-// seen is a request as an engine got it.
+// engineRequest is a request as an engine received it.
 type engineRequest struct {
 	Method, Target, ID, Body string
 	conn                     net.Conn
@@ -33,8 +33,8 @@
 	return l
 }
 
-// engine is a scripted peer: answer gives the bytes to write for a request,
-// "" for none; the connection is closed after bytes that end with "\x00".
+// scriptedEngine is an engine that writes the bytes returned by answer for each request, "" for none. It
+// closes the connection after bytes that end with "\x00".
 func scriptedEngine(t *testing.T, name, kind string, answer func(engineRequest) string) ashwood.Server {
 	l := listen(t)
 	serve := func(c net.Conn) {
@@ -88,7 +88,7 @@
 	return prefillResponse
 }
 
-// writes answers requests by script and the calls beside them well.
+// scriptDecode answers requests by script, and reservations and releases with success.
 func scriptDecode(script func(engineRequest) string) func(engineRequest) string {
 	return func(s engineRequest) string {
 		switch {
@@ -114,7 +114,7 @@
 	}
 }
 
-// start brings up a gateway with these engines and gives a connection to it.
+// startAndDial starts a gateway with these engines and returns a connection to it.
 func startAndDial(t *testing.T, list ...ashwood.Server) net.Conn {
 	t.Helper()
 	_, addr := startServer(t, list...)
@@ -181,13 +181,13 @@
 		s.conn = nil
 		want := engineRequest{Method: "POST", Target: "/v1/chat/completions?x=%2F", ID: "9b1f", Body: `{"odd" :  "spacing"}`}
 		if s != want {
-			t.Errorf("the writer got %+v, want %+v", s, want)
+			t.Errorf("the decode engine got %+v, want %+v", s, want)
 		}
 	}
 }
 
-// An order is sent again only on proof that it has not run, and a client is
-// told to try again only then too.
+// A side-effect request is sent again only on proof that it has not run, and only then is the client
+// told to retry.
 func TestSideEffect_FirstAttemptOutcomes(t *testing.T) {
 	tests := []struct {
 		name, first string
@@ -196,13 +196,13 @@
 	}{
 		{"turned away", turnedAwayResponse, 200, 2},
 		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", 502, 1},
-		{"503 without proof", "HTTP/1.1 503 Oops\r\nContent-Length: 0\r\n\r\n", 502, 1},
-		{"202 from a writer", prefillResponse, 502, 1},
+		{"503 without X-Turned-Away", "HTTP/1.1 503 Oops\r\nContent-Length: 0\r\n\r\n", 502, 1},
+		{"202 from a decode engine", prefillResponse, 502, 1},
 		{"reset", "\x00", 502, 1},
-		{"broken before an event", streamHead + "\x00", 502, 1},
+		{"broken before the first event", streamHead + "\x00", 502, 1},
 		{"broken within the first event", streamHead + encodeChunk("data: {\"a\"") + "\x00", 502, 1},
-		{"a first event in pieces", streamHead + encodeChunk("data: {\"a\"") + encodeChunk(":1}\n") + encodeChunk("\n") + "0\r\n\r\n", 200, 1},
-		{"an answer without a blank line", streamHead + encodeChunk("data: [DONE]") + "0\r\n\r\n", 200, 1},
+		{"first event in pieces", streamHead + encodeChunk("data: {\"a\"") + encodeChunk(":1}\n") + encodeChunk("\n") + "0\r\n\r\n", 200, 1},
+		{"answer without a blank line", streamHead + encodeChunk("data: [DONE]") + "0\r\n\r\n", 200, 1},
 	}
 	for _, tt := range tests {
 		got := make(chan engineRequest, 9)
@@ -221,7 +221,7 @@
 	}
 }
 
-// What is refused comes back when told to.
+// A refused request's client is told when to retry.
 func TestRefusal_RetryAfter(t *testing.T) {
 	c := startAndDial(t)
 	r, body, err := roundTrip(t, c, strings.Replace(requestText("order", "", "{}"), "15.000", "0.100", 1))
@@ -230,7 +230,7 @@
 	}
 }
 
-// A stream that breaks must not look whole: the connection ends without the last chunk.
+// A broken stream must not look complete: the connection ends without the last chunk.
 func TestStream_BrokenEndsConnection(t *testing.T) {
 	c := startAndDial(t, scriptedEngine(t, "r1", "reader", scriptPrefill),
 		scriptedEngine(t, "w1", "writer", scriptDecode(func(engineRequest) string { return streamHead + encodeChunk(firstEvent) + "\x00" })))
@@ -240,9 +240,9 @@
 	}
 }
 
-// From any engine some answers arrive spoilt, on connections that stay open. One
-// spoilt before its first event was passed on may have run; a later one ends the
-// client's connection without the last chunk.
+// Any engine may send malformed answers, on connections that stay open. If an answer is malformed before
+// its first event was passed on, the request may have run; after that, the client's connection ends
+// without the last chunk.
 func TestStream_MalformedAnswers(t *testing.T) {
 	good := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
 	tests := []struct {
@@ -250,20 +250,20 @@
 		begun        bool
 	}{
 		{"noise", "\xb5\x07 nothing of HTTP", false},
-		{"a status that is none", "HTTP/1.1 2x0 OK\r\n\r\n", false},
-		{"a head that does not go on", "HTTP/1.1 200 OK\r\nX-Half: ", false},
-		{"a head without end", good + strings.Repeat("X-More: and more\r\n", 999), false},
-		{"nothing but 1xx", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterim), false},
-		{"no event behind the head", streamHead, false},
-		{"a first size that is none", streamHead + "zz\r\n" + firstEvent, false},
-		{"a first chunk of 3 GB", streamHead + "c0000000\r\n" + firstEvent, false},
-		{"a first chunk beyond its size", streamHead + "2\r\n" + firstEvent + "\r\n", false},
-		{"a size that is none", streamHead + encodeChunk(firstEvent) + "-1\r\n", true},
-		{"a size that does not end", streamHead + encodeChunk(firstEvent) + strings.Repeat("0", 9999), true},
-		{"a chunk of 3 GB", streamHead + encodeChunk(firstEvent) + "c0000000\r\n" + firstEvent, true},
-		{"a chunk beyond its size", streamHead + encodeChunk(firstEvent) + "2\r\n" + firstEvent + "\r\n", true},
-		{"a chunk short of its size", streamHead + encodeChunk(firstEvent) + "ff\r\n" + firstEvent, true},
-		{"lines without end behind the last chunk", streamHead + encodeChunk(firstEvent) + "0\r\n" + strings.Repeat("a: b\r\n", 99), true},
+		{"invalid status", "HTTP/1.1 2x0 OK\r\n\r\n", false},
+		{"unfinished head", "HTTP/1.1 200 OK\r\nX-Half: ", false},
+		{"endless head", good + strings.Repeat("X-More: and more\r\n", 999), false},
+		{"only 1xx", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterim), false},
+		{"no event after the head", streamHead, false},
+		{"invalid first chunk size", streamHead + "zz\r\n" + firstEvent, false},
+		{"first chunk of 3 GB", streamHead + "c0000000\r\n" + firstEvent, false},
+		{"first chunk longer than its size", streamHead + "2\r\n" + firstEvent + "\r\n", false},
+		{"invalid chunk size", streamHead + encodeChunk(firstEvent) + "-1\r\n", true},
+		{"endless chunk size", streamHead + encodeChunk(firstEvent) + strings.Repeat("0", 9999), true},
+		{"chunk of 3 GB", streamHead + encodeChunk(firstEvent) + "c0000000\r\n" + firstEvent, true},
+		{"chunk longer than its size", streamHead + encodeChunk(firstEvent) + "2\r\n" + firstEvent + "\r\n", true},
+		{"chunk shorter than its size", streamHead + encodeChunk(firstEvent) + "ff\r\n" + firstEvent, true},
+		{"endless trailers", streamHead + encodeChunk(firstEvent) + "0\r\n" + strings.Repeat("a: b\r\n", 99), true},
 	}
 	for _, tt := range tests {
 		for _, class := range []string{"chat", "order"} {
@@ -291,7 +291,7 @@
 	}
 }
 
-// Other answers are good and bring more than belongs to them.
+// Valid answers may be preceded by interim ones and followed by extra bytes.
 func TestAnswers_InterimAndExtraBytes(t *testing.T) {
 	const interim = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
 	odd := strings.Replace(fullStream(), "\r\nContent", "\r\nX-Pressure: inflight=-3,queue=much\r\nContent", 1)
@@ -301,14 +301,14 @@
 		}
 		return interim + prefillResponse + prefillResponse
 	}), scriptedEngine(t, "w1", "writer", scriptDecode(func(engineRequest) string { return interim + interim + odd + turnedAwayResponse })))
-	for range 3 { // on connections that nothing is left on
+	for range 3 { // on connections without leftover bytes
 		if r, body, err := roundTrip(t, c, requestText("order", "", "{}")); r.StatusCode != 200 || body != firstEvent+lastEvents || err != nil {
 			t.Errorf("%s, %q, %v", r.Status, body, err)
 		}
 	}
 }
 
-// fasthttp does not look whether its client is there while a handler runs.
+// fasthttp does not detect that a client has disconnected while a handler runs.
 func TestClientDisconnect_CancelsAttempt(t *testing.T) {
 	got, ended := make(chan engineRequest, 9), make(chan string, 9)
 	c := startAndDial(t, scriptedEngine(t, "r1", "reader", func(s engineRequest) string {
@@ -319,9 +319,9 @@
 	s := <-got
 	c.Close()
 	if _, err := s.conn.Read(make([]byte, 1)); err != io.EOF && err == nil {
-		t.Error("the writer's connection stays open")
+		t.Error("the connection to the decode engine stays open")
 	}
 	if a, b := <-ended, <-ended; a != "POST" || b != "DELETE" {
-		t.Errorf("the reader got %s, %s", a, b)
+		t.Errorf("the prefill engine got %s, %s, want POST, DELETE", a, b)
 	}
 }
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -15,7 +15,7 @@
 	"log/slog"
 )
 
-// headers is an engine that tells the headers of what it is sent, and says 202.
+// headerRecorder is an engine that reports the headers of its requests and answers 202.
 func headerRecorder(t *testing.T) (ashwood.Server, <-chan http.Header) {
 	t.Helper()
 	l, got := listen(t), make(chan http.Header, 9)
@@ -45,9 +45,8 @@
 	return ashwood.Server{ID: "r1", Kind: "reader", State: ashwood.StateOn, Address: l.Addr().String()}, got
 }
 
-// What a client says of its request reaches the engine as it came: a key by which engines
-// drop repeats, say. What is said to the next one on the way alone does not, nor what frames
-// the message or is the gateway's to say.
+// A client's headers reach the engine unchanged: an idempotency key, for example. Hop-by-hop headers,
+// those that frame the message and those that the gateway sets do not.
 func TestForwardHeader_BothFronts(t *testing.T) {
 	const extra = "Idempotency-Key: 7f:3a,\"b\"\r\nX-Mark: one\r\nX-Mark: two\r\nConnection: keep-alive\r\nKeep-Alive: timeout=9\r\n" +
 		"TE: trailers\r\nContent-Type: application/json\r\nX-Org: payroll\r\n"
@@ -58,25 +57,25 @@
 	check := func(front string, h http.Header) {
 		for name, values := range want {
 			if !slices.Equal(h.Values(name), values) {
-				t.Errorf("%s: %s reaches the engine as %q, want %q", front, name, h.Values(name), values)
+				t.Errorf("%s: %s reached the engine as %q, want %q", front, name, h.Values(name), values)
 			}
 		}
 		if left, err := strconv.ParseFloat(h.Get(headerLeft), 64); err != nil || left <= 0 || left > 15 {
 			t.Errorf("%s: %s is %q", front, headerLeft, h.Get(headerLeft))
 		}
 	}
-	v, got := headerRecorder(t)
-	c := startAndDial(t, v)
+	engine, got := headerRecorder(t)
+	c := startAndDial(t, engine)
 	io.WriteString(c, requestText("chat", extra, "{}"))
 	check("fasthttp", <-got)
 
-	v, got = headerRecorder(t)
+	engine, got = headerRecorder(t)
 	log, clk := slog.New(slog.DiscardHandler), clock.System()
 	gw, err := gateway.New(testSettings(), 1, NewEngines(testSettings(), clk, 50), clk, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	gw.Update(ashwood.ListWhole, []ashwood.Server{v})
+	gw.Update(ashwood.ListWhole, []ashwood.Server{engine})
 	go gw.Run(t.Context())
 	host := httptest.NewServer(&NetHTTP{Handler: gw, Log: log})
 	defer host.Close()
@@ -86,7 +85,7 @@
 	nc.Close()
 }
 
-// slowly is a clock by which each look at it takes 100 ms.
+// steppingClock advances by 100 ms each time it is read.
 type steppingClock struct{ *clock.Manual }
 
 func (s steppingClock) Now() float64 {
@@ -94,8 +93,8 @@
 	return s.Manual.Now()
 }
 
-// The time that an attempt tells its engine is what is left when it is written: the connect
-// before has taken its part.
+// The remaining time that an attempt sends to its engine is measured when the request is written: it
+// excludes the time of the connect.
 func TestSend_RemainingTimeAfterConnect(t *testing.T) {
 	v, got := headerRecorder(t)
 	c := steppingClock{clock.NewManual(0)}
@@ -103,9 +102,9 @@
 	answer := sendAsync(t.Context(), e, v)
 	h := <-got
 	if left, err := strconv.ParseFloat(h.Get(headerLeft), 64); err != nil || left > 4.8 || left < 4 {
-		t.Errorf("told %q s of 5, although looks at the clock took at least 0.2", h.Get(headerLeft))
+		t.Errorf("sent %q s of 5, although reading the clock took at least 0.2", h.Get(headerLeft))
 	}
 	if a := <-answer; a.Status != ashwood.Parsed {
-		t.Errorf("ended as %v, %v", a.Status, a.Err)
+		t.Errorf("status %v, error %v", a.Status, a.Err)
 	}
 }
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -21,11 +21,11 @@
 		{"X-Lane: chat", "X-Lane: nosuch", "nosuch", 400},
 		{"15.000", "soon", "X-Remaining", 400},
 		{"prompt_len=64", "prompt_len=-1", "prompt_len", 400},
-		{"X-Txn: 9b1f", "X-Txn: ..", "X-Txn", 400}, // it becomes part of a path
+		{"X-Txn: 9b1f", "X-Txn: ..", "X-Txn", 400}, // the id becomes part of a path
 		{"X-Txn: 9b1f", "X-Txn: 9b1f\r\nX-Txn: 9b20", "2 times", 400},
 		{"15.000", "1e3", "X-Remaining", 400},
 		{"15.000", "99999", "X-Remaining", 400},
-		{"\r\n\r\n{}", "\r\n\r\n{\"", "JSON", 400}, // cut off by a length that is wrong
+		{"\r\n\r\n{}", "\r\n\r\n{\"", "JSON", 400}, // cut off by a wrong length
 		{"Content-Length: 2\r\n\r\n{}", "Content-Length: 0\r\n\r\n", "JSON", 400},
 		{"Content-Length: 2\r\n", "Content-Length: 2\r\nContent-Length: 2\r\n", "", 400},
 		{"Content-Length: 2\r\n", "Content-Length: -2\r\n", "", 400},
@@ -39,7 +39,7 @@
 		if r.StatusCode != tt.code || !strings.Contains(body, tt.reason) {
 			t.Errorf("%q: %s, %q", tt.new, r.Status, body)
 		}
-		// What follows a request with an unclear end must not be taken for another.
+		// The bytes after a request with an unclear end must not be taken for another request.
 		if tt.reason != "nosuch" {
 			if _, err := c.Read(make([]byte, 1)); err == nil {
 				t.Errorf("%q: the connection stays open", tt.new)
@@ -48,8 +48,8 @@
 	}
 }
 
-// Clients keep coming for a while after SIGTERM, over open connections and new
-// ones. They are served and told to close, and what runs at the end is finished.
+// Clients keep sending requests for a while after SIGTERM, on open and on new connections. They are
+// served and told to close, and requests running at the end are finished.
 func TestDrain_NewAndRunningRequests(t *testing.T) {
 	writing, finish := make(chan struct{}, 9), make(chan struct{})
 	s, addr := startServer(t, scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", scriptDecode(func(engineRequest) string {
@@ -87,8 +87,8 @@
 	}
 }
 
-// Clients may keep connections that they never use again, or open many and say
-// nothing. A new client gets in, and no connection with a request is closed.
+// Clients may keep connections that they never use again, or open many without sending anything. A new
+// client gets in, and no connection with a request is closed.
 func TestEvict_SilentConnections(t *testing.T) {
 	writing, finish := make(chan struct{}, 9), make(chan struct{})
 	s, addr := startServer(t, scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", scriptDecode(func(engineRequest) string {
@@ -104,7 +104,7 @@
 		dialClient(t, addr)
 	}
 	if _, err := silent.Read(make([]byte, 1)); err == nil {
-		t.Error("the oldest silent connection got an answer")
+		t.Error("the oldest silent connection was not closed")
 	}
 	close(finish)
 	for name, c := range map[string]net.Conn{"busy": busy, "new": dialClient(t, addr)} {
@@ -118,8 +118,8 @@
 	}
 }
 
-// A client that says nothing, half of a request or a little now and then is
-// not waited for beyond the time for a whole request.
+// A client that sends nothing, half a request or a byte now and then is not waited for beyond
+// readTimeout.
 func TestReadTimeout_UnfinishedRequests(t *testing.T) {
 	_, addr := startServer(t)
 	conns := []net.Conn{dialClient(t, addr), dialClient(t, addr), dialClient(t, addr)}
