--- a/internal/platform/ahead.go
+++ b/internal/platform/ahead.go
@@ -51,14 +51,14 @@
 // stopWatch ends the watch, so that the connection can be read again.
 func (c *clientConn) stopWatch() {
 	c.mu.Lock()
-	quit := c.watchDone
+	done := c.watchDone
 	c.watchDone = nil
 	c.mu.Unlock()
-	if quit == nil {
+	if done == nil {
 		return
 	}
 	c.limitRead(time.Unix(1, 0))
-	<-quit
+	<-done
 	c.limitRead(time.Time{})
 }
 
--- a/internal/platform/closing.go
+++ b/internal/platform/closing.go
@@ -47,7 +47,7 @@
 }
 
 // closeIfNoRequest closes the connection unless bytes of a request have arrived, and reports whether it
-// has. Bytes that have arrived but are not read yet, because the reading goroutine is late or has not
+// did. Bytes that have arrived but are not read yet, because the reading goroutine is late or has not
 // started, would be dropped with the connection.
 func (c *clientConn) closeIfNoRequest() bool {
 	c.mu.Lock()
@@ -56,15 +56,15 @@
 		return false
 	}
 	c.listener.mu.Lock()
-	waits := c.waitingElement != nil
-	if waits {
+	waiting := c.waitingElement != nil
+	if waiting {
 		c.listener.markClosing(c)
 	}
 	c.listener.mu.Unlock()
-	if waits {
+	if waiting {
 		c.closeIdleLocked()
 	}
-	return waits
+	return waiting
 }
 
 // closeIdle closes a connection without an open request that is no longer counted as open.
@@ -101,7 +101,7 @@
 	c.writeClosed = true
 	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
 	switch {
-	case !ok || halfCloser.CloseWrite() != nil: // not a TCP connection, or its client has reset it
+	case !ok || halfCloser.CloseWrite() != nil: // it can't be half-closed, or its client has reset it
 		c.Conn.Close()
 		c.listener.markClosed(c)
 	case c.readInProgress:
--- a/internal/platform/conn.go
+++ b/internal/platform/conn.go
@@ -78,12 +78,12 @@
 	c.recordRead()
 	nc.SetReadDeadline(c.firstRequestDeadline)
 	l.mu.Lock()
-	evicted, why := l.evictIfFull(now)
+	evicted, reason := l.evictIfFull(now)
 	l.open++
 	c.waitingElement = l.waiting.PushBack(c)
 	stopped := l.closingIdle
 	l.mu.Unlock()
-	l.closeEvicted(evicted, why)
+	l.closeEvicted(evicted, reason)
 	if stopped {
 		c.closeIfNoRequest()
 	}
@@ -128,19 +128,19 @@
 func (l *listener) freeDescriptor() {
 	l.mu.Lock()
 	var evicted *clientConn
-	var why string
+	var reason string
 	if !l.abortOldestLingering() {
-		evicted, why = l.evict(time.Now())
+		evicted, reason = l.evict(time.Now())
 	}
 	l.mu.Unlock()
-	l.closeEvicted(evicted, why)
+	l.closeEvicted(evicted, reason)
 }
 
 // resourceErrors are the errors of a machine without a descriptor or memory for a connection.
 var resourceErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
 // closeEvicted closes a connection that is no longer counted as open, to make room; nil = none.
-func (l *listener) closeEvicted(c *clientConn, why string) {
+func (l *listener) closeEvicted(c *clientConn, reason string) {
 	if c == nil {
 		return
 	}
@@ -149,7 +149,7 @@
 	} else {
 		c.abort()
 	}
-	l.log.Debug("connection closed to make room", "why", why, "ms", time.Since(c.acceptedAt).Milliseconds())
+	l.log.Debug("connection closed to make room", "why", reason, "ms", time.Since(c.acceptedAt).Milliseconds())
 }
 
 // Close ends Accept, even while it waits for room. It may be called more than once.
@@ -195,7 +195,7 @@
 const silentTimeout = 500 * time.Millisecond
 
 // evictIfFull evicts a connection for a new one; nil if there is room.
-func (l *listener) evictIfFull(now time.Time) (c *clientConn, why string) {
+func (l *listener) evictIfFull(now time.Time) (c *clientConn, reason string) {
 	if l.limit == 0 || l.open < l.limit {
 		return nil, ""
 	}
@@ -207,7 +207,7 @@
 // accepted; then the connection that has been idle longest after an answer; then, of those with an
 // unfinished first request, the one that has sent nothing for longest: a slow writer still writes,
 // and a connection accepted just now may not have been read yet.
-func (l *listener) evict(now time.Time) (c *clientConn, why string) {
+func (l *listener) evict(now time.Time) (c *clientConn, reason string) {
 	var idle, unfinished *clientConn
 	for e := l.waiting.Front(); e != nil; e = e.Next() {
 		candidate := e.Value.(*clientConn)
@@ -224,14 +224,14 @@
 	}
 	switch {
 	case idle != nil:
-		c, why = idle, "idle"
+		c, reason = idle, "idle"
 	case unfinished != nil:
-		c, why = unfinished, "unfinished"
+		c, reason = unfinished, "unfinished"
 	default:
 		return nil, ""
 	}
 	l.markClosing(c)
-	return c, why
+	return c, reason
 }
 
 // markClosing moves a connection that is about to be closed from the open count to the closing count.
@@ -278,7 +278,7 @@
 	answerStarted        atomic.Bool  // bytes of an answer have been written
 	owesPipelinedAnswer  atomic.Bool  // a pipelined request would need an answer if the connection closed now
 
-	// Guarded by the listener's lock:
+	// Managed by the listener:
 	waitingElement *list.Element // in listener.waiting; nil while a request is open
 	served         bool          // it has had a request
 	markedClosing  bool
--- a/internal/platform/move.go
+++ b/internal/platform/move.go
@@ -126,7 +126,8 @@
 			return b.clientCtx.Err() // the client has disconnected: there is nothing to continue
 		}
 		message, err := json.Marshal(handoverMessage{
-			ID: live.ID, Class: live.Class, Engine: live.Engine, TakenAt: live.Begun, CloseAfter: b.closeAfter, ReadAhead: b.conn.readAhead, Body: live.Wire.(bodyState),
+			ID: live.ID, Class: live.Class, Engine: live.Engine, TakenAt: live.Begun, CloseAfter: b.closeAfter,
+			ReadAhead: b.conn.readAhead, Body: live.Wire.(bodyState),
 		})
 		if err != nil {
 			return fmt.Errorf("platform: %w", err)
@@ -182,11 +183,15 @@
 		return fail(err)
 	}
 	c.watchDisconnect(cancelClient)
-	answer := &answerBody{stream: stream, conn: c, clientCtx: clientCtx, cancelClient: cancelClient, canHandOver: true, started: true, closeAfter: handedOver.CloseAfter, endRequest: func() {
-		cancelClient()
-		c.stopWatch()
-		c.endAnswer()
-	}}
+	answer := &answerBody{
+		stream: stream, conn: c, clientCtx: clientCtx, cancelClient: cancelClient,
+		canHandOver: true, started: true, closeAfter: handedOver.CloseAfter,
+		endRequest: func() {
+			cancelClient()
+			c.stopWatch()
+			c.endAnswer()
+		},
+	}
 	s.adoptedAnswers.Go(func() { s.relay(answer, c) })
 	return nil
 }
--- a/internal/platform/nethttp.go
+++ b/internal/platform/nethttp.go
@@ -28,14 +28,14 @@
 func (n *NetHTTP) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	streamStarted := false // once an answer has started, no other status can be sent
 	defer func() {
-		p := recover()
-		if p == nil {
+		value := recover()
+		if value == nil {
 			return
 		}
-		if err, ok := p.(error); ok && errors.Is(err, http.ErrAbortHandler) {
-			panic(p) // net/http's own way to abort a connection
+		if err, ok := value.(error); ok && errors.Is(err, http.ErrAbortHandler) {
+			panic(value) // net/http's own way to abort a connection
 		}
-		n.Log.Error("panic", "value", p, "stack", string(debug.Stack()))
+		n.Log.Error("panic", "value", value, "stack", string(debug.Stack()))
 		if streamStarted {
 			panic(http.ErrAbortHandler)
 		}
--- a/internal/platform/queue.go
+++ b/internal/platform/queue.go
@@ -70,9 +70,9 @@
 // queue, which ends Accept.
 func (l *listener) queueIsEmpty() bool {
 	l.mu.Lock()
-	sealed := l.handshakesDropped
+	dropped := l.handshakesDropped
 	l.mu.Unlock()
-	if !sealed || l.connectionPending() && l.extendQueueDrain() {
+	if !dropped || l.connectionPending() && l.extendQueueDrain() {
 		return false
 	}
 	l.finishQueueDrain()
@@ -117,7 +117,7 @@
 	return true
 }
 
-// Offset, flags and length in a TCP header.
+// Offset and flags of a TCP header, and the filter result that passes a whole packet.
 const (
 	flagsOffset = 13
 	flagSYN     = 0x02
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -86,20 +86,20 @@
 
 // DisableKeepAlives makes each answer close its connection, as Drain does, while a newer process takes
 // clients on the same address.
-func (s *Server) DisableKeepAlives(on bool) { s.keepAlivesDisabled.Store(on) }
+func (s *Server) DisableKeepAlives(disabled bool) { s.keepAlivesDisabled.Store(disabled) }
 
 // Share sets how many processes share the connections that the limit allows.
 func (s *Server) Share(processes int) { s.listener.share(processes) }
 
 // ExpireReadsAfter limits how long requests may still be read, because the process ends. Requests that
 // have been read in part by then get the error of a request that is not complete in time.
-func (s *Server) ExpireReadsAfter(left time.Duration) {
-	at := time.Now().Add(left)
+func (s *Server) ExpireReadsAfter(timeout time.Duration) {
+	at := time.Now().Add(timeout)
 	s.listener.readLimit.Store(&at)
-	s.readExpiry.Store(time.AfterFunc(left, s.listener.expireReads))
+	s.readExpiry.Store(time.AfterFunc(timeout, s.listener.expireReads))
 }
 
-// Shutdown stops accepting and waits until ctx ends for the requests that it has taken. It closes
+// Shutdown stops accepting and waits for the requests that it has taken, until ctx ends. It closes
 // connections without a request itself: fasthttp's own sweep compares wall-clock readings, leaves open
 // for 5 s new connections that have sent nothing, and drops a request that has just been read. That sweep
 // runs only when no connection is open.
@@ -140,8 +140,8 @@
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	defer func() {
-		if p := recover(); p != nil {
-			s.log.Error("panic", "value", p, "stack", string(debug.Stack()))
+		if value := recover(); value != nil {
+			s.log.Error("panic", "value", value, "stack", string(debug.Stack()))
 			ctx.Error("internal error", fasthttp.StatusInternalServerError)
 		}
 	}()
@@ -284,8 +284,8 @@
 
 func (b *answerBody) Read(p []byte) (n int, err error) {
 	defer func() { // fasthttp calls Read outside the handler, which has its own recover
-		if v := recover(); v != nil {
-			err = fmt.Errorf("platform: panic while reading an answer's stream: %v", v)
+		if value := recover(); value != nil {
+			err = fmt.Errorf("platform: panic while reading an answer's stream: %v", value)
 		}
 	}()
 	if len(b.pending) == 0 {
