--- a/choose.go
+++ b/choose.go
@@ -91,7 +91,7 @@
 // detours gives what a reader's place costs a request, in unfinished reads behind which it rather
 // waits: another zone is crossed to, and a state leaves its cell where no writer there has room.
 func (s *Scheduler) detours(r *request) func(*server) float64 {
-	read := s.pace[reading].Y
+	read := s.pace[reading].Mean
 	if read <= 0 {
 		return func(*server) float64 { return 0 }
 	}
@@ -122,7 +122,7 @@
 		}, 1
 	}
 	return func(v *server) float64 {
-		n := trend.Fleet(s.set.Nodes, float64(v.reads), mean, 1)
+		n := trend.FleetTotal(s.set.Nodes, float64(v.reads), mean, 1)
 		if len(v.report) > 0 && s.now-v.reportAt < probeEvery {
 			n = max(n*(1-s.crowd), s.running(v))
 		}
@@ -223,9 +223,9 @@
 func (s *Scheduler) homes(r *request, pool []*server) []*server {
 	uses, n := 0.0, float64(len(pool))
 	for _, v := range pool {
-		uses += s.table.Used(v.runs, prefix.Key{Hash: r.Prefix})
+		uses += s.table.UsesOf(v.runs, prefix.Key{Hash: r.Prefix})
 	}
-	want, need := 2, spread*n*max(uses-1, 0)/(s.table.Uses()+n) // what was seen once may be chance
+	want, need := 2, spread*n*max(uses-1, 0)/(s.table.TotalUses()+n) // what was seen once may be chance
 	if s.set.Nodes > manyNodes && s.set.Reports == ReportNone {
 		want = max(want, int(n*blindShare))
 	}
@@ -312,7 +312,7 @@
 	held, _ := s.mean(role, func(v *server) (float64, bool) { return v.held, true })
 	cell, told := s.byCell(role, wanted)
 	return func(v *server) float64 {
-		room := v.memory - trend.Fleet(s.set.Nodes, v.held, held, s.prompt)
+		room := v.memory - trend.FleetTotal(s.set.Nodes, v.held, held, s.prompt)
 		if heard > 0 {
 			x := (cell[v.Cell] + used) / (told[v.Cell] + 1)
 			if own, ok := wanted(v); ok {
--- a/internal/platform/abandon_test.go
+++ b/internal/platform/abandon_test.go
@@ -18,12 +18,12 @@
 )
 
 // sendAsync sends a request to an engine in the background, until ctx ends or it is answered.
-func sendAsync(ctx context.Context, e *Engines, engine ashwood.Server) <-chan gateway.Answer {
-	answer := make(chan gateway.Answer, 1)
+func sendAsync(ctx context.Context, e *Engines, engine ashwood.Server) <-chan gateway.AttemptResult {
+	answer := make(chan gateway.AttemptResult, 1)
 	go func() {
 		answer <- e.Send(ctx, gateway.Attempt{
 			Request: &gateway.Request{Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")}, Engine: engine,
-			Reads: true, Remaining: 5000, Ready: func() bool { return true }, Sent: func() {},
+			Prefill: true, Remaining: 5000, MayWrite: func() bool { return true }, OnSent: func() {},
 		})
 	}()
 	return answer
@@ -113,7 +113,7 @@
 		}
 		for len(answer) == 0 {
 			if !floods {
-				c.Advance(noticeWait) // repeated because the timer may not be set yet
+				c.Advance(abandonTimeout) // repeated because the timer may not be set yet
 			}
 			runtime.Gosched()
 		}
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -42,7 +42,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	d.Known(0)
+	d.ResumeFrom(0)
 	go d.Run(ctx, update)
 	got := []news{<-told, <-told}
 	var targets []string
@@ -96,7 +96,7 @@
 	for range 2 {
 		targets = append(targets, <-asked)
 	}
-	d.Move(next.Address)
+	d.SetAddress(next.Address)
 	targets = append(targets, <-asked)
 	if a := <-told; a != "a" || len(told) > 0 {
 		t.Errorf("told of %s, then %d more before the new address spoke", a, len(told))
@@ -135,7 +135,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	d.Known(7)
+	d.ResumeFrom(7)
 	go d.Run(ctx, update)
 	if got := <-told; got != ashwood.StateFading {
 		t.Errorf("told of state %v", got)
@@ -180,8 +180,8 @@
 			})
 			c := hasty{clock.System(), make(chan float64, 9)}
 			d := NewDiscovery(peer.Address, c, slog.New(slog.DiscardHandler))
-			d.Known(7)
-			d.Fleet(ashwood.Settings{Nodes: tt.nodes, Subscribe: !tt.agent}, seed)
+			d.ResumeFrom(7)
+			d.Configure(ashwood.Settings{Nodes: tt.nodes, Subscribe: !tt.agent}, seed)
 			d.Share(tt.processes)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
--- a/internal/platform/engines_test.go
+++ b/internal/platform/engines_test.go
@@ -42,7 +42,7 @@
 func TestPoolKeepsToItsPartAndClosesWhatIsIdle(t *testing.T) {
 	c := clock.NewManual(0)
 	p := newPool(c, 2000, 1000, 2)
-	get := func(addr string) *conn {
+	get := func(addr string) *engineConn {
 		t.Helper()
 		got, err := p.get(context.Background(), addr, anyConn)
 		if err != nil {
@@ -92,7 +92,7 @@
 func TestASecondAnswerBehindAStreamIsNotTakenForTheNext(t *testing.T) {
 	c, l := clock.NewManual(0), listen(t)
 	p, addr := newPool(c, 2000, 1000, 9), l.Addr().String()
-	take := func() *conn {
+	take := func() *engineConn {
 		t.Helper()
 		got, err := p.get(t.Context(), addr, anyConn)
 		if err != nil {
@@ -113,10 +113,10 @@
 		t.Fatal("taken while a second answer may be under way")
 	}
 	io.WriteString(peer, fullStream())
-	if _, err := first.br.Peek(1); err != nil { // it has come, unseen by the pool
+	if _, err := first.reader.Peek(1); err != nil { // it has come, unseen by the pool
 		t.Fatal(err)
 	}
-	first.br.Reset(first.Conn)
+	first.reader.Reset(first.Conn)
 	io.WriteString(peer, "more")
 	c.Advance(1)
 	waitFor(t, "the second answer is seen", func() bool { return !first.alive() })
@@ -197,7 +197,7 @@
 func TestOrdersGoOnNewConnections(t *testing.T) {
 	conns := map[net.Conn]bool{}
 	c := startAndDial(t, scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", func(s engineRequest) string {
-		if s.Method == "DELETE" || strings.HasPrefix(s.Target, roomsPath) {
+		if s.Method == "DELETE" || strings.HasPrefix(s.Target, holdsPath) {
 			return releasedResponse
 		}
 		conns[s.conn] = true
@@ -283,7 +283,7 @@
 	c := clock.NewManual(1)
 	p := newPool(c, 2000, 9000, 9)
 	addr := listen(t).Addr().String()
-	get := func() *conn {
+	get := func() *engineConn {
 		t.Helper()
 		got, err := p.get(context.Background(), addr, anyConn)
 		if err != nil {
@@ -324,8 +324,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		ans := e.Send(ctx, gateway.Attempt{
 			Request: &gateway.Request{Call: ashwood.Call{ID: ashwood.RequestID(fmt.Sprint(i))}, Method: "POST", Target: "/", Body: []byte("{}")},
-			Engine:  writer, Remaining: 1000, Sent: func() {},
-			Ready: func() bool {
+			Engine:  writer, Remaining: 1000, OnSent: func() {},
+			MayWrite: func() bool {
 				cancel()
 				return false
 			},
@@ -341,7 +341,7 @@
 func TestPoolIsSharedBetweenProcesses(t *testing.T) {
 	s := scriptedEngine(t, "e", "", func(engineRequest) string { return "HTTP/1.1 204 No Content\r\n\r\n" })
 	p := newPool(clock.System(), 1000, 15000, 4)
-	var conns []*conn
+	var conns []*engineConn
 	for range 4 {
 		c, err := p.get(t.Context(), s.Address, anyConn)
 		if err != nil {
--- a/internal/platform/move.go
+++ b/internal/platform/move.go
@@ -58,48 +58,48 @@
 }
 
 // Move passes the stream's state and connection to give, between two pieces.
-func (s *stream) Move(give func(gateway.Live) error) error {
-	state := bodyState{Keep: s.keep, Tail: s.tail}
+func (s *engineStream) HandOver(give func(gateway.HandoverState) error) error {
+	state := bodyState{Keep: s.reusable, Tail: s.tail}
 	switch b := s.body.(type) {
-	case *chunks:
-		state.Form, state.Left = "chunks", b.left
-	case *exactly:
-		state.Form, state.Left = "length", b.left
+	case *chunkedReader:
+		state.Form, state.Left = "chunks", b.remaining
+	case *fixedLengthReader:
+		state.Form, state.Left = "length", b.remaining
 	default:
 		state.Form = "close"
 	}
-	socket, ok := s.c.Conn.(syscall.Conn)
-	if !ok || s.begun != nil || s.done {
+	socket, ok := s.conn.Conn.(syscall.Conn)
+	if !ok || s.firstEvent != nil || s.done {
 		return errors.New("platform: the answer can't be handed over in its current state")
 	}
-	state.Buffered, _ = s.c.br.Peek(s.c.br.Buffered())
-	if err := give(gateway.Live{Wire: state, Conn: socket}); err != nil {
+	state.Buffered, _ = s.conn.reader.Peek(s.conn.reader.Buffered())
+	if err := give(gateway.HandoverState{TransportState: state, Conn: socket}); err != nil {
 		return err
 	}
-	s.stop()
-	s.pool.discard(s.c)
-	s.c = nil
+	s.stopInterrupt()
+	s.pool.discard(s.conn)
+	s.conn = nil
 	return nil
 }
 
 // adoptStream continues an engine's answer that another process has begun.
-func (e *Engines) adoptStream(ctx context.Context, nc net.Conn, addr string, state bodyState) (*stream, error) {
-	c := &conn{Conn: nc, br: bufio.NewReaderSize(io.MultiReader(bytes.NewReader(state.Buffered), nc), 4096), addr: addr}
-	s := &stream{pool: e.pool, c: c, keep: state.Keep, tail: state.Tail}
+func (e *Engines) adoptStream(ctx context.Context, nc net.Conn, addr string, state bodyState) (*engineStream, error) {
+	c := &engineConn{Conn: nc, reader: bufio.NewReaderSize(io.MultiReader(bytes.NewReader(state.Buffered), nc), 4096), addr: addr}
+	s := &engineStream{pool: e.pool, conn: c, reusable: state.Keep, tail: state.Tail}
 	switch state.Form {
 	case "chunks":
-		s.body = &chunks{br: c.br, begin: func() func() { return e.within(c, wholeWait) }, left: state.Left}
+		s.body = &chunkedReader{reader: c.reader, startTimeout: func() func() { return e.startTimeout(c, completionTimeout) }, remaining: state.Left}
 	case "length":
-		s.body = &exactly{r: c.br, left: state.Left}
+		s.body = &fixedLengthReader{reader: c.reader, remaining: state.Left}
 	case "close":
-		s.body = c.br
+		s.body = c.reader
 	default:
 		return nil, fmt.Errorf("platform: unknown body form %q in a handover message", state.Form)
 	}
 	if state.Left < 0 {
 		return nil, fmt.Errorf("platform: handover message with %d bytes of the body left", state.Left)
 	}
-	s.stop = c.endWith(ctx)
+	s.stopInterrupt = c.interruptOnDone(ctx)
 	e.pool.countAdopted()
 	return s, nil
 }
@@ -111,7 +111,7 @@
 	}
 	send := b.conn.listener.handover.Load()
 	client, ok := b.conn.Conn.(syscall.Conn)
-	movable, canMove := b.stream.(gateway.Movable)
+	movable, canMove := b.stream.(gateway.HandoverStream)
 	if send == nil || !ok || !canMove {
 		return false
 	}
@@ -121,13 +121,13 @@
 		b.conn.watchDisconnect(b.cancelClient)
 		return false
 	}
-	err := movable.Move(func(live gateway.Live) error {
+	err := movable.HandOver(func(live gateway.HandoverState) error {
 		if b.clientCtx.Err() != nil {
 			return b.clientCtx.Err() // the client has disconnected: there is nothing to continue
 		}
 		message, err := json.Marshal(handoverMessage{
-			ID: live.ID, Class: live.Class, Engine: live.Engine, TakenAt: live.Begun, CloseAfter: b.closeAfter,
-			ReadAhead: b.conn.readAhead, Body: live.Wire.(bodyState),
+			ID: live.ID, Class: live.Class, Engine: live.Engine, TakenAt: live.StartedAt, CloseAfter: b.closeAfter,
+			ReadAhead: b.conn.readAhead, Body: live.TransportState.(bodyState),
 		})
 		if err != nil {
 			return fmt.Errorf("platform: %w", err)
@@ -148,7 +148,7 @@
 	Handler
 	// Adopt takes over a request whose answer has begun; newStream opens the rest of the answer. client
 	// ends when the request's client disconnects.
-	Adopt(client context.Context, live gateway.Live, newStream func(context.Context, gateway.Transport) (gateway.Stream, error)) (gateway.Stream, error)
+	Adopt(client context.Context, live gateway.HandoverState, newStream func(context.Context, gateway.Transport) (gateway.Stream, error)) (gateway.Stream, error)
 }
 
 // Adopt continues an answer that another process has handed over to its end, and then serves its client's
@@ -169,7 +169,7 @@
 	}
 	c := s.listener.adoptConn(clientSide, handedOver.ReadAhead)
 	clientCtx, cancelClient := context.WithCancel(context.Background())
-	live := gateway.Live{ID: handedOver.ID, Class: handedOver.Class, Engine: handedOver.Engine, Begun: handedOver.TakenAt}
+	live := gateway.HandoverState{ID: handedOver.ID, Class: handedOver.Class, Engine: handedOver.Engine, StartedAt: handedOver.TakenAt}
 	stream, err := adopter.Adopt(clientCtx, live, func(ctx context.Context, t gateway.Transport) (gateway.Stream, error) {
 		e, ok := t.(*Engines)
 		if !ok {
@@ -227,7 +227,7 @@
 }
 
 // countAdopted counts a connection that came from another process.
-func (p *pool) countAdopted() {
+func (p *connPool) countAdopted() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open++
--- a/internal/platform/nethttp.go
+++ b/internal/platform/nethttp.go
@@ -99,7 +99,7 @@
 	}
 	req.Front = n.Front
 	if addr, err := netip.ParseAddrPort(r.RemoteAddr); err == nil {
-		req.Client = addr.Addr().Unmap()
+		req.ClientAddr = addr.Addr().Unmap()
 	}
 	return req, 0, nil
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -94,7 +94,7 @@
 		switch {
 		case s.Method == "DELETE":
 			return releasedResponse
-		case strings.HasPrefix(s.Target, roomsPath):
+		case strings.HasPrefix(s.Target, holdsPath):
 			return reservedResponse
 		}
 		return script(s)
@@ -128,7 +128,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gw.Update(ashwood.ListWhole, list)
+	gw.UpdateMembership(ashwood.ListWhole, list)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go gw.Run(ctx)
@@ -253,7 +253,7 @@
 		{"invalid status", "HTTP/1.1 2x0 OK\r\n\r\n", false},
 		{"unfinished head", "HTTP/1.1 200 OK\r\nX-Half: ", false},
 		{"endless head", good + strings.Repeat("X-More: and more\r\n", 999), false},
-		{"only 1xx", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterim), false},
+		{"only 1xx", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterimResponses), false},
 		{"no event after the head", streamHead, false},
 		{"invalid first chunk size", streamHead + "zz\r\n" + firstEvent, false},
 		{"first chunk of 3 GB", streamHead + "c0000000\r\n" + firstEvent, false},
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -50,7 +50,7 @@
 var notForwarded = map[string]bool{
 	"connection": true, "keep-alive": true, "proxy-connection": true, "proxy-authenticate": true, "proxy-authorization": true,
 	"te": true, "trailer": true, "transfer-encoding": true, "upgrade": true, "expect": true, "content-length": true, "host": true,
-	strings.ToLower(headerID): true, strings.ToLower(headerLeft): true,
+	strings.ToLower(headerID): true, strings.ToLower(headerRemaining): true,
 }
 
 // ParseRequest extracts the fields that routing decisions need. It is strict: a request that is malformed
@@ -61,7 +61,7 @@
 		return nil, errors.New("the body is no JSON")
 	}
 	fields := map[string]string{}
-	for _, name := range []string{headerID, headerClass, headerSession, headerLeft, headerLabels, headerResent, headerTenant} {
+	for _, name := range []string{headerID, headerClass, headerSession, headerRemaining, headerLabels, headerResent, headerTenant} {
 		switch values := header(name); len(values) {
 		case 0:
 		case 1:
@@ -80,12 +80,12 @@
 	if req.Class == "" {
 		return nil, fmt.Errorf("header %s is missing", headerClass)
 	}
-	remaining, err := parseNumber(fields[headerLeft])
+	remaining, err := parseNumber(fields[headerRemaining])
 	if err != nil || remaining > maxRemainingSeconds {
-		return nil, fmt.Errorf("header %s: %w", headerLeft, cmp.Or(err, errTooLong))
+		return nil, fmt.Errorf("header %s: %w", headerRemaining, cmp.Or(err, errTooLong))
 	}
 	req.Remaining = remaining * 1000
-	req.Session = gateway.Key(fields[headerSession])
+	req.Session = gateway.AffinityKey(fields[headerSession])
 	return req, parseLabels(req, fields[headerLabels])
 }
 
@@ -96,7 +96,7 @@
 		var field *float64
 		switch name {
 		case "prefix":
-			req.Prefix = gateway.Key(value)
+			req.Prefix = gateway.AffinityKey(value)
 		case "prompt_len":
 			field = &req.PromptTokens
 		case "prefix_len":
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -60,8 +60,8 @@
 				t.Errorf("%s: %s reached the engine as %q, want %q", front, name, h.Values(name), values)
 			}
 		}
-		if left, err := strconv.ParseFloat(h.Get(headerLeft), 64); err != nil || left <= 0 || left > 15 {
-			t.Errorf("%s: %s is %q", front, headerLeft, h.Get(headerLeft))
+		if left, err := strconv.ParseFloat(h.Get(headerRemaining), 64); err != nil || left <= 0 || left > 15 {
+			t.Errorf("%s: %s is %q", front, headerRemaining, h.Get(headerRemaining))
 		}
 	}
 	engine, got := headerRecorder(t)
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gw.Update(ashwood.ListWhole, []ashwood.Server{engine})
+	gw.UpdateMembership(ashwood.ListWhole, []ashwood.Server{engine})
 	go gw.Run(t.Context())
 	host := httptest.NewServer(&NetHTTP{Handler: gw, Log: log})
 	defer host.Close()
@@ -101,8 +101,8 @@
 	e := NewEngines(testSettings(), c, 9)
 	answer := sendAsync(t.Context(), e, v)
 	h := <-got
-	if left, err := strconv.ParseFloat(h.Get(headerLeft), 64); err != nil || left > 4.8 || left < 4 {
-		t.Errorf("sent %q s of 5, although reading the clock took at least 0.2", h.Get(headerLeft))
+	if left, err := strconv.ParseFloat(h.Get(headerRemaining), 64); err != nil || left > 4.8 || left < 4 {
+		t.Errorf("sent %q s of 5, although reading the clock took at least 0.2", h.Get(headerRemaining))
 	}
 	if a := <-answer; a.Status != ashwood.Parsed {
 		t.Errorf("status %v, error %v", a.Status, a.Err)
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -186,7 +186,7 @@
 	}
 	req.Front = front
 	if addr, ok := netip.AddrFromSlice(ctx.RemoteIP()); ok {
-		req.Client = addr.Unmap()
+		req.ClientAddr = addr.Unmap()
 	}
 	clientCtx, cancelClient := context.WithCancel(context.Background())
 	conn, _ := ctx.Conn().(*clientConn)
@@ -233,7 +233,7 @@
 		refuse(ctx, reply.RetryAfter)
 	case gateway.Failed:
 		ctx.Error(failedText(reply.Err), fasthttp.StatusBadGateway)
-	case gateway.Gone:
+	case gateway.ClientGone:
 		ctx.SetConnectionClose()
 		ctx.SetStatusCode(499)
 	}
--- a/membership.go
+++ b/membership.go
@@ -34,5 +34,5 @@
 	v.health, v.ratio, v.pausedUntil, v.report, v.done = health{}, 1, 0, nil, trend.Rate{}
 	v.sends, v.since, v.phase = nil, s.now, s.rng.Float64()
 	v.credit = slowstart.NewCredit(s.now, v.phase)
-	s.table.Void(v.runs, s.now+1)
+	s.table.DropOlderThan(v.runs, s.now+1)
 }
--- a/outcomes.go
+++ b/outcomes.go
@@ -134,7 +134,7 @@
 // it surely held has forgotten what it held before (a flush, an untold restart).
 func (s *Scheduler) parsed(r *request, a *attempt, kept float64) {
 	if kept < a.kept/2 {
-		s.table.Void(a.srv.runs, a.sent)
+		s.table.DropOlderThan(a.srv.runs, a.sent)
 	}
 	s.table.Record(s.now, a.srv.runs, r.parts(), true)
 	r.state = a.srv
--- a/scheduler.go
+++ b/scheduler.go
@@ -186,8 +186,8 @@
 		}
 	}
 	// What is being read will want room too: here what waits, at the others what comes in while a read takes.
-	each := s.coming.Add(s.now, time.Second, 0) * s.pace[reading].Y / float64(time.Second)
-	room -= trend.Fleet(s.set.Nodes, queued, each, s.prompt)
+	each := s.coming.Add(s.now, time.Second, 0) * s.pace[reading].Mean / float64(time.Second)
+	room -= trend.FleetTotal(s.set.Nodes, queued, each, s.prompt)
 	aim := float64(s.minAim) + float64(r.class.AimPer1K)*r.PromptTokens/1000
 	limit := (aim - s.impatience[r.Tenant]) * (1 + r.class.Worth/s.topWorth) / 2
 	if q := s.quota[r.Tenant]; q > 0 { // the further over its share, the smaller its part of the aim
@@ -303,8 +303,8 @@
 // limit is the time after which an attempt is overdue, as like work goes now.
 func (s *Scheduler) limit(r *request, a *attempt) time.Duration {
 	limit := r.class.Aim / 2
-	if p := &s.pace[a.stage]; p.N > 0 {
-		limit = time.Duration(p.Expect(a.queue) + 4*p.Dev)
+	if p := &s.pace[a.stage]; p.Count > 0 {
+		limit = time.Duration(p.Expect(a.queue) + 4*p.MeanError)
 	}
 	return max(limit, s.set.Limits.ConnectTimeout, retryPause)
 }
--- a/state.go
+++ b/state.go
@@ -40,7 +40,7 @@
 	heardAt     time.Duration // it last sent anything back
 	backAt      time.Duration // it was heard again after a silence
 	signAsked   time.Duration // last probed for a sign of life
-	runs        prefix.Held
+	runs        prefix.ServerRuns
 	hash        uint64                // of its id
 	ratio       float64               // latency against what its role takes for like work
 	alive       time.Duration         // it last finished or began something
@@ -138,7 +138,7 @@
 	copies     float64       // processes that count as this one node
 	endsAt     time.Duration // by then each request has its answer; math.MaxInt64 = not known
 	table      prefix.Table
-	pace       [stages]trend.Line
+	pace       [stages]trend.LatencyLine
 	cost       map[*Class]float64
 	prompt     float64    // tokens of a prompt
 	coming     trend.Rate // tokens of the prompts that come in
@@ -170,7 +170,7 @@
 }
 
 func newServer(id ServerID) *server {
-	return &server{ratio: 1, runs: prefix.Held{}, refuses: map[[2]string]time.Duration{}, hash: rendezvous.Hash(string(id))}
+	return &server{ratio: 1, runs: prefix.ServerRuns{}, refuses: map[[2]string]time.Duration{}, hash: rendezvous.Hash(string(id))}
 }
 
 // running is the unfinished work that a server last reported, in requests of the mean prompt, 0
@@ -209,7 +209,7 @@
 // the reader's cell, less with the age of what is known of it.
 func (s *Scheduler) transferDelay() float64 {
 	far := &s.pace[writingFar]
-	return max(far.Y-s.pace[writing].Y, 0) * math.Exp(-float64(s.now-far.Last)/float64(4*s.minAim))
+	return max(far.Mean-s.pace[writing].Mean, 0) * math.Exp(-float64(s.now-far.Last)/float64(4*s.minAim))
 }
 
 // mean averages a figure over the listed servers of a role that have it.
@@ -230,7 +230,7 @@
 	if r.Prefix != 0 {
 		shared = min(int(r.PrefixTokens)/blockTokens, all)
 	}
-	return []prefix.Part{{Key: prefix.Key{Hash: r.Prefix}, Blocks: shared}, {Key: prefix.Key{Hash: r.Session, Own: true}, Blocks: all - shared}}
+	return []prefix.Part{{Key: prefix.Key{Hash: r.Prefix}, Blocks: shared}, {Key: prefix.Key{Hash: r.Session, PerSession: true}, Blocks: all - shared}}
 }
 
 // match counts the leading tokens of a prompt that a server holds, and those
