--- a/internal/platform/crowd_test.go
+++ b/internal/platform/crowd_test.go
@@ -23,41 +23,43 @@
 	"ashwood.example/ashwood/gateway"
 )
 
-// queue is a listener of connections that a test makes, or of errors in their place.
-type queue struct {
-	next  chan any // net.Conn or error
-	done  chan struct{}
-	once  sync.Once
-	taken atomic.Int32
+// fakeListener is a listener whose connections, or errors in their place, a test provides.
+type fakeListener struct {
+	pending  chan any // net.Conn or error
+	done     chan struct{}
+	once     sync.Once
+	accepted atomic.Int32
 }
 
-func newQueue() *queue { return &queue{next: make(chan any, 99), done: make(chan struct{})} }
+func newFakeListener() *fakeListener {
+	return &fakeListener{pending: make(chan any, 99), done: make(chan struct{})}
+}
 
-func (q *queue) Accept() (net.Conn, error) {
+func (q *fakeListener) Accept() (net.Conn, error) {
 	select {
-	case v := <-q.next:
+	case v := <-q.pending:
 		if err, ok := v.(error); ok {
 			return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
 		}
-		q.taken.Add(1)
+		q.accepted.Add(1)
 		return v.(net.Conn), nil
 	case <-q.done:
 		return nil, net.ErrClosed
 	}
 }
 
-func (q *queue) Close() error   { q.once.Do(func() { close(q.done) }); return nil }
-func (q *queue) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
+func (q *fakeListener) Close() error   { q.once.Do(func() { close(q.done) }); return nil }
+func (q *fakeListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// sleepy is a connection whose reader wakes late: a machine short of processor time has
-// closed many by the time that those who read them run.
-type sleepy struct {
+// lateReadConn is a connection whose reading goroutine runs late: a machine short of processor time has
+// closed many connections by the time their readers run.
+type lateReadConn struct {
 	net.Conn
 	wake   chan struct{}
 	closed atomic.Bool
 }
 
-func (c *sleepy) Read(p []byte) (int, error) {
+func (c *lateReadConn) Read(p []byte) (int, error) {
 	<-c.wake
 	if c.closed.Load() {
 		return 0, net.ErrClosed
@@ -65,13 +67,13 @@
 	return c.Conn.Read(p)
 }
 
-// SetReadDeadline tells nobody that the connection is closed.
-func (c *sleepy) SetReadDeadline(time.Time) error { return nil }
+// SetReadDeadline does not interrupt the reader.
+func (c *lateReadConn) SetReadDeadline(time.Time) error { return nil }
 
-func (c *sleepy) Close() error { c.closed.Store(true); return c.Conn.Close() }
+func (c *lateReadConn) Close() error { c.closed.Store(true); return c.Conn.Close() }
 
-// ready asks whether the server takes clients, on a client's end of a connection.
-func ready(t *testing.T, c net.Conn) {
+// checkReady sends a readiness check on a client's end of a connection, and expects 200.
+func checkReady(t *testing.T, c net.Conn) {
 	t.Helper()
 	if _, err := io.WriteString(c, "GET "+readyPath+" HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 		t.Fatal(err)
@@ -86,97 +88,96 @@
 	}
 }
 
-// quiet serves a queue of connections with room for so many, to the test's end.
-func quiet(t *testing.T, gw Handler, limit int) (q *queue, s *Server, ended <-chan error) {
+// serveFakeListener serves a fakeListener with the given limit until the test ends.
+func serveFakeListener(t *testing.T, gw Handler, limit int) (q *fakeListener, s *Server, ended <-chan error) {
 	t.Helper()
-	s, q = NewServer(gw, slog.New(slog.DiscardHandler), limit), newQueue()
+	s, q = NewServer(gw, slog.New(slog.DiscardHandler), limit), newFakeListener()
 	end := make(chan error, 1)
 	go func() { end <- s.Serve(q) }()
 	t.Cleanup(func() {
 		if err := s.Shutdown(context.Background()); err != nil {
 			t.Error(err)
 		}
-		time.Sleep(time.Minute) // of the bubble's clock: fasthttp's pool looks now and then whether it has ended
+		time.Sleep(time.Minute) // of the bubble's clock: fasthttp's worker pool polls whether it has ended
 	})
 	return q, s, end
 }
 
-// Connections that were closed for new ones are in the house until their readers have
-// woken. The next ones wait in the system's queue meanwhile: none is turned back, and no
-// more descriptors are taken.
-func TestACrowdWaitsWhileThoseClosedForItAreStillThere(t *testing.T) {
+// Connections that were evicted hold a descriptor until their readers have returned. Meanwhile the next
+// ones wait in the accept queue: none is closed, and no more descriptors are used.
+func TestAccept_WaitsForClosingConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit, crowd = 8, 40
-		q, _, _ := quiet(t, nil, limit)
+		q, _, _ := serveFakeListener(t, nil, limit)
 		wake := make(chan struct{})
 		var far []net.Conn
 		for range crowd {
 			near, c := net.Pipe()
 			far = append(far, c)
-			q.next <- &sleepy{Conn: near, wake: wake}
+			q.pending <- &lateReadConn{Conn: near, wake: wake}
 		}
 		synctest.Wait()
-		if n := int(q.taken.Load()); n > limit+2 {
-			t.Errorf("%d connections taken with room for %d, of which none has woken", n, limit)
+		if n := int(q.accepted.Load()); n > limit+2 {
+			t.Errorf("%d connections accepted with a limit of %d and no reader returned", n, limit)
 		}
 		close(wake)
-		ready(t, far[crowd-1]) // it came last, and nothing closes it
+		checkReady(t, far[crowd-1]) // it came last, so it is not evicted
 		for _, c := range far[:crowd-limit] {
 			if text, err := io.ReadAll(c); len(text) > 0 || err != nil {
-				t.Errorf("one that said nothing was answered %q, %v", text, err)
+				t.Errorf("a silent connection read %q, %v, want the end", text, err)
 			}
 		}
 	})
 }
 
-// A machine out of descriptors, or of memory for sockets, is waited for: the server stays,
-// and one connection without a request goes for the next.
-func TestOutOfDescriptorsTheServerStays(t *testing.T) {
+// Without descriptors, or memory for sockets, the server does not stop: it evicts one connection
+// without a request and accepts the next.
+func TestAccept_OutOfDescriptors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q, _, ended := quiet(t, nil, 8)
+		q, _, ended := serveFakeListener(t, nil, 8)
 		begun := time.Now()
 		near, silent := net.Pipe()
-		q.next <- near
+		q.pending <- near
 		for _, err := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ECONNABORTED, syscall.ENETDOWN, syscall.EPERM} {
-			q.next <- err
+			q.pending <- err
 		}
 		near, c := net.Pipe()
-		q.next <- near
-		ready(t, c)
-		// At once by the bubble's clock: not only when its time for a request is up.
+		q.pending <- near
+		checkReady(t, c)
+		// At once by the bubble's clock, not only after readTimeout.
 		if _, err := silent.Read(make([]byte, 1)); !errors.Is(err, io.EOF) || time.Since(begun) >= readTimeout {
-			t.Errorf("the silent one: %v after %v", err, time.Since(begun))
+			t.Errorf("the silent connection: %v after %v", err, time.Since(begun))
 		}
 		if len(ended) > 0 {
-			t.Errorf("the server ended with %v", <-ended)
+			t.Errorf("the server stopped with %v", <-ended)
 		}
 	})
 }
 
-// A host's own server decides what becomes of its listener and its connections.
-func TestAHostIsToldThatDescriptorsAreOut(t *testing.T) {
-	q := newQueue()
-	q.next <- syscall.EMFILE
-	if _, err := Listener(q).Accept(); !errors.Is(err, syscall.EMFILE) {
-		t.Errorf("accepted with %v", err)
+// A host's own server handles the errors of its listener and its connections itself.
+func TestWrapListener_OutOfDescriptors(t *testing.T) {
+	q := newFakeListener()
+	q.pending <- syscall.EMFILE
+	if _, err := WrapListener(q).Accept(); !errors.Is(err, syscall.EMFILE) {
+		t.Errorf("Accept returned %v, want EMFILE", err)
 	}
 }
 
-// A stop does not wait for room: nothing is accepted from then on.
-func TestAStopEndsTheWaitForRoom(t *testing.T) {
+// Shutdown does not wait for room: nothing is accepted from then on.
+func TestShutdown_AcceptWaitingForRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q, s, ended := quiet(t, nil, 2)
+		q, s, ended := serveFakeListener(t, nil, 2)
 		wake := make(chan struct{})
 		for range 9 {
 			near, _ := net.Pipe()
-			q.next <- &sleepy{Conn: near, wake: wake}
+			q.pending <- &lateReadConn{Conn: near, wake: wake}
 		}
 		synctest.Wait()
 		stopped := make(chan error, 1)
 		go func() { stopped <- s.Shutdown(context.Background()) }()
 		synctest.Wait()
 		if len(ended) == 0 {
-			t.Error("it waits for room, and nobody will make any")
+			t.Error("Serve still waits for room")
 		}
 		close(wake)
 		if err := <-stopped; err != nil {
@@ -185,43 +186,45 @@
 	})
 }
 
-// says is a Handler that gives every request the same reply.
-type says struct{ reply gateway.Reply }
+// fixedReply is a Handler that gives every request the same reply.
+type fixedReply struct{ reply gateway.Reply }
 
-func (s says) Serve(context.Context, *gateway.Request) (gateway.Reply, error) { return s.reply, nil }
-func (s says) TurnAway(string) float64                                        { return 0 }
+func (s fixedReply) Serve(context.Context, *gateway.Request) (gateway.Reply, error) {
+	return s.reply, nil
+}
+func (s fixedReply) TurnAway(string) float64 { return 0 }
 
-// piece is a stream of one.
-type piece struct{ over bool }
+// singleEventStream is a stream of one event.
+type singleEventStream struct{ done bool }
 
-func (p *piece) Next() ([]byte, error) {
-	if p.over {
+func (p *singleEventStream) Next() ([]byte, error) {
+	if p.done {
 		return nil, io.EOF
 	}
-	p.over = true
-	return []byte(event1), nil
+	p.done = true
+	return []byte(firstEvent), nil
 }
 
-func (*piece) Report() ashwood.Report { return nil }
-func (*piece) Close() error           { return nil }
+func (*singleEventStream) Report() ashwood.Report { return nil }
+func (*singleEventStream) Close() error           { return nil }
 
-// A connection whose answer, or the last chunk of it, is still being written is not closed
-// for a new one, although its request has ended for all but its client.
-func TestNoAnswerIsCutOffInACrowd(t *testing.T) {
-	new(fasthttp.ResponseHeader).Header() // starts fasthttp's clock of dates, which never ends, outside of the bubbles
+// A connection whose answer, or the last chunk of it, is still being written is not evicted, although
+// its request has ended for the gateway.
+func TestEvict_AnswerBeingWritten(t *testing.T) {
+	new(fasthttp.ResponseHeader).Header() // starts fasthttp's date clock, which never ends, outside the bubbles
 	for name, reply := range map[string]gateway.Reply{
-		"refused": {Kind: gateway.Refused}, "a stream's end": {Kind: gateway.Served, Stream: &piece{}},
+		"refused": {Kind: gateway.Refused}, "a stream's end": {Kind: gateway.Served, Stream: &singleEventStream{}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			q, _, _ := quiet(t, says{reply}, 3)
-			near, c := net.Pipe() // a write on it waits for its reader
-			q.next <- near
-			if _, err := io.WriteString(c, request("chat", "", "{}")); err != nil {
+			q, _, _ := serveFakeListener(t, fixedReply{reply}, 3)
+			near, c := net.Pipe() // a write blocks until the other end reads
+			q.pending <- near
+			if _, err := io.WriteString(c, requestText("chat", "", "{}")); err != nil {
 				t.Fatal(err)
 			}
 			var got []byte
 			var first [4096]byte
-			if reply.Stream != nil { // the head and the event; its end is still to come
+			if reply.Stream != nil { // the head and the event; the end is still to come
 				n, err := c.Read(first[:])
 				if got = first[:n]; err != nil {
 					t.Fatal(err)
@@ -230,12 +233,12 @@
 			synctest.Wait()
 			for range 9 {
 				near, _ := net.Pipe()
-				q.next <- near
+				q.pending <- near
 			}
 			synctest.Wait()
 			r, err := http.ReadResponse(bufio.NewReader(io.MultiReader(bytes.NewReader(got), c)), nil)
 			if err != nil {
-				t.Fatalf("%s: %v", name, err)
+				t.Fatalf("%s: no answer: %v", name, err)
 			}
 			if body, err := io.ReadAll(r.Body); err != nil || len(body) == 0 {
 				t.Errorf("%s: %q, %v", name, body, err)
@@ -244,22 +247,22 @@
 	}
 }
 
-// unending is a connection whose client is told the end and never closes in turn.
-type unending struct{ net.Conn }
+// neverClosedConn is a connection whose client sees the end and never closes its side.
+type neverClosedConn struct{ net.Conn }
 
-func (unending) CloseWrite() error { return nil }
+func (neverClosedConn) CloseWrite() error { return nil }
 
-// Connections in the second step of their close are not waited for where a new client comes:
-// the first of them goes at once.
-func TestANewClientDoesNotWaitForConnectionsThatLinger(t *testing.T) {
-	new(fasthttp.ResponseHeader).Header() // as above
+// A new client does not wait for connections in the second step of their close: the oldest of them is
+// aborted at once.
+func TestAccept_AbortsLingeringConnections(t *testing.T) {
+	new(fasthttp.ResponseHeader).Header() // as in TestEvict_AnswerBeingWritten
 	synctest.Test(t, func(t *testing.T) {
-		q, s, _ := quiet(t, says{gateway.Reply{Kind: gateway.Refused}}, closingShare)
+		q, s, _ := serveFakeListener(t, fixedReply{gateway.Reply{Kind: gateway.Refused}}, closingDivisor)
 		begun := time.Now()
 		for range 3 {
 			near, c := net.Pipe()
-			q.next <- unending{near}
-			if _, err := io.WriteString(c, request("chat", "Connection: close\r\n", "{}")); err != nil {
+			q.pending <- neverClosedConn{near}
+			if _, err := io.WriteString(c, requestText("chat", "Connection: close\r\n", "{}")); err != nil {
 				t.Fatal(err)
 			}
 			r, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -269,14 +272,14 @@
 			io.Copy(io.Discard, r.Body)
 			synctest.Wait()
 		}
-		s.in.mu.Lock()
-		n := s.in.closing
-		s.in.mu.Unlock()
+		s.listener.mu.Lock()
+		n := s.listener.closing
+		s.listener.mu.Unlock()
 		near, c := net.Pipe()
-		q.next <- near
-		ready(t, c)
-		if waited := time.Since(begun); n == 0 || waited >= lingerTime {
-			t.Errorf("with %d that linger, the new one waited %v", n, waited)
+		q.pending <- near
+		checkReady(t, c)
+		if waited := time.Since(begun); n == 0 || waited >= lingerTimeout {
+			t.Errorf("with %d connections closing, the new one waited %v", n, waited)
 		}
 	})
 }
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -24,7 +24,7 @@
 	}
 	const serverError = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
 	responses := []string{"\x00", membershipResponse(7, false, "draining"), serverError, serverError, membershipResponse(9, true, "up"), ""}
-	peer := engine(t, "d", "", func(s seen) string {
+	peer := scriptedEngine(t, "d", "", func(s engineRequest) string {
 		requests <- s.Target
 		response := responses[0]
 		responses = responses[1:]
@@ -66,7 +66,7 @@
 func TestDiscovery_AddressChangeDuringWatch(t *testing.T) {
 	requests, respond := make(chan string, 9), make(chan struct{})
 	peer := func(name string, responses ...string) ashwood.Server {
-		return engine(t, name, "", func(s seen) string {
+		return scriptedEngine(t, name, "", func(s engineRequest) string {
 			requests <- name + " " + s.Target
 			if len(responses) == 0 {
 				return ""
@@ -121,7 +121,7 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
 	responses := []string{"", delta("up")[:90], delta("draining")}
-	peer := engine(t, "d", "", func(seen) string {
+	peer := scriptedEngine(t, "d", "", func(engineRequest) string {
 		response := responses[0]
 		if len(responses) > 1 {
 			responses = responses[1:]
@@ -173,7 +173,7 @@
 		var firstWaits []float64
 		for seed := range int64(2) {
 			responses := []string{unavailable, unavailable, unavailable, unavailable, emptyDelta, unavailable, ""}
-			peer := engine(t, "d", "", func(seen) string {
+			peer := scriptedEngine(t, "d", "", func(engineRequest) string {
 				response := responses[0]
 				responses = responses[1:]
 				return response
