--- a/admission_test.go
+++ b/admission_test.go
@@ -42,7 +42,7 @@
 		id := fmt.Sprint("q", i)
 		n.ask(id, uint64(i), 0)
 		n.now += 100 * ms
-		n.do(Gone{RequestID(id)})
+		n.do(ClientDisconnected{RequestID(id)})
 	}
 	if p := time.Second - time.Duration(n.s.impatience[""]); p > 300*ms {
 		t.Errorf("patience still %v after ten clients left at 100ms", p)
@@ -50,7 +50,7 @@
 	for i := 0; i < 20; i++ {
 		n.s.reqs["x"] = &request{attempts: []*attempt{{srv: n.s.servers["w1"], write: true, out: true}},
 			class: n.s.classes["chat"]}
-		n.do(First{ID: "x", Server: "w1", Latency: 10 * ms})
+		n.do(AnswerStarted{ID: "x", Server: "w1", Latency: 10 * ms})
 	}
 	if p := time.Second - time.Duration(n.s.impatience[""]); p < 900*ms {
 		t.Errorf("patience only %v after twenty answers", p)
@@ -64,7 +64,7 @@
 		id := RequestID(fmt.Sprint("q", i))
 		n.do(Request{ID: id, Class: "chat", Tenant: "hasty", Session: 1, PromptTokens: 16, TimeLeft: 5 * time.Second})
 		n.now += 10 * ms
-		n.do(Gone{id})
+		n.do(ClientDisconnected{id})
 	}
 	n.s.servers["r1"].queue = 1000
 	for i := 0; i < 10; i++ {
@@ -118,7 +118,7 @@
 		n.ask("a", 1, 0)
 		n.now += 5 * time.Second
 		x, _ := pick[SetTimer](n) // its deadline
-		n.do(Timer{x.Token})
+		n.do(TimerFired{x.Token})
 		want := map[bool]time.Duration{true: 500 * ms}[allowed]
 		if r, ok := pick[Refuse](n); !ok || r.RetryAfter != want {
 			t.Errorf("allowed %v: %v", allowed, n.out)
@@ -151,9 +151,9 @@
 				n.sentTo("r1")
 				return
 			}
-			lacks[Attempt](n)
-			lacks[Ahead](n)
-			if refusal, ok := pick[Refuse](n); !ok || refusal.Why != WhyTooLong {
+			lacks[Send](n)
+			lacks[Reserve](n)
+			if refusal, ok := pick[Refuse](n); !ok || refusal.Reason != ReasonPromptTooLong {
 				t.Errorf("actions %v", n.out)
 			}
 		})
--- a/choose.go
+++ b/choose.go
@@ -44,7 +44,7 @@
 	if p := s.pool(r, mixed); len(p) > 0 {
 		return s.byPrefix(r, p), true
 	}
-	if p := s.pool(r, writes); s.set.WritersRead && len(p) > 0 {
+	if p := s.pool(r, writes); s.set.DecodeCanPrefill && len(p) > 0 {
 		return s.roomiest(p, nil), true
 	}
 	return nil, false
@@ -195,7 +195,7 @@
 // be sooner done: what a choice keeps of a prompt is worth the tokens that need not be read, no more.
 // Others that are idle are not taken so: one that fails at once is idle too.
 func (s *Scheduler) orSlowStart(choice *server, pool []*server, work func(*server) float64) *server {
-	least := work(choice) * max(s.set.Rules.ColdFrom, leastStartSpeed)
+	least := work(choice) * max(s.set.Rules.SlowStartCapacity, leastStartSpeed)
 	for _, v := range pool {
 		if s.inSlowStart(v) && s.now-v.reportAt < probeEvery && work(v) < least {
 			choice, least = v, work(v)
--- a/detour_test.go
+++ b/detour_test.go
@@ -78,7 +78,7 @@
 		t.Run(fmt.Sprint(tt), func(t *testing.T) {
 			set := settings()
 			set.Kinds[2].MemoryTokens = 2 * set.Kinds[1].MemoryTokens
-			mixed := Server{ID: "mixed", Zone: "a", Kind: "mixed", State: StateOn}
+			mixed := Server{ID: "mixed", Zone: "a", Kind: "mixed", State: StateActive}
 			n := newNode(t, set, reader("ra"), writer("wa", 0), mixed)
 			for tokens := 320.0; tokens < 30000; tokens *= 2 {
 				n.s.pace[writing].Observe(n.now, time.Duration(tokens/50)*ms, tokens)
--- a/ending.go
+++ b/ending.go
@@ -11,11 +11,11 @@
 
 // ending cuts the deadlines of all requests, those to come too, to the node's own. Told again,
 // only an earlier time counts.
-func (s *Scheduler) ending(e Ending) {
-	if e.At >= s.endsAt {
+func (s *Scheduler) ending(e Shutdown) {
+	if e.Deadline >= s.endsAt {
 		return
 	}
-	s.endsAt = e.At
+	s.endsAt = e.Deadline
 	for _, r := range s.reqs {
 		r.deadline = min(r.deadline, s.endsAt)
 	}
@@ -35,6 +35,6 @@
 				r.ran = a
 			}
 		}
-		s.giveUp(r, WhyEnding)
+		s.giveUp(r, ReasonShutdown)
 	}
 }
--- a/facade.go
+++ b/facade.go
@@ -23,21 +23,21 @@
 	ErrDuplicate    = errors.New("ashwood: a request of this id is being served")
 )
 
-// Call is what the decisions need to know of a client's try.
-type Call struct {
-	ID           RequestID
-	Class        string
-	Tenant       string
-	Session      uint64
-	Prefix       uint64 // the beginning shared with other sessions; 0 = none
-	PrefixTokens float64
-	PromptTokens float64
-	MaxOut       float64
-	Remaining    float64 // ms that the client waits for the first token
-	Retry        bool
+// RequestInfo is what the decisions need to know about a request.
+type RequestInfo struct {
+	ID              RequestID
+	Class           string
+	Tenant          string
+	Session         uint64
+	Prefix          uint64 // the beginning shared with other sessions; 0 = none
+	PrefixTokens    float64
+	PromptTokens    float64
+	MaxOutputTokens float64
+	Remaining       float64 // ms that the client waits for the first token
+	Retry           bool
 }
 
-// StepKind tells what is to be done for a request.
+// StepKind tells what to do next for a request.
 type StepKind int
 
 // The kinds of steps.
@@ -46,7 +46,7 @@
 	StepRelease                     // only let go of what is held, then call Next
 	StepRefuse                      // final: trying again does no harm
 	StepFail                        // final: promises nothing
-	StepOver                        // nothing is owed any more
+	StepDone                        // nothing is owed any more
 )
 
 // Step is the next thing to do for a request.
@@ -55,23 +55,23 @@
 	Release bool // first let go of all that is held for the request
 
 	// With StepSend:
-	Attempt int
-	Engine  Server
-	Reads   bool            // Engine is a reader: it answers with a read state
-	Once    bool            // it may have an effect, and may then not be sent again
-	Timeout float64         // ms to wait for the first token
-	Until   float64         // ms of the clock, from when on it may not be written any more: repeats are dropped for so long; 0 = at any time
-	Context context.Context // ends when the attempt is called off or the client leaves
-	Place   Server          // a writer to ask ahead for a place; no ID = none
+	Attempt       int
+	Engine        Server
+	Prefill       bool            // Engine is a reader: it answers with a read state
+	NonRepeatable bool            // it may have an effect, and may then not be sent again
+	Timeout       float64         // ms to wait for the first token
+	SendBefore    float64         // ms of the clock, from when on it may not be written any more: repeats are dropped for so long; 0 = at any time
+	Context       context.Context // ends when the attempt is called off or the client leaves
+	ReserveAt     Server          // a writer to ask ahead for a place; no ID = none
 
 	RetryAfter float64 // with StepRefuse: ms to stay away, 0 = no advice
-	Why        Why     // with StepRefuse and StepFail
+	Reason     Reason  // with StepRefuse and StepFail
 }
 
 // Result tells how an attempt ended.
 type Result struct {
 	Status Status
-	Note   float64 // kept tokens, or 1 with TurnedAway: no state to fetch
+	Detail float64 // kept tokens, or 1 with TurnedAway: no state to fetch
 	Report Report
 }
 
@@ -99,22 +99,22 @@
 	}, nil
 }
 
-// Update tells the router of news of the server list.
-func (t *Router) Update(form ListForm, list []Server) {
+// Update applies a membership update.
+func (t *Router) Update(form MembershipForm, list []Server) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.handle(Members{Form: form, Entries: list})
+	t.handle(MembershipUpdate{Form: form, Entries: list})
 }
 
-// EndBy tells that this node ends: by that time, in ms of the clock, each request must have
-// its answer, or its answer must have begun. No attempt is made for longer.
-func (t *Router) EndBy(at float64) {
+// ShutdownBy announces that this node shuts down. By the deadline, in ms of the clock, each request
+// is answered or its answer has started; no attempt gets a later timeout.
+func (t *Router) ShutdownBy(at float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.handle(Ending{At: duration(at)})
+	t.handle(Shutdown{Deadline: duration(at)})
 }
 
-// Accepts tells whether a server may be sent new work at this moment.
+// Accepts tells whether a server may get new work at this moment.
 func (t *Router) Accepts(id ServerID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -122,8 +122,8 @@
 	return v != nil && v.listed
 }
 
-// HeardAt is when a server last sent anything back to this node, in ms of the clock; 0 = not yet.
-func (t *Router) HeardAt(id ServerID) float64 {
+// LastResponseAt returns when a server last sent anything to this node, in ms of the clock; 0 = never.
+func (t *Router) LastResponseAt(id ServerID) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if v := t.sched.servers[id]; v != nil {
@@ -132,22 +132,22 @@
 	return 0
 }
 
-// Share says how many processes, this one among them, count as one node to the rules:
-// each keeps to its part of what cold servers may be sent.
+// Share sets how many processes, including this one, count as one node. Each of them uses
+// its part of the node's slow-start budget only.
 func (t *Router) Share(processes int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sched.copies = float64(max(processes, 1))
 }
 
-// Engines counts the servers in the list, draining ones too, and those of them that the
-// decisions avoid at this moment.
-func (t *Router) Engines() (listed, avoided int) {
+// CountEngines counts the servers in the membership, including draining ones, and those of
+// them that get no ordinary work at this moment.
+func (t *Router) CountEngines() (listed, avoided int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sched.now = max(t.sched.now, t.now())
 	for _, v := range t.sched.order {
-		if v.State != StateOff {
+		if v.State != StateRemoved {
 			listed++
 		}
 		if t.sched.avoided(v) {
@@ -157,12 +157,12 @@
 	return listed, avoided
 }
 
-// Pause is the ms for which a refused client is told to stay away; 0 = no advice.
-func (t *Router) Pause() float64 { return millis(t.sched.set.Limits.MaxRetryAfter) }
+// RetryAfter returns the ms after which a refused client is told to try again; 0 = no advice.
+func (t *Router) RetryAfter() float64 { return millis(t.sched.set.Limits.MaxRetryAfter) }
 
-// Pick takes in a request and waits for its first step. When ctx ends, the
-// client has left. What it answers with StepSend is owed a Report.
-func (t *Router) Pick(ctx context.Context, c Call) (Step, error) {
+// Pick admits a request and waits for its first step. The end of ctx means that the client
+// has left. After a StepSend, the caller must call ReportResult.
+func (t *Router) Pick(ctx context.Context, c RequestInfo) (Step, error) {
 	f, err := t.take(ctx, c)
 	if err != nil {
 		return Step{}, err
@@ -170,7 +170,7 @@
 	return t.wait(c.ID, f), nil
 }
 
-func (t *Router) take(ctx context.Context, c Call) (*flight, error) {
+func (t *Router) take(ctx context.Context, c RequestInfo) (*flight, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
@@ -186,17 +186,17 @@
 	}
 	t.handle(Request{
 		ID: c.ID, Class: c.Class, Tenant: c.Tenant, Session: c.Session, Prefix: c.Prefix,
-		PrefixTokens: c.PrefixTokens, PromptTokens: c.PromptTokens, MaxOut: c.MaxOut,
+		PrefixTokens: c.PrefixTokens, PromptTokens: c.PromptTokens, MaxOutputTokens: c.MaxOutputTokens,
 		TimeLeft: duration(c.Remaining), Retry: c.Retry,
 	})
 	return f, nil
 }
 
-// Report tells how an attempt ended and waits for the request's next step.
-func (t *Router) Report(id RequestID, attempt int, res Result) Step {
+// ReportResult reports how an attempt ended and waits for the request's next step.
+func (t *Router) ReportResult(id RequestID, attempt int, res Result) Step {
 	f := t.ended(id, attempt, res)
 	if f == nil {
-		return Step{Kind: StepOver}
+		return Step{Kind: StepDone}
 	}
 	return t.wait(id, f)
 }
@@ -211,9 +211,9 @@
 	t.leave(id, f) // the module hears that the client has left before it plans on
 	f.out--
 	f.cancel[attempt]()
-	f.over = f.over || res.Status == Served
+	f.over = f.over || res.Status == StatusServed
 	t.handle(Outcome{
-		ID: id, Attempt: attempt, Server: t.engine(id, attempt), Status: res.Status, Done: f.over, Note: res.Note,
+		ID: id, Attempt: attempt, Server: t.engine(id, attempt), Status: res.Status, RequestDone: f.over, Detail: res.Detail,
 		Latency: duration(t.clock.Now() - f.sent[attempt]), Report: res.Report,
 	})
 	return f
@@ -223,7 +223,7 @@
 func (t *Router) Next(id RequestID) Step {
 	f := t.flight(id)
 	if f == nil {
-		return Step{Kind: StepOver}
+		return Step{Kind: StepDone}
 	}
 	return t.wait(id, f)
 }
@@ -234,9 +234,9 @@
 	return t.flights[id]
 }
 
-// Begun tells that an attempt's answer has begun. From then on it belongs to
-// the client; false means that the client has left before.
-func (t *Router) Begun(id RequestID, attempt int) bool {
+// AnswerStarted reports that an attempt's answer has started. From then on the answer is passed
+// on to the client; false means that the client has already left or has a final answer.
+func (t *Router) AnswerStarted(id RequestID, attempt int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f := t.flights[id]
@@ -248,17 +248,18 @@
 		return false
 	}
 	f.over = true
-	t.handle(First{
+	t.handle(AnswerStarted{
 		ID: id, Attempt: attempt, Server: t.engine(id, attempt), Latency: duration(t.clock.Now() - f.sent[attempt]),
 	})
 	return true
 }
 
-// Stopped tells whether an answer that has brought nothing since a time will not
-// go on, so that it is to be ended as broken. Others is when an answer of its engine
-// last went on. First says that it has brought one event alone. Ask says that a probe of
-// its engine would tell. The answer may be one that another process has begun.
-func (t *Router) Stopped(id RequestID, attempt int, engine ServerID, since, others float64, first bool) (over, ask bool) {
+// AnswerStalled tells whether a started answer that has been silent since silentSince will not
+// go on, so that it is to be ended as broken. othersProgressAt is when any answer of its engine
+// last made progress, and oneEvent that this one has brought a single event. The result probe
+// asks for a probe of the engine, whose report would decide. The answer may have been started
+// by another process.
+func (t *Router) AnswerStalled(id RequestID, attempt int, engine ServerID, since, others float64, first bool) (over, ask bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sched.now = max(t.sched.now, t.now())
@@ -269,29 +270,29 @@
 	return t.sched.stopped(t.sched.reqs[id], attempt, v, duration(since), duration(others), first)
 }
 
-// Place tells whether a place asked for ahead is held, and gives the writer
+// ReportReservation reports whether a reservation is held, and returns the decode engine
 // to ask next, if any.
-func (t *Router) Place(id RequestID, attempt int, engine ServerID, held bool) (next Server, ok bool) {
+func (t *Router) ReportReservation(id RequestID, attempt int, engine ServerID, held bool) (next Server, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f := t.flights[id]
 	if f == nil || f.over || attempt != len(f.sent)-1 || f.out == 0 {
 		return Server{}, false
 	}
-	t.handle(PlaceNote{ID: id, Attempt: attempt, Server: engine, Held: held})
+	t.handle(ReservationResult{ID: id, Attempt: attempt, Server: engine, Held: held})
 	next, f.place = f.place, Server{}
 	return next, next.ID != ""
 }
 
-// Probed tells how a probe ended.
-func (t *Router) Probed(engine ServerID, status Status, report Report) {
+// ReportProbeResult reports how a probe ended.
+func (t *Router) ReportProbeResult(engine ServerID, status Status, report Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.handle(Probed{Server: engine, Status: status, Report: report})
+	t.handle(ProbeResult{Server: engine, Status: status, Report: report})
 }
 
-// Tick runs the timers that are due and tells in how many milliseconds the
-// next one is, +Inf without any.
+// Tick runs the timers that have expired and returns the milliseconds until the next
+// one, +Inf without any.
 func (t *Router) Tick() (next float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -300,12 +301,12 @@
 		if left := t.timers[0].At - now; left > 0 {
 			return float64(left) / float64(time.Millisecond)
 		}
-		t.handle(Timer{heap.Pop(&t.timers).(SetTimer).Token})
+		t.handle(TimerFired{heap.Pop(&t.timers).(SetTimer).Token})
 	}
 	return math.Inf(1)
 }
 
-// Wake gets a value when a Tick is wanted earlier than the last one told.
+// Wake receives a value when Tick has to be called earlier than it last returned.
 func (t *Router) Wake() <-chan struct{} { return t.wake }
 
 func (t *Router) engine(id RequestID, attempt int) ServerID {
--- a/flight.go
+++ b/flight.go
@@ -40,7 +40,7 @@
 	switch {
 	case step.Kind != 0:
 	case f.over:
-		step.Kind = StepOver
+		step.Kind = StepDone
 	case f.release:
 		step.Kind = StepRelease
 	default:
@@ -61,7 +61,7 @@
 		return
 	}
 	f.over = true
-	t.handle(Gone{id})
+	t.handle(ClientDisconnected{id})
 	t.drop(id, f)
 }
 
@@ -74,20 +74,20 @@
 	}
 	f.out--
 	f.cancel[step.Attempt]()
-	t.handle(Outcome{ID: id, Attempt: step.Attempt, Server: step.Engine.ID, Status: NotSent, Done: true})
+	t.handle(Outcome{ID: id, Attempt: step.Attempt, Server: step.Engine.ID, Status: StatusNotSent, RequestDone: true})
 }
 
 // handle puts an event to the module and turns its actions into steps.
 func (t *Router) handle(e Event) {
 	for _, a := range t.sched.Handle(t.now(), e, nil) {
 		switch a := a.(type) {
-		case Attempt:
+		case Send:
 			t.send(a)
-		case Ahead:
+		case Reserve:
 			if f := t.flights[a.ID]; f != nil {
 				place := t.sched.servers[a.Server].Server
 				if f.step.Kind == StepSend {
-					f.step.Place = place
+					f.step.ReserveAt = place
 				} else {
 					f.place = place
 				}
@@ -102,9 +102,9 @@
 				f.cancel[a.Attempt]()
 			}
 		case Refuse:
-			t.final(a.ID, Step{Kind: StepRefuse, RetryAfter: millis(a.RetryAfter), Why: a.Why})
+			t.final(a.ID, Step{Kind: StepRefuse, RetryAfter: millis(a.RetryAfter), Reason: a.Reason})
 		case Fail:
-			t.final(a.ID, Step{Kind: StepFail, Why: a.Why})
+			t.final(a.ID, Step{Kind: StepFail, Reason: a.Reason})
 		case SetTimer:
 			heap.Push(&t.timers, a)
 			if t.timers[0] == a {
@@ -119,17 +119,17 @@
 	}
 }
 
-func (t *Router) send(a Attempt) {
+func (t *Router) send(a Send) {
 	f := t.flights[a.ID]
 	ctx, cancel := context.WithCancel(f.ctx)
 	v := t.sched.servers[a.Server]
 	r := t.sched.reqs[a.ID]
 	once, until := v.role != RoleRead && r.class.Effect == SideEffect, 0.0
-	if v.role != RoleRead && r.class.Effect == Token && r.ran != nil {
+	if v.role != RoleRead && r.class.Effect == TokenEffect && r.ran != nil {
 		until = millis(r.ran.sent + r.class.Window)
 	}
 	f.step = Step{
-		Kind: StepSend, Attempt: len(f.sent), Engine: v.Server, Reads: v.role == RoleRead, Once: once, Until: until,
+		Kind: StepSend, Attempt: len(f.sent), Engine: v.Server, Prefill: v.role == RoleRead, NonRepeatable: once, SendBefore: until,
 		Timeout: millis(a.Timeout), Context: ctx,
 	}
 	f.sent, f.cancel, f.out = append(f.sent, t.clock.Now()), append(f.cancel, cancel), f.out+1
--- a/gateway/holds_time_test.go
+++ b/gateway/holds_time_test.go
@@ -214,9 +214,9 @@
 // upon: releases before it take their time.
 func TestServe_TimeToldBehindASlowRelease(t *testing.T) {
 	p := &peer{place: PlaceUnasked, silent: map[ashwood.ServerID]int{"r1": 9, "r2": 9, "w1": 9}, answers: map[ashwood.ServerID][]Answer{
-		"r1": {answer(ashwood.Parsed)}, "w1": {{Result: ashwood.Result{Status: ashwood.TurnedAway, Note: 1}}}}}
+		"r1": {answer(ashwood.StatusPrefilled)}, "w1": {{Result: ashwood.Result{Status: ashwood.StatusRejected, Detail: 1}}}}}
 	in(t, p, func(t *testing.T, g *Gateway) {
-		g.Update(ashwood.ListPatch, []ashwood.Server{{ID: "r2", Kind: "r", State: ashwood.StateOn}})
+		g.Update(ashwood.MembershipDelta, []ashwood.Server{{ID: "r2", Kind: "r", State: ashwood.StateActive}})
 		begun := time.Now()
 		p.before = func(ashwood.Server) { time.Sleep(300 * time.Millisecond) } // as reads take
 		go g.Serve(t.Context(), request("chat"))
@@ -323,16 +323,16 @@
 // leaves the list; r2 turns the request away at 0, 40, 120, 280 and 600 ms, and nothing was told to r1 in between.
 func TestServe_TurnedAwayTakesNothing(t *testing.T) {
 	p := &peer{place: PlaceUnasked, noteFrees: true, answers: map[ashwood.ServerID][]Answer{
-		"r1": {answer(ashwood.ConnectionLost)},
-		"r2": slices.Repeat([]Answer{answer(ashwood.TurnedAway)}, 9),
+		"r1": {answer(ashwood.StatusConnectionLost)},
+		"r2": slices.Repeat([]Answer{answer(ashwood.StatusRejected)}, 9),
 	}}
 	in(t, p, func(t *testing.T, g *Gateway) {
 		p.before = func(v ashwood.Server) {
 			if v.ID == "r2" {
-				g.Update(ashwood.ListPatch, []ashwood.Server{{ID: "r1", Kind: "r", State: ashwood.StateOff}})
+				g.Update(ashwood.MembershipDelta, []ashwood.Server{{ID: "r1", Kind: "r", State: ashwood.StateRemoved}})
 			}
 		}
-		g.Update(ashwood.ListPatch, []ashwood.Server{{ID: "r2", Kind: "r", State: ashwood.StateOn}})
+		g.Update(ashwood.MembershipDelta, []ashwood.Server{{ID: "r2", Kind: "r", State: ashwood.StateActive}})
 		g.Serve(t.Context(), request("chat"))
 		told, calls := 0, p.sends()
 		for slices.Contains(calls, "send r2") && calls[len(calls)-1] != "send r2" { // what comes behind the last is the end's
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -37,13 +37,13 @@
 	case err == nil:
 		s.pieces++
 	case errors.Is(err, io.EOF):
-		s.end(ashwood.Served)
+		s.end(ashwood.StatusServed)
 	case s.ctx.Err() != nil:
-		s.end(ashwood.CalledOff)
+		s.end(ashwood.StatusCancelled)
 		err = ErrClientGone
 	default:
 		s.g.log.Debug("stream broke", "id", s.id, "err", err)
-		s.end(ashwood.ConnectionLost)
+		s.end(ashwood.StatusConnectionLost)
 	}
 	return piece, err
 }
@@ -66,7 +66,7 @@
 		}
 	}
 	look = func() {
-		stopped, ask := s.g.router.Stopped(s.id, s.attempt, s.engine.ID, since, s.pulse.at(), first)
+		stopped, ask := s.g.router.AnswerStalled(s.id, s.attempt, s.engine.ID, since, s.pulse.at(), first)
 		left := stallWait - (s.g.clock.Now() - since)
 		if stopped || left <= 0 {
 			s.cancel(ErrStalled)
@@ -98,7 +98,7 @@
 		return give(v)
 	})
 	if err == nil {
-		s.end(ashwood.CalledOff)
+		s.end(ashwood.StatusCancelled)
 	}
 	return err
 }
@@ -119,7 +119,7 @@
 
 // Close ends the engine's stream if it has not ended.
 func (s *stream) Close() error {
-	s.end(ashwood.CalledOff)
+	s.end(ashwood.StatusCancelled)
 	s.cancel(nil)
 	return s.Stream.Close()
 }
@@ -131,5 +131,5 @@
 	s.ended = true
 	s.g.pulses.leave(s.engine.ID)
 	s.g.log.Debug("end", "id", s.id, "class", s.class, "status", status, "ms", s.g.clock.Now()-s.begun)
-	s.g.router.Report(s.id, s.attempt, ashwood.Result{Status: status, Report: s.Stream.Report()})
+	s.g.router.ReportResult(s.id, s.attempt, ashwood.Result{Status: status, Report: s.Stream.Report()})
 }
--- a/gateway/types.go
+++ b/gateway/types.go
@@ -32,7 +32,7 @@
 
 // Request is a client's try in the form that its front and the transport share.
 type Request struct {
-	ashwood.Call
+	ashwood.RequestInfo
 	Front  string     // by which it came, for limits
 	Client netip.Addr // of the client, for limits; zero = not known
 	Method string
@@ -85,9 +85,9 @@
 type Reply struct {
 	Kind       Kind
 	Stream     Stream
-	RetryAfter float64     // ms, with Refused; 0 = no advice
-	Why        ashwood.Why // with Refused and Failed
-	Err        error       // of the last attempt, where an engine gave one
+	RetryAfter float64        // ms, with Refused; 0 = no advice
+	Why        ashwood.Reason // with Refused and Failed
+	Err        error          // of the last attempt, where an engine gave one
 }
 
 // Stream is an answer on its way. It is used by one goroutine.
--- a/gateway/window_test.go
+++ b/gateway/window_test.go
@@ -16,8 +16,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			writes := 0
 			p := &peer{place: PlaceRefused, answers: map[ashwood.ServerID][]Answer{
-				"r1": {answer(ashwood.Parsed), answer(ashwood.Parsed), answer(ashwood.Parsed)},
-				"w1": {answer(ashwood.ConnectionLost)}, "w2": {answer(ashwood.ConnectionLost)}}}
+				"r1": {answer(ashwood.StatusPrefilled), answer(ashwood.StatusPrefilled), answer(ashwood.StatusPrefilled)},
+				"w1": {answer(ashwood.StatusConnectionLost)}, "w2": {answer(ashwood.StatusConnectionLost)}}}
 			p.before = func(v ashwood.Server) {
 				if v.Kind == "w" {
 					if writes++; writes == 2 {
@@ -27,7 +27,7 @@
 				}
 			}
 			g := startAt(t, p, SystemClock())
-			g.Update(ashwood.ListPatch, []ashwood.Server{{ID: "w2", Kind: "w", State: ashwood.StateOn}})
+			g.Update(ashwood.MembershipDelta, []ashwood.Server{{ID: "w2", Kind: "w", State: ashwood.StateActive}})
 			r := serve(t, g, t.Context(), "quote")
 			if r.Kind != want || writes != 2 {
 				t.Errorf("%v ms late: %v after %d writes, want %v", int(late), r.Kind, writes, want)
--- a/health.go
+++ b/health.go
@@ -86,19 +86,19 @@
 // avoided tells of a server in the list that the ordinary path leaves out at this moment: it
 // drains, is ejected or its zone is, or it turned something away of late.
 func (s *Scheduler) avoided(v *server) bool {
-	return v.State != StateOff && (!v.listed || !s.trusted(v) || s.now < v.pausedUntil)
+	return v.State != StateRemoved && (!v.listed || !s.trusted(v) || s.now < v.pausedUntil)
 }
 
 // inSlowStart tells whether a server may still be warming up.
 func (s *Scheduler) inSlowStart(v *server) bool {
-	return v.Started > 0 && s.now-v.Started < s.set.Rules.ColdTime
+	return v.Started > 0 && s.now-v.Started < s.set.Rules.SlowStartDuration
 }
 
 // slowStartAllows keeps rule 4: this node's part of what a cold server can take, from
 // what warm ones finish. Under one request a window it is one in so many
 // windows, the first at a time drawn by seed, so that the sum keeps to it.
 func (s *Scheduler) slowStartAllows(v *server, r *request) bool {
-	if !s.inSlowStart(v) || s.set.Rules.FallMultiple == 0 {
+	if !s.inSlowStart(v) || s.set.Rules.SlowStartMultiple == 0 {
 		return true
 	}
 	if s.set.Nodes > manyNodes {
@@ -106,15 +106,17 @@
 	}
 	rules, cost := s.set.Rules, max(s.cost[r.class], 1)
 	each, _ := s.mean(v.role, func(o *server) (float64, bool) {
-		return o.done.Add(s.now, rules.FallWindow, 0), !s.inSlowStart(o)
+		return o.done.Add(s.now, rules.SlowStartWindow, 0), !s.inSlowStart(o)
 	})
-	budget, nodes := each*rules.FallWindow.Seconds()*rules.FallMultiple*rules.ColdFrom, float64(s.set.Nodes)
+	budget, nodes := each*rules.SlowStartWindow.Seconds()*rules.SlowStartMultiple*
+		rules.SlowStartCapacity, float64(s.set.Nodes)
 	k := max(budget*nodes/cost, 1) // of all nodes; their draws may by chance fall together, by three deviations
 	part := min(slowStartMargin, 1-s.crowd+math.Pow(math.Sqrt(9+4*k)-3, 2)/4/k)
 	budget = max(budget*part, cost*max(1/nodes, math.Pow(1-s.crowd, 2))) / s.copies // many nodes share one
-	span := time.Duration(float64(rules.FallWindow) * max(1, cost/budget))
+	span := time.Duration(float64(rules.SlowStartWindow) * max(1, cost/budget))
 	sent := cost + v.sends.Within(s.now, span)
-	return sent <= max(budget, cost) && s.now-v.since >= time.Duration(v.phase*float64(span-rules.FallWindow))
+	return sent <= max(budget, cost) && s.now-v.since >=
+		time.Duration(v.phase*float64(span-rules.SlowStartWindow))
 }
 
 // creditSlowStart hands out sends to servers in slow start, where many nodes share their budget,
@@ -124,7 +126,7 @@
 func (s *Scheduler) creditSlowStart(done *server) {
 	for _, v := range s.order {
 		if v.role == done.role && s.inSlowStart(v) && !s.inSlowStart(done) {
-			v.credit.Earn(s.set.Rules.FallMultiple * s.set.Rules.ColdFrom / max(s.warm(done.role), 1))
+			v.credit.Earn(s.set.Rules.SlowStartMultiple * s.set.Rules.SlowStartCapacity / max(s.warm(done.role), 1))
 		}
 	}
 }
@@ -143,9 +145,10 @@
 	rules := s.set.Rules
 	_, readers := s.mean(RoleRead, func(*server) (float64, bool) { return 0, true })
 	requests := s.coming.Add(s.now, time.Second, 0) / max(s.prompt, 1) * float64(s.set.Nodes)
-	n := rules.FallMultiple * rules.ColdFrom * requests * rules.FallWindow.Seconds() / max(readers, 1)
+	n := rules.SlowStartMultiple * rules.SlowStartCapacity *
+		requests * rules.SlowStartWindow.Seconds() / max(readers, 1)
 	for _, v := range s.order {
-		windows := float64(v.credit.Elapsed(s.now)) / float64(rules.FallWindow)
+		windows := float64(v.credit.Elapsed(s.now)) / float64(rules.SlowStartWindow)
 		if s.inSlowStart(v) && (v.role == RoleRead || s.warm(v.role) == 0) {
 			v.credit.Earn(windows * chanceShare * (math.Sqrt(n) + 1) / float64(s.set.Nodes) / s.copies)
 		}
--- a/health_test.go
+++ b/health_test.go
@@ -41,7 +41,7 @@
 		n.sentTo("r1")
 	}
 	for i := range 7 {
-		n.end(fmt.Sprint(i), 0, "r1", TurnedAway)
+		n.end(fmt.Sprint(i), 0, "r1", StatusRejected)
 		pauses[n.s.servers["r1"].pausedUntil-n.now] = true
 	}
 	if len(pauses) != 1 || pauses[0] {
@@ -66,7 +66,7 @@
 	}
 	for i := uint64(0); i < 20; i++ {
 		n.ask(fmt.Sprint(i), i, 0)
-		if a, _ := pick[Attempt](n); a.Server == "r1" {
+		if a, _ := pick[Send](n); a.Server == "r1" {
 			t.Fatal("an ejected server was sent a request")
 		}
 	}
@@ -74,10 +74,10 @@
 	n.ask("trial", 100, 0)
 	n.sentTo("r1")
 	n.ask("next", 101, 0)
-	if a, _ := pick[Attempt](n); a.Server == "r1" {
+	if a, _ := pick[Send](n); a.Server == "r1" {
 		t.Fatal("more than a single trial")
 	}
-	n.end("trial", 0, "r1", Parsed)
+	n.end("trial", 0, "r1", StatusPrefilled)
 	if n.s.servers["r1"].ejected {
 		t.Error("not readmitted after its trial")
 	}
@@ -135,7 +135,7 @@
 		home := 0
 		for key := range uint64(20) {
 			set, list := settings(), []Server{reader("own")}
-			set.Nodes, set.Ahead = tt.nodes, false
+			set.Nodes, set.Reservations = tt.nodes, false
 			for i := range 20 {
 				far := reader(fmt.Sprint("far", i))
 				far.Zone = "b"
@@ -147,12 +147,12 @@
 			}
 			n.s.servers["own"].report = Report{ReportInFlight: 10}
 			n.ask("q", key+1, key+1)
-			a, _ := pick[Attempt](n)
+			a, _ := pick[Send](n)
 			if a.Server == "own" {
 				t.Errorf("%d nodes: sent to the busy reader", tt.nodes)
 			}
-			n.do(Outcome{ID: "q", Server: a.Server, Status: NoConnection, Latency: tt.latency})
-			if a, _ := pick[Attempt](n); a.Server == "own" {
+			n.do(Outcome{ID: "q", Server: a.Server, Status: StatusConnectFailed, Latency: tt.latency})
+			if a, _ := pick[Send](n); a.Server == "own" {
 				home++
 			}
 		}
@@ -168,7 +168,7 @@
 	for _, busy := range []bool{false, true} {
 		n := newNode(t, settings(), reader("r1"), reader("r2"), writer("w1", 0))
 		n.ask("a", 1, 0)
-		a, _ := pick[Attempt](n)
+		a, _ := pick[Send](n)
 		v := n.s.servers[a.Server]
 		for i := 0; i < 2; i++ {
 			n.now += 500 * ms
@@ -205,16 +205,16 @@
 			n.do(Request{ID: RequestID(id), Class: tt.class, PromptTokens: 320, TimeLeft: 5 * time.Second})
 			n.sentTo("r1")
 			if tt.writes {
-				n.end(id, 0, "r1", Parsed)
+				n.end(id, 0, "r1", StatusPrefilled)
 				n.sentTo("w1")
 			}
 			n.now += ms
 		}
 		answer := func(id string) {
 			if tt.writes {
-				n.do(First{ID: RequestID(id), Attempt: 1, Server: "w1", Latency: 50 * ms})
+				n.do(AnswerStarted{ID: RequestID(id), Attempt: 1, Server: "w1", Latency: 50 * ms})
 			} else {
-				n.end(id, 0, "r1", Parsed)
+				n.end(id, 0, "r1", StatusPrefilled)
 			}
 		}
 		if !tt.later {
@@ -245,7 +245,7 @@
 		n.s.pace[writing].Observe(n.now, 50*ms, 320)
 		for i, id := range []string{"a", "b", "c"} {
 			n.ask(id, uint64(i), 0)
-			n.end(id, 0, "r1", Parsed)
+			n.end(id, 0, "r1", StatusPrefilled)
 		}
 		out := func(id string) *attempt { return n.s.reqs[RequestID(id)].attempts[1] }
 		if out("a").srv == out("b").srv || out("b").srv == out("c").srv || out("a").srv == out("c").srv {
--- a/homes_test.go
+++ b/homes_test.go
@@ -81,7 +81,7 @@
 			asked := 0
 			n.ask("q", 1, 7)
 			for range 3 {
-				if _, sent := pick[Attempt](n); sent {
+				if _, sent := pick[Send](n); sent {
 					break
 				}
 				var timer SetTimer
@@ -98,12 +98,12 @@
 					}
 				}
 				for _, id := range answered {
-					n.do(Probed{Server: id, Status: Served, Report: Report{ReportInFlight: 0, ReportQueue: 0}})
+					n.do(ProbeResult{Server: id, Status: StatusServed, Report: Report{ReportInFlight: 0, ReportQueue: 0}})
 				}
 				n.now = timer.At
-				n.do(Timer{timer.Token})
+				n.do(TimerFired{timer.Token})
 			}
-			attempt, sent := pick[Attempt](n)
+			attempt, sent := pick[Send](n)
 			if !sent || silent[attempt.Server] != tt.slow || asked == 0 {
 				t.Errorf("sent to %q (%v), asked %d, silent %v", attempt.Server, sent, asked, silent)
 			}
--- a/internal/grpcfront/boxes.go
+++ b/internal/grpcfront/boxes.go
@@ -273,9 +273,9 @@
 	}
 	c, err := b.open(ctx, a.Engine, method, &frame{a.Body}, a.Ready, remaining)
 	if err != nil {
-		st := ashwood.NoConnection
+		st := ashwood.StatusConnectFailed
 		if ctx.Err() != nil || errors.Is(err, errNotReady) {
-			st = ashwood.NotSent
+			st = ashwood.StatusNotSent
 		}
 		return gateway.Answer{Result: ashwood.Result{Status: st}, Err: err}
 	}
@@ -288,7 +288,7 @@
 		return c.unserved(a.Engine.ID, err)
 	}
 	return gateway.Answer{
-		Result: ashwood.Result{Status: ashwood.Served}, Stream: &stream{call: c, box: a.Engine.ID, first: first},
+		Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: &stream{call: c, box: a.Engine.ID, first: first},
 	}
 }
 
@@ -345,13 +345,13 @@
 func (b *Boxes) Probe(ctx context.Context, box ashwood.Server) (ashwood.Status, ashwood.Report) {
 	c, err := b.open(ctx, box, ashwoodpb.Box_Load_FullMethodName, &ashwoodpb.LoadRequest{}, always)
 	if err != nil {
-		return ashwood.NoConnection, nil
+		return ashwood.StatusConnectFailed, nil
 	}
 	if err = c.RecvMsg(&frame{}); err == nil {
 		err = c.RecvMsg(&frame{})
 	}
 	if !errors.Is(err, io.EOF) {
-		return ashwood.ServerError, c.report()
+		return ashwood.StatusServerError, c.report()
 	}
-	return ashwood.Served, c.report()
+	return ashwood.StatusServed, c.report()
 }
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -31,13 +31,13 @@
 		return a
 	})
 	type news struct {
-		Form  ashwood.ListForm
+		Form  ashwood.MembershipForm
 		State ashwood.ServerState
 	}
 	told := make(chan news, 9)
 	var logged bytes.Buffer
 	d := NewDiscovery(peer.Address, clock.System(), slog.New(slog.NewTextHandler(&logged, nil)))
-	update := func(f ashwood.ListForm, l []ashwood.Server) {
+	update := func(f ashwood.MembershipForm, l []ashwood.Server) {
 		told <- news{f, l[0].State}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -50,7 +50,7 @@
 		target, _, _ := strings.Cut(<-asked, "&hold_ms=")
 		targets = append(targets, target)
 	}
-	want := []news{{ashwood.ListPatch, ashwood.StateFading}, {ashwood.ListWhole, ashwood.StateOn}}
+	want := []news{{ashwood.MembershipDelta, ashwood.StateDraining}, {ashwood.MembershipSnapshot, ashwood.StateActive}}
 	const from = "/api/targets?from="
 	if diff := cmp.Diff(want, got) + cmp.Diff([]string{from + "0", from + "0", from + "7", from + "7", from + "7", from + "9"}, targets); diff != "" {
 		t.Error(diff)
@@ -86,7 +86,7 @@
 	old, next := peer("old", list("a")), peer("new", list("b"))
 	told := make(chan ashwood.ServerID, 9)
 	d := NewDiscovery(old.Address, clock.System(), slog.New(slog.DiscardHandler))
-	update := func(_ ashwood.ListForm, l []ashwood.Server) {
+	update := func(_ ashwood.MembershipForm, l []ashwood.Server) {
 		told <- l[0].ID
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -130,14 +130,14 @@
 	})
 	told := make(chan ashwood.ServerState, 99)
 	d := NewDiscovery(peer.Address, clock.System(), slog.New(slog.DiscardHandler))
-	update := func(_ ashwood.ListForm, l []ashwood.Server) {
+	update := func(_ ashwood.MembershipForm, l []ashwood.Server) {
 		told <- l[0].State
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d.Known(7)
 	go d.Run(ctx, update)
-	if got := <-told; got != ashwood.StateFading {
+	if got := <-told; got != ashwood.StateDraining {
 		t.Errorf("told of state %v", got)
 	}
 }
@@ -185,7 +185,7 @@
 			d.Share(tt.processes)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			go d.Run(ctx, func(ashwood.ListForm, []ashwood.Server) {})
+			go d.Run(ctx, func(ashwood.MembershipForm, []ashwood.Server) {})
 			for n, most := range tt.most {
 				wait := <-c.waits
 				if n == 0 {
--- a/internal/platform/engines.go
+++ b/internal/platform/engines.go
@@ -228,7 +228,7 @@
 			s.abandon()
 			return failed(ctx, true, err)
 		}
-		res.Status = ashwood.Served
+		res.Status = ashwood.StatusServed
 		return gateway.Answer{Result: res, Stream: s}
 	}
 	body, err := e.drain(ctx, c, &head, e.pool.abandon)
@@ -241,27 +241,27 @@
 		if err == nil {
 			err = json.Unmarshal(body, &kept)
 		}
-		res.Status, res.Note = ashwood.Parsed, kept.Tokens
+		res.Status, res.Detail = ashwood.StatusPrefilled, kept.Tokens
 		return gateway.Answer{Result: res, Err: err}
 	case away && (code == fasthttp.StatusServiceUnavailable || code == fasthttp.StatusGatewayTimeout):
-		res.Status = ashwood.TurnedAway
+		res.Status = ashwood.StatusRejected
 	case away && code == fasthttp.StatusGone:
-		res.Status, res.Note = ashwood.TurnedAway, 1
+		res.Status, res.Detail = ashwood.StatusRejected, 1
 	default:
-		res.Status = ashwood.ServerError
+		res.Status = ashwood.StatusServerError
 	}
 	return gateway.Answer{Result: res, Err: fmt.Errorf("platform: %s answered %d", a.Engine.ID, code)}
 }
 
 // failed tells what an attempt without an answer proves.
 func failed(ctx context.Context, wrote bool, err error) gateway.Answer {
-	st := ashwood.ConnectionLost
+	st := ashwood.StatusConnectionLost
 	switch {
 	case wrote:
 	case ctx.Err() != nil, errors.Is(err, errNotReady), isLocal(err):
-		st = ashwood.NotSent
+		st = ashwood.StatusNotSent
 	default:
-		st = ashwood.NoConnection
+		st = ashwood.StatusConnectFailed
 	}
 	return gateway.Answer{Result: ashwood.Result{Status: st}, Err: fmt.Errorf("platform: no answer: %w", err)}
 }
@@ -360,7 +360,7 @@
 		report = wire.ParseReport(string(body))
 	}
 	if head.StatusCode() != fasthttp.StatusOK {
-		return ashwood.ServerError, report
+		return ashwood.StatusServerError, report
 	}
-	return ashwood.Served, report
+	return ashwood.StatusServed, report
 }
--- a/internal/platform/engines_test.go
+++ b/internal/platform/engines_test.go
@@ -146,17 +146,17 @@
 		err   error
 		want  ashwood.Status
 	}{
-		{live, true, io.EOF, ashwood.ConnectionLost},
-		{ended, true, context.Canceled, ashwood.ConnectionLost},
-		{live, false, io.ErrShortWrite, ashwood.NoConnection},
-		{ended, false, io.ErrShortWrite, ashwood.NotSent},
-		{live, false, errNotReady, ashwood.NotSent},
-		{live, false, errTooMany, ashwood.NotSent},
-		{live, false, dialError(syscall.ECONNREFUSED), ashwood.NoConnection},
-		{live, false, dialError(syscall.EMFILE), ashwood.NotSent}, // this machine's, which says nothing of the engine
-		{live, false, dialError(syscall.EADDRNOTAVAIL), ashwood.NotSent},
-		{live, false, dialError(syscall.ENETUNREACH), ashwood.NotSent},
-		{live, true, dialError(syscall.ENOBUFS), ashwood.ConnectionLost},
+		{live, true, io.EOF, ashwood.StatusConnectionLost},
+		{ended, true, context.Canceled, ashwood.StatusConnectionLost},
+		{live, false, io.ErrShortWrite, ashwood.StatusConnectFailed},
+		{ended, false, io.ErrShortWrite, ashwood.StatusNotSent},
+		{live, false, errNotReady, ashwood.StatusNotSent},
+		{live, false, errTooMany, ashwood.StatusNotSent},
+		{live, false, dialError(syscall.ECONNREFUSED), ashwood.StatusConnectFailed},
+		{live, false, dialError(syscall.EMFILE), ashwood.StatusNotSent}, // this machine's, which says nothing of the engine
+		{live, false, dialError(syscall.EADDRNOTAVAIL), ashwood.StatusNotSent},
+		{live, false, dialError(syscall.ENETUNREACH), ashwood.StatusNotSent},
+		{live, true, dialError(syscall.ENOBUFS), ashwood.StatusConnectionLost},
 	}
 	for _, tt := range tests {
 		if got := failed(tt.ctx, tt.wrote, tt.err).Status; got != tt.want {
@@ -173,11 +173,11 @@
 		report       ashwood.Report
 	}{
 		{"in the head", "HTTP/1.1 200 OK\r\nX-Pressure: inflight=3,x0=0.5\r\nContent-Length: 0\r\n\r\n",
-			ashwood.Served, ashwood.Report{ashwood.ReportInFlight: 3, ashwood.ReportMemory: 0.5}},
+			ashwood.StatusServed, ashwood.Report{ashwood.ReportInFlight: 3, ashwood.ReportMemory: 0.5}},
 		{"in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("queue=2") + "0\r\n\r\n",
-			ashwood.Served, ashwood.Report{ashwood.ReportQueue: 2}},
-		{"an error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", ashwood.ServerError, nil},
-		{"a reset", "\x00", ashwood.ConnectionLost, nil},
+			ashwood.StatusServed, ashwood.Report{ashwood.ReportQueue: 2}},
+		{"an error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", ashwood.StatusServerError, nil},
+		{"a reset", "\x00", ashwood.StatusConnectionLost, nil},
 	} {
 		v := engine(t, "w1", "writer", func(s seen) string {
 			if s.Method != "GET" || s.Target != loadPath {
@@ -323,14 +323,14 @@
 	for i := range 50 {
 		ctx, cancel := context.WithCancel(context.Background())
 		ans := e.Send(ctx, gateway.Attempt{
-			Request: &gateway.Request{Call: ashwood.Call{ID: ashwood.RequestID(fmt.Sprint(i))}, Method: "POST", Target: "/", Body: []byte("{}")},
+			Request: &gateway.Request{RequestInfo: ashwood.RequestInfo{ID: ashwood.RequestID(fmt.Sprint(i))}, Method: "POST", Target: "/", Body: []byte("{}")},
 			Engine:  writer, Remaining: 1000, Sent: func() {},
 			Ready: func() bool {
 				cancel()
 				return false
 			},
 		})
-		if ans.Status != ashwood.NotSent {
+		if ans.Status != ashwood.StatusNotSent {
 			t.Fatalf("try %d: %v, %v", i, ans.Status, ans.Err)
 		}
 		runtime.Gosched()
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -62,7 +62,7 @@
 			go serve(c)
 		}
 	}()
-	return ashwood.Server{ID: ashwood.ServerID(name), Kind: kind, State: ashwood.StateOn, Address: l.Addr().String()}
+	return ashwood.Server{ID: ashwood.ServerID(name), Kind: kind, State: ashwood.StateActive, Address: l.Addr().String()}
 }
 
 const (
@@ -104,7 +104,7 @@
 		return ashwood.Class{Name: name, Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: e}
 	}
 	return ashwood.Settings{
-		Nodes: 1, Ahead: true, Reports: ashwood.ReportInline,
+		Nodes: 1, Reservations: true, Reports: ashwood.ReportInline,
 		Kinds: []ashwood.Kind{
 			{Name: "reader", Role: ashwood.RoleRead, MemoryTokens: 1e5}, {Name: "writer", Role: ashwood.RoleWrite, MemoryTokens: 1e5}},
 		Classes: []ashwood.Class{class("chat", ashwood.Pure), class("order", ashwood.SideEffect)},
@@ -126,7 +126,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gw.Update(ashwood.ListWhole, list)
+	gw.Update(ashwood.MembershipSnapshot, list)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go gw.Run(ctx)
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -42,7 +42,7 @@
 			}()
 		}
 	}()
-	return ashwood.Server{ID: "r1", Kind: "reader", State: ashwood.StateOn, Address: l.Addr().String()}, got
+	return ashwood.Server{ID: "r1", Kind: "reader", State: ashwood.StateActive, Address: l.Addr().String()}, got
 }
 
 // What a client says of its request reaches the engine as it came: a key by which engines
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gw.Update(ashwood.ListWhole, []ashwood.Server{v})
+	gw.Update(ashwood.MembershipSnapshot, []ashwood.Server{v})
 	go gw.Run(t.Context())
 	host := httptest.NewServer(&NetHTTP{Handler: gw, Log: log})
 	defer host.Close()
@@ -105,7 +105,7 @@
 	if left, err := strconv.ParseFloat(h.Get(headerLeft), 64); err != nil || left > 4.8 || left < 4 {
 		t.Errorf("told %q s of 5, although looks at the clock took at least 0.2", h.Get(headerLeft))
 	}
-	if a := <-answer; a.Status != ashwood.Parsed {
+	if a := <-answer; a.Status != ashwood.StatusPrefilled {
 		t.Errorf("ended as %v, %v", a.Status, a.Err)
 	}
 }
--- a/membership.go
+++ b/membership.go
@@ -21,7 +21,7 @@
 	if s.zones[entry.Zone] == nil {
 		s.zones[entry.Zone] = &health{}
 	}
-	v.Server, v.path, v.listed = entry, s.zones[entry.Zone], entry.State == StateOn
+	v.Server, v.path, v.listed = entry, s.zones[entry.Zone], entry.State == StateActive
 	if kind, known := s.kinds[entry.Kind]; known {
 		v.role, v.memory = kind.Role, max(kind.MemoryTokens, 1)
 	}
--- a/outcomes.go
+++ b/outcomes.go
@@ -7,7 +7,7 @@
 )
 
 // placeNote tries the next roomiest writer once when a place is refused.
-func (s *Scheduler) placeNote(e PlaceNote) {
+func (s *Scheduler) placeNote(e ReservationResult) {
 	r := s.reqs[e.ID]
 	if r == nil || r.done || r.ahead == nil || r.ahead.ID != e.Server {
 		return
@@ -21,7 +21,7 @@
 	}
 }
 
-func (s *Scheduler) first(e First) {
+func (s *Scheduler) first(e AnswerStarted) {
 	r, a := s.find(e.ID, e.Attempt, e.Server)
 	if r == nil || a.begun || !a.write {
 		return
@@ -57,7 +57,8 @@
 	}
 	v := a.srv
 	a.out, r.idle, r.out = false, s.now, r.out-1
-	if e.Status == Served || e.Status == Parsed || e.Status == TurnedAway || e.Status == ServerError {
+	if e.Status == StatusServed || e.Status == StatusPrefilled ||
+		e.Status == StatusRejected || e.Status == StatusServerError {
 		v.hear(s.now)
 	}
 	if !a.begun {
@@ -76,7 +77,7 @@
 		}
 	}
 	switch {
-	case e.Done && !r.done || r.done && !a.begun: // also a read that came in after the end
+	case e.RequestDone && !r.done || r.done && !a.begun: // also a read that came in after the end
 		s.end(r)
 	case r.done:
 		delete(s.reqs, r.ID)
@@ -87,21 +88,21 @@
 
 // result takes in what an outcome tells of its server and its request.
 func (s *Scheduler) result(r *request, a *attempt, e Outcome) {
-	proof := []Status{TurnedAway, NotSent, NoConnection, Parsed} // that it never ran
+	proof := []Status{StatusRejected, StatusNotSent, StatusConnectFailed, StatusPrefilled} // that it never ran
 	if a.write && r.ran == nil && !slices.Contains(proof, e.Status) {
 		r.ran = a
 	}
 	switch e.Status {
-	case Served:
+	case StatusServed:
 		if !a.begun {
 			s.worked(r, a, e.Latency)
 		}
 		a.srv.alive = s.now
-	case Parsed:
+	case StatusPrefilled:
 		s.worked(r, a, e.Latency)
-		s.parsed(r, a, e.Note)
-	case TurnedAway:
-		if a.write && e.Note == 1 {
+		s.parsed(r, a, e.Detail)
+	case StatusRejected:
+		if a.write && e.Detail == 1 {
 			s.releaseHeld(r) // no state to fetch: read again
 			clear(r.tried)
 		} else if e.Latency > r.class.Aim/slowRefusal {
@@ -109,7 +110,7 @@
 		} else {
 			s.pauseSends(a.srv)
 		}
-	case NoConnection:
+	case StatusConnectFailed:
 		if r.held && a.srv == r.ahead { // the state may have moved there: once more
 			r.tried[a.srv], r.held = false, false
 		}
@@ -118,13 +119,14 @@
 		}
 		s.pauseSends(a.srv)
 		s.judge(a.srv, r, false)
-	case ServerError, ConnectionLost:
+	case StatusServerError, StatusConnectionLost:
 		s.judge(a.srv, r, false)
-	case NoAnswer, CalledOff: // a client that leaves a begun answer tells nothing of the wait before it
+	case StatusTimedOut, StatusCancelled:
+		// If a client leaves a started answer, the latency says nothing about the wait before it.
 		if !a.begun && !a.overtaken() {
 			s.pace[a.stage].Observe(s.now, e.Latency, a.queue)
 		}
-		if e.Status == NoAnswer {
+		if e.Status == StatusTimedOut {
 			s.judge(a.srv, r, false)
 		}
 	}
@@ -154,7 +156,7 @@
 	v.pausedUntil = s.now + v.pause
 }
 
-func (s *Scheduler) timer(e Timer) {
+func (s *Scheduler) timer(e TimerFired) {
 	t, ok := s.timers[e.Token]
 	if !ok {
 		return
@@ -227,7 +229,7 @@
 	v, p := a.srv, &s.pace[a.stage]
 	v.pause, v.alive, v.began[a.stage] = 0, s.now, max(v.began[a.stage], a.sent)
 	if !s.inSlowStart(v) { // taken, not sent: a storm of rejects must not swell the cold budget
-		v.done.Add(s.now, s.set.Rules.FallWindow, s.cost[r.class])
+		v.done.Add(s.now, s.set.Rules.SlowStartWindow, s.cost[r.class])
 		s.creditSlowStart(v)
 	}
 	if want := p.Expect(a.queue); want > 0 {
@@ -237,20 +239,20 @@
 	s.judge(v, r, true)
 }
 
-func (s *Scheduler) gone(e Gone) {
+func (s *Scheduler) gone(e ClientDisconnected) {
 	if r := s.reqs[e.ID]; r != nil && !r.done {
 		s.impatience[r.Tenant] += ewma * (max(float64(s.minAim-s.now+r.arrived), 0) - s.impatience[r.Tenant])
 		s.end(r)
 	}
 }
 
-func (s *Scheduler) probed(e Probed) {
+func (s *Scheduler) probed(e ProbeResult) {
 	v := s.servers[e.Server]
 	if v == nil {
 		return
 	}
 	s.signed(v, e.Status)
-	if e.Status == Served {
+	if e.Status == StatusServed {
 		if s.heard(v, e.Report); s.overloaded(v) { // but else it proves nothing about a hang
 			s.pauseSends(v)
 		}
--- a/placement_test.go
+++ b/placement_test.go
@@ -52,8 +52,8 @@
 			a, b := newNode(t, settings(), list...), newNode(t, settings(), list[2], list[0], list[1], list[3])
 			a.ask("x", session, p)
 			b.ask("y", session, p)
-			x, _ := pick[Attempt](a)
-			y, _ := pick[Attempt](b)
+			x, _ := pick[Send](a)
+			y, _ := pick[Send](b)
 			if x.Server != y.Server {
 				t.Fatalf("prefix %d, session %d: %s and %s", p, session, x.Server, y.Server)
 			}
@@ -109,13 +109,13 @@
 	for _, tt := range []struct{ kept, want float64 }{{0, 0}, {320, 320}} {
 		n := newNode(t, settings(), reader("r1"), writer("w1", 0))
 		n.ask("other", 2, 0)
-		n.end("other", 0, "r1", Parsed)
+		n.end("other", 0, "r1", StatusPrefilled)
 		n.ask("a", 1, 0)
-		n.end("a", 0, "r1", Parsed)
+		n.end("a", 0, "r1", StatusPrefilled)
 		n.now += 100 * ms
 		n.ask("b", 1, 0)
 		n.now += 50 * ms
-		n.do(Outcome{ID: "b", Server: "r1", Status: Parsed, Note: tt.kept, Latency: 50 * ms})
+		n.do(Outcome{ID: "b", Server: "r1", Status: StatusPrefilled, Detail: tt.kept, Latency: 50 * ms})
 		other := &request{Request: Request{Session: 2, PromptTokens: 320}}
 		if got, _ := n.s.match(other, n.s.servers["r1"]); got != tt.want {
 			t.Errorf("kept %v: the other session's match is %v, want %v", tt.kept, got, tt.want)
@@ -128,7 +128,7 @@
 	n.ask("a", 1, 0)
 	v := reader("r1")
 	v.Started = n.now
-	n.do(Members{Form: ListPatch, Entries: []Server{v}})
+	n.do(MembershipUpdate{Form: MembershipDelta, Entries: []Server{v}})
 	if got := len(n.s.servers["r1"].runs); got != 0 {
 		t.Errorf("%d blocks left after a restart", got)
 	}
@@ -145,7 +145,7 @@
 	if got := count(v); got != 6 {
 		t.Errorf("count is %v, want 6", got)
 	}
-	n.do(Probed{Server: "r1", Status: Served, Report: Report{ReportInFlight: 9}})
+	n.do(ProbeResult{Server: "r1", Status: StatusServed, Report: Report{ReportInFlight: 9}})
 	if got := count(v); got != 9 {
 		t.Errorf("count is %v, want the reported 9", got)
 	}
@@ -207,14 +207,14 @@
 func TestHolderIsTriedOnceMore(t *testing.T) {
 	n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 0))
 	n.ask("a", 1, 0)
-	place, _ := pick[Ahead](n)
-	n.do(PlaceNote{ID: "a", Server: place.Server, Held: true})
-	n.end("a", 0, "r1", Parsed)
+	place, _ := pick[Reserve](n)
+	n.do(ReservationResult{ID: "a", Server: place.Server, Held: true})
+	n.end("a", 0, "r1", StatusPrefilled)
 	n.sentTo(string(place.Server))
-	n.end("a", 1, string(place.Server), NoConnection)
+	n.end("a", 1, string(place.Server), StatusConnectFailed)
 	n.sentTo(string(place.Server))
-	n.end("a", 2, string(place.Server), NoConnection)
-	if b, _ := pick[Attempt](n); b.Server == place.Server || b.Server == "" {
+	n.end("a", 2, string(place.Server), StatusConnectFailed)
+	if b, _ := pick[Send](n); b.Server == place.Server || b.Server == "" {
 		t.Errorf("then sent to %q", b.Server)
 	}
 }
@@ -223,33 +223,33 @@
 func TestRefusedPlaceTriesTheNextOnce(t *testing.T) {
 	n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 0), writer("w3", 0))
 	n.ask("a", 1, 0)
-	first, _ := pick[Ahead](n)
-	n.do(PlaceNote{ID: "a", Server: first.Server})
-	second, ok := pick[Ahead](n)
+	first, _ := pick[Reserve](n)
+	n.do(ReservationResult{ID: "a", Server: first.Server})
+	second, ok := pick[Reserve](n)
 	if !ok || second.Server == first.Server {
 		t.Fatalf("after %s was refused: %v", first.Server, n.out)
 	}
-	n.do(PlaceNote{ID: "a", Server: second.Server})
-	lacks[Ahead](n)
+	n.do(ReservationResult{ID: "a", Server: second.Server})
+	lacks[Reserve](n)
 }
 
 func TestHolderGetsTheRead(t *testing.T) {
 	n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 0))
 	n.ask("a", 1, 0)
-	p, _ := pick[Ahead](n)
-	n.do(PlaceNote{ID: "a", Server: p.Server, Held: true})
+	p, _ := pick[Reserve](n)
+	n.do(ReservationResult{ID: "a", Server: p.Server, Held: true})
 	n.s.servers[p.Server].held = 90000 // no longer the roomiest
-	n.end("a", 0, "r1", Parsed)
+	n.end("a", 0, "r1", StatusPrefilled)
 	n.sentTo(string(p.Server))
 }
 
 func TestNoPlaceAskedWhereNotAllowed(t *testing.T) {
 	set := settings()
-	set.Ahead = false
+	set.Reservations = false
 	n := newNode(t, set, reader("r1"), writer("w1", 0))
 	n.ask("a", 1, 0)
 	n.sentTo("r1")
-	lacks[Ahead](n)
+	lacks[Reserve](n)
 }
 
 // While states are slow to leave a cell, reads go where a writer of the cell has
@@ -285,7 +285,7 @@
 		n.s.now = n.now
 		n.s.table.Record(n.now, n.s.servers["r1"].runs, known.parts(), true)
 		n.ask("a", 1, 7)
-		if a, _ := pick[Attempt](n); string(a.Server) != tt.want {
+		if a, _ := pick[Send](n); string(a.Server) != tt.want {
 			t.Errorf("%s: sent to %q, want %s", tt.name, a.Server, tt.want)
 		}
 	}
--- a/scheduler.go
+++ b/scheduler.go
@@ -62,20 +62,20 @@
 }
 
 // members follows the server list.
-func (s *Scheduler) members(e Members) {
-	if e.Form == ListBroken && s.set.Subscribe { // by and by, and not all nodes at once
+func (s *Scheduler) members(e MembershipUpdate) {
+	if e.Form == MembershipFailed && s.set.Subscribe { // by and by, and not all nodes at once
 		s.after(time.Duration((0.5+s.rng.Float64()/2)*float64(backoffFirst)), timer{what: watchAgain})
 	}
-	if e.Form == ListWhole || e.Form == ListStale {
+	if e.Form == MembershipSnapshot || e.Form == MembershipStale {
 		for _, v := range s.order {
-			v.listed, v.State = false, StateOff
+			v.listed, v.State = false, StateRemoved
 		}
 	}
 	for _, entry := range e.Entries {
 		s.enter(entry)
 	}
 	slices.SortFunc(s.order, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
-	if e.Form == ListStale && s.set.Subscribe {
+	if e.Form == MembershipStale && s.set.Subscribe {
 		s.act(Watch{})
 	}
 }
@@ -86,7 +86,7 @@
 	}
 	c := s.classes[e.Class]
 	if c == nil {
-		s.act(Refuse{ID: e.ID, RetryAfter: s.set.Limits.MaxRetryAfter, Why: WhyUnknown})
+		s.act(Refuse{ID: e.ID, RetryAfter: s.set.Limits.MaxRetryAfter, Reason: ReasonUnknownClass})
 		return
 	}
 	r := &request{
@@ -104,7 +104,7 @@
 	s.after(r.deadline-s.now, timer{id: e.ID, what: lookAgain})
 	s.creditChance()
 	if r.PromptTokens > s.longest {
-		s.giveUp(r, WhyTooLong)
+		s.giveUp(r, ReasonPromptTooLong)
 		return
 	}
 	s.advance(r)
@@ -115,7 +115,7 @@
 	switch {
 	case r.done || r.out > 0:
 	case s.now >= r.deadline || !s.maySend(r):
-		s.giveUp(r, WhySpent)
+		s.giveUp(r, ReasonExhausted)
 	case r.state != nil:
 		s.toWriter(r)
 	default:
@@ -127,10 +127,10 @@
 func (s *Scheduler) toWriter(r *request) {
 	if w := s.pickWriter(r, r.state); w != nil {
 		s.send(r, w, true)
-	} else if s.now-r.idle < s.set.Rules.Release/2 {
-		s.after(min(retryPause, s.set.Rules.Release/8), timer{id: r.ID, what: lookAgain})
+	} else if s.now-r.idle < s.set.Rules.ReleaseTimeout/2 {
+		s.after(min(retryPause, s.set.Rules.ReleaseTimeout/8), timer{id: r.ID, what: lookAgain})
 	} else {
-		s.giveUp(r, WhyNoWriter)
+		s.giveUp(r, ReasonNoDecodeServer)
 	}
 }
 
@@ -144,7 +144,7 @@
 		}
 	}
 	v, write := s.pickReader(r)
-	why := Why("")
+	why := Reason("")
 	if v != nil && len(r.attempts) == 0 {
 		why = s.refusalBeforeSend(r, v)
 	}
@@ -152,7 +152,7 @@
 	case why != "":
 		s.giveUp(r, why)
 	case v == nil && s.now-r.arrived > r.class.Aim:
-		s.giveUp(r, WhyNoReader)
+		s.giveUp(r, ReasonNoPrefillServer)
 	case v == nil:
 		if r.ahead != nil {
 			s.releaseHeld(r)
@@ -161,7 +161,7 @@
 		s.after(retryPause, timer{id: r.ID, what: lookAgain})
 	default:
 		s.send(r, v, write)
-		if s.set.Ahead && !write && r.ahead == nil {
+		if s.set.Reservations && !write && r.ahead == nil {
 			s.askAhead(r, v)
 		}
 	}
@@ -171,7 +171,7 @@
 // chosen, or for which the writers' reported memory is spoken for (a full writer
 // reads answers anew). All classes answer to the shortest aim, longer for long prompts as
 // the settings say, or the patient would keep queues too long. It may hurt after a slow spell.
-func (s *Scheduler) refusalBeforeSend(r *request, v *server) Why {
+func (s *Scheduler) refusalBeforeSend(r *request, v *server) Reason {
 	least, room, queued, told := math.Inf(1), 0.0, 0.0, false
 	matched, _ := s.match(r, v)
 	wait := s.delay(v, reading, r.PromptTokens-matched)
@@ -199,9 +199,9 @@
 	}
 	switch {
 	case full:
-		return WhyNoRoom
+		return ReasonNoMemory
 	case !math.IsInf(least, 1) && wait+least > limit:
-		return WhyTooLate
+		return ReasonTooLate
 	}
 	return ""
 }
@@ -236,16 +236,16 @@
 	}
 	same := r.class.Group != ScopeZone && r.class.Group != ScopeCell ||
 		r.class.Group == ScopeZone && v.Zone == a.srv.Zone || r.class.Group == ScopeCell && v.Cell == a.srv.Cell
-	return r.class.Effect == Token && same && now-a.sent < r.class.Window
+	return r.class.Effect == TokenEffect && same && now-a.sent < r.class.Window
 }
 
 // giveUp gives the final answer: a refusal where repeating is harmless.
-func (s *Scheduler) giveUp(r *request, why Why) {
+func (s *Scheduler) giveUp(r *request, why Reason) {
 	c := r.class
-	if r.ran == nil || c.Effect == Pure || c.Effect == Token && c.Group == ScopeAll {
-		s.act(Refuse{ID: r.ID, RetryAfter: s.set.Limits.MaxRetryAfter, Why: why})
+	if r.ran == nil || c.Effect == Pure || c.Effect == TokenEffect && c.Group == ScopeAll {
+		s.act(Refuse{ID: r.ID, RetryAfter: s.set.Limits.MaxRetryAfter, Reason: why})
 	} else {
-		s.act(Fail{ID: r.ID, Why: why})
+		s.act(Fail{ID: r.ID, Reason: why})
 	}
 	s.end(r)
 }
@@ -295,7 +295,7 @@
 		v.credit.Spend()
 	}
 	r.attempts, r.out, r.tried[v] = append(r.attempts, a), r.out+1, true
-	s.act(Attempt{ID: r.ID, Server: v.ID, Timeout: r.deadline - s.now})
+	s.act(Send{ID: r.ID, Server: v.ID, Timeout: r.deadline - s.now})
 	s.after(s.limit(r, a), timer{id: r.ID, what: len(r.attempts) - 1})
 	s.watchSign(r, len(r.attempts)-1)
 }
@@ -327,6 +327,6 @@
 	if w := s.pickWriter(r, reader); w != nil && !s.inSlowStart(w) && !w.ejected {
 		r.ahead, r.held = w, false
 		r.asked++
-		s.act(Ahead{r.ID, w.ID})
+		s.act(Reserve{r.ID, w.ID})
 	}
 }
--- a/share_test.go
+++ b/share_test.go
@@ -12,7 +12,7 @@
 	sends := func(processes int) (n int) {
 		set := settings()
 		set.Nodes = 3
-		set.Rules = Rules{FallMultiple: 2.5, FallWindow: time.Second, ColdFrom: 0.31, ColdTime: 12 * time.Second, Release: time.Second}
+		set.Rules = Rules{SlowStartMultiple: 2.5, SlowStartWindow: time.Second, SlowStartCapacity: 0.31, SlowStartDuration: 12 * time.Second, ReleaseTimeout: time.Second}
 		for range processes {
 			r := newNode(t, set, reader("warm"), reader("cold"))
 			r.s.copies = float64(processes)
@@ -51,22 +51,22 @@
 	}
 	want := func(listed, avoided int) {
 		t.Helper()
-		if l, a := r.Engines(); l != listed || a != avoided {
+		if l, a := r.CountEngines(); l != listed || a != avoided {
 			t.Errorf("%d listed, %d avoided, want %d and %d", l, a, listed, avoided)
 		}
 	}
 	want(0, 0)
 	draining := reader("c")
-	draining.State = StateFading
-	r.Update(ListWhole, []Server{reader("a"), reader("b"), draining})
+	draining.State = StateDraining
+	r.Update(MembershipSnapshot, []Server{reader("a"), reader("b"), draining})
 	want(3, 1)
 	r.sched.servers["a"].ejected = true
 	want(3, 2)
 	gone := reader("b")
-	gone.State = StateOff
-	r.Update(ListPatch, []Server{gone})
+	gone.State = StateRemoved
+	r.Update(MembershipDelta, []Server{gone})
 	want(2, 2)
-	r.Update(ListWhole, []Server{reader("b")})
+	r.Update(MembershipSnapshot, []Server{reader("b")})
 	want(1, 0)
 }
 
--- a/silence.go
+++ b/silence.go
@@ -95,7 +95,7 @@
 
 // signed takes in that a server has answered a probe, in whatever way.
 func (s *Scheduler) signed(v *server, status Status) {
-	if status == Served || status == ServerError || status == TurnedAway {
+	if status == StatusServed || status == StatusServerError || status == StatusRejected {
 		v.hear(s.now)
 	}
 }
--- a/silence_test.go
+++ b/silence_test.go
@@ -14,8 +14,8 @@
 	set.Classes[0].Aim = 5 * time.Second // it is not overdue before
 	n = newNode(t, set, reader("r1"), writer("w1", 0), writer("w2", 0), writer("w3", 0))
 	n.do(Request{ID: "a", Class: class, Session: 1, PromptTokens: 320, TimeLeft: 5 * time.Second})
-	n.end("a", 0, "r1", Parsed)
-	a, _ := pick[Attempt](n)
+	n.end("a", 0, "r1", StatusPrefilled)
+	a, _ := pick[Send](n)
 	return n, string(a.Server)
 }
 
@@ -32,7 +32,7 @@
 		if !found {
 			return actions
 		}
-		actions = append(actions, n.do(Timer{next.Token})...)
+		actions = append(actions, n.do(TimerFired{next.Token})...)
 	}
 }
 
@@ -60,8 +60,8 @@
 		if !leaves {
 			continue
 		}
-		n.end("a", 1, w, CalledOff)
-		if a, ok := pick[Attempt](n); !ok || string(a.Server) == w {
+		n.end("a", 1, w, StatusCancelled)
+		if a, ok := pick[Send](n); !ok || string(a.Server) == w {
 			t.Errorf("%s: sent to %q after %s", class, a.Server, w)
 		}
 	}
@@ -71,8 +71,8 @@
 // an answer that this node is too late to know of.
 func TestSilence_NoSilence(t *testing.T) {
 	for name, happens := range map[string]func(n *node, w ServerID){
-		"answered":               func(n *node, w ServerID) { n.do(Probed{Server: w, Status: Served}) },
-		"answered with an error": func(n *node, w ServerID) { n.do(Probed{Server: w, Status: ServerError}) },
+		"answered":               func(n *node, w ServerID) { n.do(ProbeResult{Server: w, Status: StatusServed}) },
+		"answered with an error": func(n *node, w ServerID) { n.do(ProbeResult{Server: w, Status: StatusServerError}) },
 		"this node was held up":  func(n *node, _ ServerID) { n.now += signAnswerWrite + 2*signHeldUp },
 	} {
 		n, w := atWriter(t, "chat")
@@ -105,7 +105,7 @@
 // yet: they do a moment later. Those that still have not then have stopped.
 func TestSilence_AnswersOfAServerThatIsJustBack(t *testing.T) {
 	n, w := atWriter(t, "chat")
-	n.do(First{ID: "a", Attempt: 1, Server: ServerID(w)})
+	n.do(AnswerStarted{ID: "a", Attempt: 1, Server: ServerID(w)})
 	v, r, since := n.s.servers[ServerID(w)], n.s.reqs["a"], n.now
 	n.now += 4 * time.Second
 	v.began[writing] = since + ms // another answer, to what was sent later, begins
--- a/state.go
+++ b/state.go
@@ -274,7 +274,7 @@
 	most := 0.0
 	for _, kind := range kinds {
 		switch {
-		case kind.Role != stage && kind.Role != RoleBoth:
+		case kind.Role != stage && kind.Role != RoleMixed:
 		case kind.MemoryTokens == 0:
 			return math.Inf(1)
 		default:
@@ -329,7 +329,7 @@
 
 func reads(r Role) bool { return r == RoleRead }
 
-func mixed(r Role) bool { return r == RoleBoth }
+func mixed(r Role) bool { return r == RoleMixed }
 
 func writes(r Role) bool { return r != RoleRead }
 
@@ -338,23 +338,23 @@
 func (s *Scheduler) Handle(now time.Duration, e Event, out []Action) []Action {
 	s.now, s.out = max(now, s.now), out
 	switch e := e.(type) {
-	case Members:
+	case MembershipUpdate:
 		s.members(e)
 	case Request:
 		s.request(e)
-	case First:
+	case AnswerStarted:
 		s.first(e)
-	case PlaceNote:
+	case ReservationResult:
 		s.placeNote(e)
 	case Outcome:
 		s.outcome(e)
-	case Gone:
+	case ClientDisconnected:
 		s.gone(e)
-	case Timer:
+	case TimerFired:
 		s.timer(e)
-	case Probed:
+	case ProbeResult:
 		s.probed(e)
-	case Ending:
+	case Shutdown:
 		s.ending(e)
 	}
 	out, s.out = s.out, nil
--- a/waits_test.go
+++ b/waits_test.go
@@ -13,7 +13,7 @@
 		n := newNode(t, settings(), reader("r"), writer("w", 0))
 		n.s.pace[writing].Observe(n.now, 50*ms, 320)
 		n.ask("a", 1, 0)
-		n.end("a", 0, "r", Parsed)
+		n.end("a", 0, "r", StatusPrefilled)
 		a := n.s.reqs["a"].attempts[1]
 		limit := n.s.limit(n.s.reqs["a"], a)
 		v := n.s.servers["w"]
@@ -49,14 +49,14 @@
 			n.s.pace[writing].Observe(n.now, 50*ms, 320)
 		}
 		n.do(Request{ID: "order", Class: "pay", PromptTokens: 320, TimeLeft: 5 * time.Second})
-		n.end("order", 0, "r", Parsed)
+		n.end("order", 0, "r", StatusPrefilled)
 		a := n.s.reqs["order"].attempts[1]
 		if overtaken {
 			n.s.servers["w"].began[writing] = a.sent + 50*ms
 		}
 		before := n.s.limit(n.s.reqs["order"], a)
 		n.now += 5 * time.Second
-		n.do(Outcome{ID: "order", Attempt: 1, Server: "w", Status: NoAnswer, Latency: 5 * time.Second})
+		n.do(Outcome{ID: "order", Attempt: 1, Server: "w", Status: StatusTimedOut, Latency: 5 * time.Second})
 		after := n.s.limit(&request{class: n.s.classes["pay"]}, a)
 		if slower := after > before; slower == overtaken {
 			t.Errorf("overtaken %v: overdue after %v, %v before", overtaken, after, before)
