--- a/admission_test.go
+++ b/admission_test.go
@@ -23,9 +23,9 @@
 	}
 	for _, tt := range tests {
 		n := newNode(t, set, reader("r1"), writer("w1", 0))
-		n.s.servers["r1"].queue = 1000
+		n.s.servers["r1"].queuedTokens = 1000
 		for i := 0; i < 10; i++ {
-			n.s.pace[reading].Observe(0, tt.wait, 1000)
+			n.s.stageLatency[stagePrefill].Observe(0, tt.wait, 1000)
 		}
 		n.do(Request{ID: "a", Class: tt.class, Session: 1, PromptTokens: 16, TimeLeft: 5 * time.Second})
 		if _, got := pick[Refuse](n); got != tt.refused {
@@ -44,15 +44,15 @@
 		n.now += 100 * ms
 		n.do(ClientDisconnected{RequestID(id)})
 	}
-	if p := time.Second - time.Duration(n.s.impatience[""]); p > 300*ms {
+	if p := time.Second - time.Duration(n.s.tenantImpatience[""]); p > 300*ms {
 		t.Errorf("patience still %v after ten clients left at 100ms", p)
 	}
 	for i := 0; i < 20; i++ {
-		n.s.reqs["x"] = &request{attempts: []*attempt{{srv: n.s.servers["w1"], write: true, out: true}},
+		n.s.requests["x"] = &trackedRequest{attempts: []*trackedAttempt{{server: n.s.servers["w1"], decodes: true, inFlight: true}},
 			class: n.s.classes["chat"]}
 		n.do(AnswerStarted{ID: "x", Server: "w1", Latency: 10 * ms})
 	}
-	if p := time.Second - time.Duration(n.s.impatience[""]); p < 900*ms {
+	if p := time.Second - time.Duration(n.s.tenantImpatience[""]); p < 900*ms {
 		t.Errorf("patience only %v after twenty answers", p)
 	}
 }
@@ -66,9 +66,9 @@
 		n.now += 10 * ms
 		n.do(ClientDisconnected{id})
 	}
-	n.s.servers["r1"].queue = 1000
+	n.s.servers["r1"].queuedTokens = 1000
 	for i := 0; i < 10; i++ {
-		n.s.pace[reading].Observe(n.now, 500*ms, 1000)
+		n.s.stageLatency[stagePrefill].Observe(n.now, 500*ms, 1000)
 	}
 	for tenant, want := range map[string]bool{"hasty": true, "calm": false} {
 		n.do(Request{ID: RequestID(tenant), Class: "chat", Tenant: tenant, Session: 1, PromptTokens: 16,
@@ -83,10 +83,10 @@
 	set := settings()
 	set.Tenants, set.OverShareWorth = []Tenant{{"big", 0.5, 1}, {"small", 0.5, 100}}, 0.1
 	n := newNode(t, set, reader("r1"), writer("w1", 0))
-	n.s.servers["r1"].queue = 1000
+	n.s.servers["r1"].queuedTokens = 1000
 	for i := 0; i < 10; i++ {
-		n.s.pace[reading].Observe(0, 800*ms, 1000)
-		n.s.asked["big"].Add(n.now, time.Second, 5)
+		n.s.stageLatency[stagePrefill].Observe(0, 800*ms, 1000)
+		n.s.tenantRate["big"].Add(n.now, time.Second, 5)
 	}
 	for tenant, want := range map[string]bool{"big": true, "small": false} {
 		n.do(Request{ID: RequestID(tenant), Class: "chat", Tenant: tenant, Session: 1, PromptTokens: 16,
@@ -174,9 +174,9 @@
 		set.Reports = ReportNone
 		set.Classes[0].AimPer1K = tt.per1K
 		n := newNode(t, set, reader("r1"), writer("w1", 0))
-		n.s.servers["r1"].queue = 1000
+		n.s.servers["r1"].queuedTokens = 1000
 		for range 10 {
-			n.s.pace[reading].Observe(0, tt.wait, 6000)
+			n.s.stageLatency[stagePrefill].Observe(0, tt.wait, 6000)
 		}
 		n.do(Request{ID: "a", Class: "chat", Session: 1, PromptTokens: 5000, TimeLeft: 5 * time.Second})
 		if _, got := pick[Refuse](n); got != tt.refused {
--- a/choose.go
+++ b/choose.go
@@ -9,205 +9,229 @@
 	"ashwood.example/ashwood/internal/trend"
 )
 
-// pool lists the servers of a stage that a request may use: the one whose single
-// trial is due, writers in slow start that may get a send (readers are chosen by what they
-// have kept), else the trusted, else, when none is left, all.
-func (s *Scheduler) pool(r *request, match func(Role) bool) (good []*server) {
-	var rest, due []*server
-	for _, v := range s.order {
-		switch z := v.path; {
-		case !match(v.role) || !s.usable(r, v):
-		case s.trusted(v) && s.set.Nodes > manyNodes && s.inSlowStart(v) && v.role != RoleRead:
-			due = append(due, v)
-		case s.trusted(v) && s.now >= v.refuses[r.kind()] && !(r.near && v.Zone != s.set.Zone):
-			good = append(good, v)
-		case !s.trusted(v) && (v.due(s.now) || !v.ejected) && (z.due(s.now) || !z.ejected) && len(r.attempts) <= 1:
-			return []*server{v}
+// eligibleServers returns the servers of a stage that a request may use. The first of these groups
+// that is not empty is returned: a server whose trial after an ejection is due; decode servers in
+// slow start that may get a send (prefill servers in slow start are chosen by their prefix cache);
+// healthy servers; all others.
+func (s *Scheduler) eligibleServers(
+	request *trackedRequest, roleMatches func(Role) bool) (preferred []*trackedServer) {
+	var rest, slowStart []*trackedServer
+	for _, server := range s.sortedServers {
+		switch path := server.zonePath; {
+		case !roleMatches(server.role) || !s.usable(request, server):
+		case s.healthy(server) && s.settings.Nodes > manyNodes && s.inSlowStart(server) && server.role != RoleRead:
+			slowStart = append(slowStart, server)
+		case s.healthy(server) && s.now >= server.rejectsUntil[request.throttleKey()] &&
+			!(request.stayInZone && server.Zone != s.settings.Zone):
+			preferred = append(preferred, server)
+		case !s.healthy(server) && (server.trialDue(s.now) || !server.ejected) &&
+			(path.trialDue(s.now) || !path.ejected) && len(request.attempts) <= 1:
+			return []*trackedServer{server}
 		default:
-			rest = append(rest, v)
+			rest = append(rest, server)
 		}
 	}
-	for _, some := range [][]*server{due, good} {
-		if len(some) > 0 {
-			return some
+	for _, group := range [][]*trackedServer{slowStart, preferred} {
+		if len(group) > 0 {
+			return group
 		}
 	}
 	return rest
 }
 
-// pickReader is the design's reader rule. Without a reader, a mixed server
-// serves in one stage, and failing that a writer where writers read.
-func (s *Scheduler) pickReader(r *request) (v *server, write bool) {
-	if p := s.pool(r, reads); len(p) > 0 {
-		return s.byPrefix(r, s.paired(r, s.answering(p))), false
+// pickPrefill chooses the server of a request's prefill. Without a prefill server, a mixed server
+// does both stages, or else a decode server if the settings allow it.
+func (s *Scheduler) pickPrefill(request *trackedRequest) (server *trackedServer, decodes bool) {
+	if pool := s.eligibleServers(request, isPrefill); len(pool) > 0 {
+		return s.pickByPrefix(request, s.withDecodeMemoryInCell(request, s.answeringProbes(pool))), false
 	}
-	if p := s.pool(r, mixed); len(p) > 0 {
-		return s.byPrefix(r, p), true
+	if pool := s.eligibleServers(request, isMixed); len(pool) > 0 {
+		return s.pickByPrefix(request, pool), true
 	}
-	if p := s.pool(r, writes); s.set.DecodeCanPrefill && len(p) > 0 {
-		return s.roomiest(p, nil), true
+	if pool := s.eligibleServers(request, canDecode); s.settings.DecodeCanPrefill && len(pool) > 0 {
+		return s.pickByFreeMemory(pool, nil), true
 	}
 	return nil, false
 }
 
-// answering leaves of a pool the servers that answer probes at once, where there are any: one that
-// does not has more work waiting than any report tells, or a path that would be as slow.
-func (s *Scheduler) answering(pool []*server) []*server {
-	prompt := slices.DeleteFunc(slices.Clone(pool), func(v *server) bool {
-		asked := s.now - v.polled
-		return v.polled > v.reportAt && asked >= probeWait && asked < backoffFirst
+// answeringProbes returns the servers of a pool without an overdue load probe, or all if none is
+// left. A server that does not answer a probe at once has more work waiting than its reports show,
+// or a slow network path.
+func (s *Scheduler) answeringProbes(pool []*trackedServer) []*trackedServer {
+	answering := slices.DeleteFunc(slices.Clone(pool), func(server *trackedServer) bool {
+		sinceProbe := s.now - server.loadProbedAt
+		return server.loadProbedAt > server.reportAt && sinceProbe >= loadProbeWait && sinceProbe < minBackoff
 	})
-	if len(prompt) == 0 {
+	if len(answering) == 0 {
 		return pool
 	}
-	return prompt
+	return answering
 }
 
-// paired leaves of a pool the readers in whose cell a writer has room, near to the
-// best anywhere, while states that leave their cell are slow to move: all of a
-// cell's share its one link, which clogs where its writers are gone or full.
-func (s *Scheduler) paired(r *request, pool []*server) []*server {
-	hasRoom := s.cellsWithRoom(r, func(role Role) bool { return role == RoleWrite })
-	near := slices.DeleteFunc(slices.Clone(pool), func(v *server) bool { return !hasRoom(v) })
-	if len(near) == 0 || s.transferDelay() < transferLimit*float64(s.minAim) {
+// withDecodeMemoryInCell returns the prefill servers of a pool whose cell has decode servers with
+// free memory near to the best anywhere, or all if there are none. It applies while transfers of KV
+// state between cells are slow: those of a cell share its one link, which becomes congested when the
+// cell's decode servers are gone or full.
+func (s *Scheduler) withDecodeMemoryInCell(request *trackedRequest, pool []*trackedServer) []*trackedServer {
+	hasMemory := s.cellsWithMemory(request, func(role Role) bool { return role == RoleWrite })
+	local := slices.DeleteFunc(slices.Clone(pool), func(server *trackedServer) bool {
+		return !hasMemory(server)
+	})
+	if len(local) == 0 || s.transferDelay() < maxTransferDelay*float64(s.minAim) {
 		return pool
 	}
-	return near
+	return local
 }
 
-// cellsWithRoom tells of a server whether writers of its cell, of some roles, have room near to
-// the best anywhere.
-func (s *Scheduler) cellsWithRoom(r *request, match func(Role) bool) func(*server) bool {
-	room, best, cells := s.rooms(RoleWrite), 0.0, map[int]float64{}
-	for _, w := range s.order {
-		if match(w.role) && s.trusted(w) && s.usable(r, w) {
-			cells[w.Cell] = max(cells[w.Cell], room(w))
-			best = max(best, room(w))
+// cellsWithMemory returns a function that tells whether servers of some roles in a server's cell
+// have free memory near to the best anywhere.
+func (s *Scheduler) cellsWithMemory(
+	request *trackedRequest, roleMatches func(Role) bool) func(*trackedServer) bool {
+	free, most, mostInCell := s.freeMemory(RoleWrite), 0.0, map[int]float64{}
+	for _, decode := range s.sortedServers {
+		if roleMatches(decode.role) && s.healthy(decode) && s.usable(request, decode) {
+			mostInCell[decode.Cell] = max(mostInCell[decode.Cell], free(decode))
+			most = max(most, free(decode))
 		}
 	}
-	return func(v *server) bool { return cells[v.Cell] >= best*nearRoom }
+	return func(server *trackedServer) bool { return mostInCell[server.Cell] >= most*minNearMemory }
 }
 
-// detours gives what a reader's place costs a request, in unfinished reads behind which it rather
-// waits: another zone is crossed to, and a state leaves its cell where no writer there has room.
-func (s *Scheduler) detours(r *request) func(*server) float64 {
-	read := s.pace[reading].Y
-	if read <= 0 {
-		return func(*server) float64 { return 0 }
+// detourCost returns a function for the cost of a prefill server's location, as the number of
+// unfinished prefills behind which a request rather waits. Another zone costs a network crossing.
+// A cell without free decode memory costs a transfer of the KV state to another cell.
+func (s *Scheduler) detourCost(request *trackedRequest) func(*trackedServer) float64 {
+	prefillTime := s.stageLatency[stagePrefill].Y
+	if prefillTime <= 0 {
+		return func(*trackedServer) float64 { return 0 }
 	}
-	patience, hasRoom := slightWait*float64(s.minAim)/read, s.cellsWithRoom(r, writes)
-	return func(v *server) (cost float64) {
-		if v.Zone != s.set.Zone {
+	patience, hasMemory := negligibleWait*float64(s.minAim)/prefillTime, s.cellsWithMemory(request, canDecode)
+	return func(server *trackedServer) (cost float64) {
+		if server.Zone != s.settings.Zone {
 			cost += patience
 		}
-		if !hasRoom(v) {
-			cost += moveWait * patience
+		if !hasMemory(server) {
+			cost += transferWaitFactor * patience
 		}
 		return cost
 	}
 }
 
-// counts estimates the unfinished reads at readers on the fleet's scale, or
-// what is reported if that is more and new, and how far chance may put it off. Of
-// many nodes, own counts are chance: reports tell, with age the less, and the mean.
-func (s *Scheduler) counts(role Role) (count func(*server) float64, chance float64) {
-	mean, _ := s.mean(role, func(v *server) (float64, bool) { return float64(v.reads), true })
-	told, heard := s.mean(role, func(v *server) (float64, bool) { return s.running(v), len(v.report) > 0 })
-	if s.set.Nodes > manyNodes && heard > 0 {
-		return func(v *server) float64 {
-			if len(v.report) == 0 {
-				return told
+// loadEstimate returns a function that estimates a server's unfinished prefills from all nodes, and
+// by how much chance may falsify it. With few nodes, own counts are scaled to the fleet; a recent
+// report counts if it is higher. With many nodes, own counts are mostly chance, so reports are used,
+// and the mean of all reports the more the older a server's report is.
+func (s *Scheduler) loadEstimate(role Role) (load func(*trackedServer) float64, chance float64) {
+	meanOwn, _ := s.meanOver(role, func(server *trackedServer) (float64, bool) {
+		return float64(server.pendingPrefills), true
+	})
+	meanReported, reporting := s.meanOver(role, func(server *trackedServer) (float64, bool) {
+		return s.reportedLoad(server), len(server.report) > 0
+	})
+	if s.settings.Nodes > manyNodes && reporting > 0 {
+		return func(server *trackedServer) float64 {
+			if len(server.report) == 0 {
+				return meanReported
 			}
-			return told + (s.running(v)-told)*math.Exp(-float64(s.now-v.reportAt)/float64(4*s.minAim))
+			return meanReported + (s.reportedLoad(server)-meanReported)*
+				math.Exp(-float64(s.now-server.reportAt)/float64(4*s.minAim))
 		}, 1
 	}
-	return func(v *server) float64 {
-		n := trend.Fleet(s.set.Nodes, float64(v.reads), mean, 1)
-		if len(v.report) > 0 && s.now-v.reportAt < probeEvery {
-			n = max(n*(1-s.crowd), s.running(v))
+	return func(server *trackedServer) float64 {
+		estimate := trend.Fleet(s.settings.Nodes, float64(server.pendingPrefills), meanOwn, 1)
+		if len(server.report) > 0 && s.now-server.reportAt < loadProbeInterval {
+			estimate = max(estimate*(1-s.unseenShare), s.reportedLoad(server))
 		}
-		return n
-	}, s.crowd * float64(s.set.Nodes-1) * mean / math.Sqrt(1+mean)
+		return estimate
+	}, s.unseenShare * float64(s.settings.Nodes-1) * meanOwn / math.Sqrt(1+meanOwn)
 }
 
-// byPrefix is the gap test, then matches up to the cap, then the fewest-running
-// server, or one nearer to the node and to a writer with room that has few more. A reader
-// among the prefix's homes counts as holding it: all nodes send there, so that it does whether
-// this node has or not.
-func (s *Scheduler) byPrefix(r *request, pool []*server) *server {
-	count, chance := s.counts(pool[0].role)
-	key := cmp.Or(r.Prefix, r.Session)
-	fewest, best := pool[0], (*server)(nil)
-	var sum, sq, most, top float64
-	for _, v := range pool {
-		n, least := count(v), count(fewest)
-		sum, sq, most = sum+n, sq+n*n, max(most, n)
-		if here := v.Zone == s.set.Zone; n < least || n == least && (here && fewest.Zone != s.set.Zone ||
-			here == (fewest.Zone == s.set.Zone) && v.score(key) > fewest.score(key)) {
-			fewest = v
+// pickByPrefix chooses a server by prefix match and load. If loads differ too much, it takes the
+// least loaded server. Otherwise it takes the longest prefix match among servers whose load is not
+// far above the mean, and among equal matches the lowest load plus detour cost. Without a match it
+// takes the least loaded. An affinity target of the prefix counts as a match even if this node has
+// sent nothing there, since all nodes send that prefix there.
+func (s *Scheduler) pickByPrefix(request *trackedRequest, pool []*trackedServer) *trackedServer {
+	load, chance := s.loadEstimate(pool[0].role)
+	key := cmp.Or(request.Prefix, request.Session)
+	leastLoaded, best := pool[0], (*trackedServer)(nil)
+	var sum, sumSquares, maxLoad, longestMatch float64
+	for _, server := range pool {
+		current, least := load(server), load(leastLoaded)
+		sum, sumSquares, maxLoad = sum+current, sumSquares+current*current, max(maxLoad, current)
+		if sameZone := server.Zone == s.settings.Zone; current < least || current == least &&
+			(sameZone && leastLoaded.Zone != s.settings.Zone ||
+				sameZone == (leastLoaded.Zone == s.settings.Zone) &&
+					server.rendezvousWeight(key) > leastLoaded.rendezvousWeight(key)) {
+			leastLoaded = server
 		}
 	}
-	if most-count(fewest) > max(countGap, deviations*chance) {
-		return fewest
+	if maxLoad-load(leastLoaded) > max(maxLoadGap, loadDeviations*chance) {
+		return leastLoaded
 	}
-	n := float64(len(pool))
-	limit := sum/n + deviations*max(math.Sqrt(max(sq/n-sum/n*sum/n, 0)), chance)
-	homes, detour := s.homes(r, pool), s.detours(r)
-	load := func(v *server) float64 { return count(v) + detour(v) }
-	for _, v := range pool {
-		share := s.share(r, v, homes)
-		if share == 0 || count(v) > limit+1e-9 || best != nil && share < top {
+	poolSize := float64(len(pool))
+	loadLimit := sum/poolSize +
+		loadDeviations*max(math.Sqrt(max(sumSquares/poolSize-sum/poolSize*sum/poolSize, 0)), chance)
+	targets, detour := s.affinityTargets(request, pool), s.detourCost(request)
+	cost := func(server *trackedServer) float64 { return load(server) + detour(server) }
+	for _, server := range pool {
+		matched := s.assumedMatch(request, server, targets)
+		if matched == 0 || load(server) > loadLimit+1e-9 || best != nil && matched < longestMatch {
 			continue
 		}
-		if best == nil || share > top || load(v) < load(best)-chance ||
-			load(v) <= load(best)+chance && s.closer(r, v, best) {
-			best, top = v, share
+		if best == nil || matched > longestMatch || cost(server) < cost(best)-chance ||
+			cost(server) <= cost(best)+chance && s.isCloser(request, server, best) {
+			best, longestMatch = server, matched
 		}
 	}
-	return s.orSlowStart(cmp.Or(best, fewest), pool, func(v *server) float64 {
-		work := count(v)*s.prompt + r.PromptTokens - s.share(r, v, homes)
-		if v == homes[0] {
-			work = count(v) * s.prompt // little of the prompt is new where the session has been before
+	return s.preferSlowStart(cmp.Or(best, leastLoaded), pool, func(server *trackedServer) float64 {
+		work := load(server)*s.meanPromptTokens + request.PromptTokens - s.assumedMatch(request, server, targets)
+		if server == targets[0] {
+			work = load(server) * s.meanPromptTokens // it has the session's earlier turns: little of the prompt is new
 		}
 		return work
 	})
 }
 
-// closer prefers, of two readers that are alike, the one in the node's zone, then the session's.
-func (s *Scheduler) closer(r *request, v, other *server) bool {
-	here := v.Zone == s.set.Zone
-	if here != (other.Zone == s.set.Zone) {
-		return here
+// isCloser breaks ties between prefill servers: a server of this node's zone comes first, then the
+// one that ranks higher for the session.
+func (s *Scheduler) isCloser(request *trackedRequest, server, other *trackedServer) bool {
+	sameZone := server.Zone == s.settings.Zone
+	if sameZone != (other.Zone == s.settings.Zone) {
+		return sameZone
 	}
-	return v.score(r.Session) > other.score(r.Session)
+	return server.rendezvousWeight(request.Session) > other.rendezvousWeight(request.Session)
 }
 
-// share is how much of a prompt a reader holds, in tokens, a home at least the shared prefix.
-func (s *Scheduler) share(r *request, v *server, homes []*server) float64 {
-	tokens, _ := s.match(r, v)
-	if slices.Contains(homes, v) {
-		return max(tokens, r.PrefixTokens, 1)
+// assumedMatch returns how many tokens of a prompt a prefill server is taken to have in its cache.
+// An affinity target is taken to have at least the shared prefix.
+func (s *Scheduler) assumedMatch(
+	request *trackedRequest, server *trackedServer, targets []*trackedServer) float64 {
+	tokens, _ := s.matchPrefix(request, server)
+	if slices.Contains(targets, server) {
+		return max(tokens, request.PrefixTokens, 1)
 	}
 	return tokens
 }
 
-// orSlowStart leaves a choice for a reader in slow start that has been heard from just now and would
-// be sooner done: what a choice keeps of a prompt is worth the tokens that need not be read, no more.
-// Others that are idle are not taken so: one that fails at once is idle too.
-func (s *Scheduler) orSlowStart(choice *server, pool []*server, work func(*server) float64) *server {
-	least := work(choice) * max(s.set.Rules.SlowStartCapacity, leastStartSpeed)
-	for _, v := range pool {
-		if s.inSlowStart(v) && s.now-v.reportAt < probeEvery && work(v) < least {
-			choice, least = v, work(v)
+// preferSlowStart replaces a choice by a server in slow start that has reported its load just now and
+// would finish earlier. A cached prefix is worth only the tokens that need no prefill. Servers
+// outside slow start don't replace a choice because they are idle: one that fails at once is idle too.
+func (s *Scheduler) preferSlowStart(
+	choice *trackedServer, pool []*trackedServer, work func(*trackedServer) float64) *trackedServer {
+	least := work(choice) * max(s.settings.Rules.SlowStartCapacity, minSlowStartSpeed)
+	for _, server := range pool {
+		if s.inSlowStart(server) && s.now-server.reportAt < loadProbeInterval && work(server) < least {
+			choice, least = server, work(server)
 		}
 	}
 	return choice
 }
 
-// candidates are the readers to ask before a choice: the prefix's homes, and one in slow start,
-// drawn, which few prompts would lead to.
-func (s *Scheduler) candidates(r *request, pool []*server) []*server {
-	candidates := s.homes(r, pool)
+// probeCandidates returns the prefill servers to probe before a choice: the affinity targets, and a
+// random one in slow start, to which few prompts would lead otherwise.
+func (s *Scheduler) probeCandidates(request *trackedRequest, pool []*trackedServer) []*trackedServer {
+	candidates := s.affinityTargets(request, pool)
 	for _, i := range s.rng.Perm(len(pool)) {
 		if s.inSlowStart(pool[i]) {
 			return append(candidates, pool[i])
@@ -216,110 +240,128 @@
 	return candidates
 }
 
-// homes are the two readers to which a prefix's and then the session's key hash, the prefix's
-// among more readers the more traffic begins with it. Many nodes see too little of that, and where
-// no load is told nothing else shows that a home is overrun: it has a good part of them at once.
-// A node has one home in its own zone and one elsewhere: less leaves the zone, and one cut off serves itself.
-func (s *Scheduler) homes(r *request, pool []*server) []*server {
-	uses, n := 0.0, float64(len(pool))
-	for _, v := range pool {
-		uses += s.table.Used(v.runs, prefix.Key{Hash: r.Prefix})
+// affinityTargets returns the two prefill servers to which the prefix and then the session hash.
+// The set of servers for a prefix grows with the share of traffic that begins with it. With many
+// nodes, each sees too little of that traffic, and without load reports nothing shows that a target
+// is overloaded; the set is then a fixed share of all servers from the start. If there are servers in
+// other zones, one target is in this node's zone and one elsewhere: less traffic leaves the zone, and
+// a zone that is cut off serves itself.
+func (s *Scheduler) affinityTargets(request *trackedRequest, pool []*trackedServer) []*trackedServer {
+	prefixUses, poolSize := 0.0, float64(len(pool))
+	for _, server := range pool {
+		prefixUses += s.prefixTable.Used(server.prefixRuns, prefix.Key{Hash: request.Prefix})
 	}
-	want, need := 2, spread*n*max(uses-1, 0)/(s.table.Uses()+n) // what was seen once may be chance
-	if s.set.Nodes > manyNodes && s.set.Reports == ReportNone {
-		want = max(want, int(n*blindShare))
+	// A prefix that was seen once may be chance.
+	width, needed := 2, affinitySpread*poolSize*max(prefixUses-1, 0)/(s.prefixTable.Uses()+poolSize)
+	if s.settings.Nodes > manyNodes && s.settings.Reports == ReportNone {
+		width = max(width, int(poolSize*minBlindAffinity))
 	}
-	for float64(want) < need {
-		want *= 2 // so that nodes mostly agree and a session finds its earlier turns
+	for float64(width) < needed {
+		width *= 2 // in coarse steps, so that nodes mostly agree and a session finds its earlier turns
 	}
-	near, far := s.byZone(pool)
+	near, far := s.splitByZone(pool)
 	if len(near) == 0 || len(far) == 0 {
-		return r.homesIn(pool, want, 2)
+		return request.affinityTargetsIn(pool, width, 2)
 	}
-	part := max(want/2, 1)
-	return append(r.homesIn(near, part, 1), r.homesIn(far, part, 1)...)
+	zoneWidth := max(width/2, 1)
+	return append(request.affinityTargetsIn(near, zoneWidth, 1), request.affinityTargetsIn(far, zoneWidth, 1)...)
 }
 
-// pickWriter is the design's writer rule: the holder, else the roomiest.
-func (s *Scheduler) pickWriter(r *request, reader *server) *server {
-	h := r.ahead
-	if r.state != nil && h != nil && h.listed && !r.tried[h] && r.mayRunOn(h, s.now) && s.slowStartAllows(h, r) {
-		return h
+// pickDecode chooses the decode server of a request: the one with the reservation, or else, of those
+// that would start soonest, one by free memory.
+func (s *Scheduler) pickDecode(request *trackedRequest, prefill *trackedServer) *trackedServer {
+	reserved := request.reservation
+	if request.stateHolder != nil && reserved != nil && reserved.active && !request.tried[reserved] &&
+		request.mayRunOn(reserved, s.now) && s.slowStartAllows(reserved, request) {
+		return reserved
 	}
-	return s.roomiest(s.soonest(r, s.pool(r, writes), reader), reader)
+	return s.pickByFreeMemory(s.soonestToStart(request, s.eligibleServers(request, canDecode), prefill), prefill)
 }
 
-// soonest leaves of a pool the writers that are expected to begin an answer hardly later than the first
-// of them would: room in memory tells nothing of what waits for a slot, or to be read.
-func (s *Scheduler) soonest(r *request, pool []*server, reader *server) []*server {
-	wait := func(v *server) float64 { return s.delay(v, stageOf(true, reader, v), r.PromptTokens) }
-	least := math.Inf(1)
-	for _, v := range pool {
-		least = min(least, wait(v))
+// soonestToStart returns the decode servers of a pool that are expected to start an answer at most
+// negligibly later than the soonest. Free memory says nothing about requests that wait for a
+// slot or for their prefill.
+func (s *Scheduler) soonestToStart(
+	request *trackedRequest, pool []*trackedServer, prefill *trackedServer) []*trackedServer {
+	delay := func(server *trackedServer) float64 {
+		return s.expectedDelay(server, stageOf(true, prefill, server), request.PromptTokens)
 	}
-	limit := least + slightWait*float64(s.minAim)
-	return slices.DeleteFunc(slices.Clone(pool), func(v *server) bool { return wait(v) > limit })
+	minDelay := math.Inf(1)
+	for _, server := range pool {
+		minDelay = min(minDelay, delay(server))
+	}
+	maxDelay := minDelay + negligibleWait*float64(s.minAim)
+	return slices.DeleteFunc(slices.Clone(pool), func(server *trackedServer) bool {
+		return delay(server) > maxDelay
+	})
 }
 
-// roomiest prefers the reader's cell, then its zone, while room there is not
-// far below the best anywhere. Equals are drawn for, or all nodes would follow
-// one old report to the same writer. Many nodes know so little of a writer that
-// each would take those with the largest memory: they draw for all, by their room.
-func (s *Scheduler) roomiest(pool []*server, reader *server) *server {
+// pickByFreeMemory chooses the server with the most free memory. It prefers the prefill server's
+// cell, then its zone, while free memory there is not far below the best anywhere. Ties are broken at
+// random, or all nodes would follow one old report to the same server. With many nodes, each knows so
+// little of a server that it would always take those with the largest memory, so the choice
+// is random, weighted by free memory.
+func (s *Scheduler) pickByFreeMemory(pool []*trackedServer, prefill *trackedServer) *trackedServer {
 	if len(pool) == 0 {
 		return nil
 	}
-	room := s.rooms(pool[0].role)
-	var best [3]*server // anywhere, in the zone, in the cell
-	var most, sum [3]float64
-	first := s.rng.Intn(len(pool))
+	freeMemory := s.freeMemory(pool[0].role)
+	var best [3]*trackedServer // anywhere, in the zone, in the cell
+	var maxFree, sumFree [3]float64
+	offset := s.rng.Intn(len(pool))
 	for i := range pool {
-		v := pool[(first+i)%len(pool)]
-		n := room(v)
-		for near := range best {
-			more := best[near] == nil || n > most[near]
-			if more {
-				most[near] = n
+		server := pool[(offset+i)%len(pool)]
+		free := freeMemory(server)
+		for level := range best {
+			replace := best[level] == nil || free > maxFree[level]
+			if replace {
+				maxFree[level] = free
 			}
-			if sum[near] += max(n, 1); s.set.Nodes > manyNodes {
-				more = s.rng.Float64()*sum[near] < max(n, 1)
+			if sumFree[level] += max(free, 1); s.settings.Nodes > manyNodes {
+				replace = s.rng.Float64()*sumFree[level] < max(free, 1)
 			}
-			if more {
-				best[near] = v
+			if replace {
+				best[level] = server
 			}
-			if reader == nil || near == 0 && v.Zone != reader.Zone || near == 1 && v.Cell != reader.Cell {
+			if prefill == nil || level == 0 && server.Zone != prefill.Zone ||
+				level == 1 && server.Cell != prefill.Cell {
 				break
 			}
 		}
 	}
-	for near := 2; near > 0; near-- {
-		if best[near] != nil && most[near] >= max(most[0], 0)*nearRoom {
-			return best[near]
+	for level := 2; level > 0; level-- {
+		if best[level] != nil && maxFree[level] >= max(maxFree[0], 0)*minNearMemory {
+			return best[level]
 		}
 	}
 	return best[0]
 }
 
-// rooms estimates the memory free at writers, less where one is slow: the lower
-// of what it reported less prompts sent since, and of what own requests suggest.
-// With age its cell's mean counts instead: some cells have too few writers.
-func (s *Scheduler) rooms(role Role) func(*server) float64 {
-	wanted := func(v *server) (float64, bool) { // held, and waited for
-		x, ok := v.report[ReportMemory]
-		return x + v.report[ReportQueue]*s.prompt/max(v.memory, 1), ok
+// freeMemory returns a function that estimates a server's free memory in tokens, reduced for
+// a slow server. With reports, it is the lower of the reported free memory less prompts sent since,
+// and the memory less own requests. The older a report, the more the mean of the server's cell counts
+// instead, mixed with the fleet's since some cells have too few servers. Without reports, own
+// requests are scaled to the fleet.
+func (s *Scheduler) freeMemory(role Role) func(*trackedServer) float64 {
+	usedShare := func(server *trackedServer) (float64, bool) { // in use, and waited for
+		memory, ok := server.report[ReportMemory]
+		return memory + server.report[ReportQueue]*s.meanPromptTokens/max(server.memoryTokens, 1), ok
 	}
-	used, heard := s.mean(role, wanted)
-	held, _ := s.mean(role, func(v *server) (float64, bool) { return v.held, true })
-	cell, told := s.byCell(role, wanted)
-	return func(v *server) float64 {
-		room := v.memory - trend.Fleet(s.set.Nodes, v.held, held, s.prompt)
-		if heard > 0 {
-			x := (cell[v.Cell] + used) / (told[v.Cell] + 1)
-			if own, ok := wanted(v); ok {
-				x += (own - x) * math.Exp(-float64(s.now-v.reportAt)/float64(4*s.minAim))
+	meanUsed, reporting := s.meanOver(role, usedShare)
+	meanOwnTokens, _ := s.meanOver(role, func(server *trackedServer) (float64, bool) {
+		return server.decodeTokens, true
+	})
+	usedInCell, reportingInCell := s.sumByCell(role, usedShare)
+	return func(server *trackedServer) float64 {
+		free := server.memoryTokens -
+			trend.Fleet(s.settings.Nodes, server.decodeTokens, meanOwnTokens, s.meanPromptTokens)
+		if reporting > 0 {
+			used := (usedInCell[server.Cell] + meanUsed) / (reportingInCell[server.Cell] + 1)
+			if own, ok := usedShare(server); ok {
+				used += (own - used) * math.Exp(-float64(s.now-server.reportAt)/float64(4*s.minAim))
 			}
-			room = min(v.memory-v.held, v.memory*(1-x)-v.sentSince)
+			free = min(server.memoryTokens-server.decodeTokens, server.memoryTokens*(1-used)-server.sentSinceReport)
 		}
-		return min(room, room/max(v.ratio, 1))
+		return min(free, free/max(server.latencyRatio, 1))
 	}
 }
--- a/ending.go
+++ b/ending.go
@@ -5,36 +5,36 @@
 	"slices"
 )
 
-// This file decides what becomes of requests when the node is told that it ends. Whatever it
-// has taken gets an answer while it can still give one: a deadline beyond the node's own end
-// is a promise that it can't keep, to clients and to servers.
+// This file decides what happens to requests when the node shuts down. Each admitted request gets
+// an answer while the node can still give one: it can't keep a deadline beyond its own end, neither
+// to clients nor to servers.
 
-// ending cuts the deadlines of all requests, those to come too, to the node's own. Told again,
-// only an earlier time counts.
-func (s *Scheduler) ending(e Shutdown) {
-	if e.Deadline >= s.endsAt {
+// handleShutdown limits the deadlines of all present and future requests to the node's own. A
+// repeated announcement counts only if its deadline is earlier.
+func (s *Scheduler) handleShutdown(e Shutdown) {
+	if e.Deadline >= s.shutdownAt {
 		return
 	}
-	s.endsAt = e.Deadline
-	for _, r := range s.reqs {
-		r.deadline = min(r.deadline, s.endsAt)
+	s.shutdownAt = e.Deadline
+	for _, request := range s.requests {
+		request.deadline = min(request.deadline, s.shutdownAt)
 	}
-	s.after(max(s.endsAt-s.now, 0), timer{what: endRequests})
+	s.setTimer(max(s.shutdownAt-s.now, 0), pendingTimer{purpose: timerShutdown})
 }
 
-// endRequests gives up each request whose answer has not begun, whether or not an attempt is
-// out for it. One at a writer may run yet; a read has no effect, however it ends.
-func (s *Scheduler) endRequests() {
-	for _, id := range slices.Sorted(maps.Keys(s.reqs)) {
-		r := s.reqs[id]
-		if r.done {
+// giveUpUnanswered gives up each request whose answer has not started, even if an attempt is in
+// flight. An attempt at a decode server may still run; a prefill has no effect, however it ends.
+func (s *Scheduler) giveUpUnanswered() {
+	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
+		request := s.requests[id]
+		if request.done {
 			continue
 		}
-		for _, a := range r.attempts {
-			if a.out && a.write && r.ran == nil {
-				r.ran = a
+		for _, attempt := range request.attempts {
+			if attempt.inFlight && attempt.decodes && request.firstRun == nil {
+				request.firstRun = attempt
 			}
 		}
-		s.giveUp(r, ReasonShutdown)
+		s.giveUp(request, ReasonShutdown)
 	}
 }
--- a/facade.go
+++ b/facade.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// This file is the module's blocking face: a Router may be used by many
-// goroutines, and its users see neither events nor actions. Times are
-// milliseconds here; they become the module's durations in this file alone.
+// This file is the blocking interface of the module: a Router may be used by many goroutines,
+// and its users see neither events nor actions. Times are milliseconds here and are converted
+// to the scheduler's durations in this file and flight.go only.
 
 // Clock tells the time in milliseconds since the Unix epoch.
 type Clock interface{ Now() float64 }
 
-// Errors of Pick.
+// Errors that Pick returns.
 var (
-	ErrUnknownClass = errors.New("ashwood: unknown class of requests")
-	ErrDuplicate    = errors.New("ashwood: a request of this id is being served")
+	ErrUnknownClass = errors.New("ashwood: unknown request class")
+	ErrDuplicate    = errors.New("ashwood: a request with this id is in flight")
 )
 
 // RequestInfo is what the decisions need to know about a request.
@@ -29,7 +29,7 @@
 	Class           string
 	Tenant          string
 	Session         uint64
-	Prefix          uint64 // the beginning shared with other sessions; 0 = none
+	Prefix          uint64 // hash of the prefix shared with other sessions; 0 = none
 	PrefixTokens    float64
 	PromptTokens    float64
 	MaxOutputTokens float64
@@ -42,36 +42,36 @@
 
 // The kinds of steps.
 const (
-	StepSend    StepKind = iota + 1 // send to Engine, then Report how it ended
-	StepRelease                     // only let go of what is held, then call Next
-	StepRefuse                      // final: trying again does no harm
-	StepFail                        // final: promises nothing
-	StepDone                        // nothing is owed any more
+	StepSend    StepKind = iota + 1 // send to Engine, then call ReportResult
+	StepRelease                     // release KV state and reservations only, then call Next
+	StepRefuse                      // final: trying again is safe
+	StepFail                        // final: it is unknown whether the request has run
+	StepDone                        // nothing more to do
 )
 
 // Step is the next thing to do for a request.
 type Step struct {
 	Kind    StepKind
-	Release bool // first let go of all that is held for the request
+	Release bool // first release all KV state and reservations held for the request
 
 	// With StepSend:
 	Attempt       int
 	Engine        Server
-	Prefill       bool            // Engine is a reader: it answers with a read state
-	NonRepeatable bool            // it may have an effect, and may then not be sent again
+	Prefill       bool            // Engine is a prefill engine: its answer is that it holds KV state
+	NonRepeatable bool            // the attempt may have an effect: once written, it must not be sent again
 	Timeout       float64         // ms to wait for the first token
-	SendBefore    float64         // ms of the clock, from when on it may not be written any more: repeats are dropped for so long; 0 = at any time
-	Context       context.Context // ends when the attempt is called off or the client leaves
-	ReserveAt     Server          // a writer to ask ahead for a place; no ID = none
+	SendBefore    float64         // clock time in ms from which it must not be written: engines drop repeats until then; 0 = no limit
+	Context       context.Context // ends when the attempt is cancelled or the client leaves
+	ReserveAt     Server          // decode engine to ask for a reservation; no ID = none
 
-	RetryAfter float64 // with StepRefuse: ms to stay away, 0 = no advice
+	RetryAfter float64 // with StepRefuse: ms until the client should try again; 0 = no advice
 	Reason     Reason  // with StepRefuse and StepFail
 }
 
 // Result tells how an attempt ended.
 type Result struct {
 	Status Status
-	Detail float64 // kept tokens, or 1 with TurnedAway: no state to fetch
+	Detail float64 // see Outcome.Detail
 	Report Report
 }
 
@@ -80,77 +80,77 @@
 	clock Clock
 	probe func(Server)
 
-	mu      sync.Mutex
-	sched   *Scheduler
-	flights map[RequestID]*flight
-	timers  timerHeap
-	wake    chan struct{}
+	mu        sync.Mutex
+	scheduler *Scheduler
+	flights   map[RequestID]*flight
+	timers    timerHeap
+	wake      chan struct{}
 }
 
-// NewRouter makes a router. Its user calls Tick as that asks, and carries out
-// probes with probe, which must not block.
-func NewRouter(set Settings, seed int64, clock Clock, probe func(Server)) (*Router, error) {
-	s, err := New(set, seed)
+// NewRouter returns a router. Its user calls Tick at the times that Tick and Wake ask for.
+// The router calls probe to have a server probed; probe must not block.
+func NewRouter(settings Settings, seed int64, clock Clock, probe func(Server)) (*Router, error) {
+	scheduler, err := New(settings, seed)
 	if err != nil {
 		return nil, err
 	}
 	return &Router{
-		clock: clock, probe: probe, sched: s, flights: map[RequestID]*flight{}, wake: make(chan struct{}, 1),
+		clock: clock, probe: probe, scheduler: scheduler, flights: map[RequestID]*flight{}, wake: make(chan struct{}, 1),
 	}, nil
 }
 
 // Update applies a membership update.
-func (t *Router) Update(form MembershipForm, list []Server) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.handle(MembershipUpdate{Form: form, Entries: list})
+func (r *Router) Update(form MembershipForm, entries []Server) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.handle(MembershipUpdate{Form: form, Entries: entries})
 }
 
 // ShutdownBy announces that this node shuts down. By the deadline, in ms of the clock, each request
 // is answered or its answer has started; no attempt gets a later timeout.
-func (t *Router) ShutdownBy(at float64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.handle(Shutdown{Deadline: duration(at)})
+func (r *Router) ShutdownBy(deadline float64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.handle(Shutdown{Deadline: duration(deadline)})
 }
 
 // Accepts tells whether a server may get new work at this moment.
-func (t *Router) Accepts(id ServerID) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	v := t.sched.servers[id]
-	return v != nil && v.listed
+func (r *Router) Accepts(id ServerID) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	server := r.scheduler.servers[id]
+	return server != nil && server.active
 }
 
 // LastResponseAt returns when a server last sent anything to this node, in ms of the clock; 0 = never.
-func (t *Router) LastResponseAt(id ServerID) float64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if v := t.sched.servers[id]; v != nil {
-		return millis(v.heardAt)
+func (r *Router) LastResponseAt(id ServerID) float64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if server := r.scheduler.servers[id]; server != nil {
+		return millis(server.lastResponseAt)
 	}
 	return 0
 }
 
 // Share sets how many processes, including this one, count as one node. Each of them uses
 // its part of the node's slow-start budget only.
-func (t *Router) Share(processes int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.sched.copies = float64(max(processes, 1))
+func (r *Router) Share(processes int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.scheduler.processes = float64(max(processes, 1))
 }
 
 // CountEngines counts the servers in the membership, including draining ones, and those of
 // them that get no ordinary work at this moment.
-func (t *Router) CountEngines() (listed, avoided int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.sched.now = max(t.sched.now, t.now())
-	for _, v := range t.sched.order {
-		if v.State != StateRemoved {
+func (r *Router) CountEngines() (listed, avoided int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.scheduler.now = max(r.scheduler.now, r.now())
+	for _, server := range r.scheduler.sortedServers {
+		if server.State != StateRemoved {
 			listed++
 		}
-		if t.sched.avoided(v) {
+		if r.scheduler.avoided(server) {
 			avoided++
 		}
 	}
@@ -158,98 +158,100 @@
 }
 
 // RetryAfter returns the ms after which a refused client is told to try again; 0 = no advice.
-func (t *Router) RetryAfter() float64 { return millis(t.sched.set.Limits.MaxRetryAfter) }
+func (r *Router) RetryAfter() float64 { return millis(r.scheduler.settings.Limits.MaxRetryAfter) }
 
 // Pick admits a request and waits for its first step. The end of ctx means that the client
 // has left. After a StepSend, the caller must call ReportResult.
-func (t *Router) Pick(ctx context.Context, c RequestInfo) (Step, error) {
-	f, err := t.take(ctx, c)
+func (r *Router) Pick(ctx context.Context, info RequestInfo) (Step, error) {
+	flight, err := r.admit(ctx, info)
 	if err != nil {
 		return Step{}, err
 	}
-	return t.wait(c.ID, f), nil
+	return r.waitForStep(info.ID, flight), nil
 }
 
-func (t *Router) take(ctx context.Context, c RequestInfo) (*flight, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// admit registers a request and passes it to the scheduler.
+func (r *Router) admit(ctx context.Context, info RequestInfo) (*flight, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	switch {
-	case t.sched.classes[c.Class] == nil:
-		return nil, fmt.Errorf("%w: %q", ErrUnknownClass, c.Class)
-	case t.flights[c.ID] != nil:
-		return nil, fmt.Errorf("%w: %q", ErrDuplicate, c.ID)
+	case r.scheduler.classes[info.Class] == nil:
+		return nil, fmt.Errorf("%w: %q", ErrUnknownClass, info.Class)
+	case r.flights[info.ID] != nil:
+		return nil, fmt.Errorf("%w: %q", ErrDuplicate, info.ID)
 	}
-	f := &flight{ctx: ctx, ready: make(chan struct{}, 1)}
-	t.flights[c.ID] = f
-	if _, ok := t.sched.quota[c.Tenant]; !ok {
-		c.Tenant = "" // the settings have none of this name: nothing is kept for what clients make up
+	flight := &flight{ctx: ctx, changed: make(chan struct{}, 1)}
+	r.flights[info.ID] = flight
+	if _, ok := r.scheduler.tenantQuota[info.Tenant]; !ok {
+		info.Tenant = "" // not in the settings: no state is kept for names that clients make up
 	}
-	t.handle(Request{
-		ID: c.ID, Class: c.Class, Tenant: c.Tenant, Session: c.Session, Prefix: c.Prefix,
-		PrefixTokens: c.PrefixTokens, PromptTokens: c.PromptTokens, MaxOutputTokens: c.MaxOutputTokens,
-		TimeLeft: duration(c.Remaining), Retry: c.Retry,
+	r.handle(Request{
+		ID: info.ID, Class: info.Class, Tenant: info.Tenant, Session: info.Session, Prefix: info.Prefix,
+		PrefixTokens: info.PrefixTokens, PromptTokens: info.PromptTokens, MaxOutputTokens: info.MaxOutputTokens,
+		TimeLeft: duration(info.Remaining), Retry: info.Retry,
 	})
-	return f, nil
+	return flight, nil
 }
 
 // ReportResult reports how an attempt ended and waits for the request's next step.
-func (t *Router) ReportResult(id RequestID, attempt int, res Result) Step {
-	f := t.ended(id, attempt, res)
-	if f == nil {
+func (r *Router) ReportResult(id RequestID, attempt int, result Result) Step {
+	flight := r.recordResult(id, attempt, result)
+	if flight == nil {
 		return Step{Kind: StepDone}
 	}
-	return t.wait(id, f)
+	return r.waitForStep(id, flight)
 }
 
-func (t *Router) ended(id RequestID, attempt int, res Result) *flight {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	f := t.flights[id]
-	if f == nil || attempt >= len(f.sent) {
+// recordResult passes the end of an attempt to the scheduler. It returns nil for an unknown attempt.
+func (r *Router) recordResult(id RequestID, attempt int, result Result) *flight {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	flight := r.flights[id]
+	if flight == nil || attempt >= len(flight.sentAt) {
 		return nil
 	}
-	t.leave(id, f) // the module hears that the client has left before it plans on
-	f.out--
-	f.cancel[attempt]()
-	f.over = f.over || res.Status == StatusServed
-	t.handle(Outcome{
-		ID: id, Attempt: attempt, Server: t.engine(id, attempt), Status: res.Status, RequestDone: f.over, Detail: res.Detail,
-		Latency: duration(t.clock.Now() - f.sent[attempt]), Report: res.Report,
+	r.checkDisconnect(id, flight) // before the outcome, or the scheduler would plan another attempt
+	flight.inFlight--
+	flight.cancels[attempt]()
+	flight.done = flight.done || result.Status == StatusServed
+	r.handle(Outcome{
+		ID: id, Attempt: attempt, Server: r.attemptServer(id, attempt), Status: result.Status,
+		RequestDone: flight.done, Detail: result.Detail, Latency: duration(r.clock.Now() - flight.sentAt[attempt]), Report: result.Report,
 	})
-	return f
+	return flight
 }
 
 // Next waits for the step that follows a StepRelease.
-func (t *Router) Next(id RequestID) Step {
-	f := t.flight(id)
-	if f == nil {
+func (r *Router) Next(id RequestID) Step {
+	flight := r.findFlight(id)
+	if flight == nil {
 		return Step{Kind: StepDone}
 	}
-	return t.wait(id, f)
+	return r.waitForStep(id, flight)
 }
 
-func (t *Router) flight(id RequestID) *flight {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.flights[id]
+func (r *Router) findFlight(id RequestID) *flight {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.flights[id]
 }
 
 // AnswerStarted reports that an attempt's answer has started. From then on the answer is passed
 // on to the client; false means that the client has already left or has a final answer.
-func (t *Router) AnswerStarted(id RequestID, attempt int) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	f := t.flights[id]
-	if f == nil || attempt >= len(f.sent) {
+func (r *Router) AnswerStarted(id RequestID, attempt int) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	flight := r.flights[id]
+	if flight == nil || attempt >= len(flight.sentAt) {
 		return false
 	}
-	t.leave(id, f)
-	if f.over {
+	r.checkDisconnect(id, flight)
+	if flight.done {
 		return false
 	}
-	f.over = true
-	t.handle(AnswerStarted{
-		ID: id, Attempt: attempt, Server: t.engine(id, attempt), Latency: duration(t.clock.Now() - f.sent[attempt]),
+	flight.done = true
+	r.handle(AnswerStarted{
+		ID: id, Attempt: attempt, Server: r.attemptServer(id, attempt), Latency: duration(r.clock.Now() - flight.sentAt[attempt]),
 	})
 	return true
 }
@@ -259,64 +261,67 @@
 // last made progress, and oneEvent that this one has brought a single event. The result probe
 // asks for a probe of the engine, whose report would decide. The answer may have been started
 // by another process.
-func (t *Router) AnswerStalled(id RequestID, attempt int, engine ServerID, since, others float64, first bool) (over, ask bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.sched.now = max(t.sched.now, t.now())
-	v := t.sched.servers[engine]
-	if v == nil {
+func (r *Router) AnswerStalled(
+	id RequestID, attempt int, engine ServerID, silentSince, othersProgressAt float64, oneEvent bool) (stalled, probe bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.scheduler.now = max(r.scheduler.now, r.now())
+	server := r.scheduler.servers[engine]
+	if server == nil {
 		return false, false
 	}
-	return t.sched.stopped(t.sched.reqs[id], attempt, v, duration(since), duration(others), first)
+	return r.scheduler.answerStalled(r.scheduler.requests[id], attempt, server,
+		duration(silentSince), duration(othersProgressAt), oneEvent)
 }
 
 // ReportReservation reports whether a reservation is held, and returns the decode engine
 // to ask next, if any.
-func (t *Router) ReportReservation(id RequestID, attempt int, engine ServerID, held bool) (next Server, ok bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	f := t.flights[id]
-	if f == nil || f.over || attempt != len(f.sent)-1 || f.out == 0 {
+func (r *Router) ReportReservation(id RequestID, attempt int, engine ServerID, held bool) (next Server, ok bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	flight := r.flights[id]
+	if flight == nil || flight.done || attempt != len(flight.sentAt)-1 || flight.inFlight == 0 {
 		return Server{}, false
 	}
-	t.handle(ReservationResult{ID: id, Attempt: attempt, Server: engine, Held: held})
-	next, f.place = f.place, Server{}
+	r.handle(ReservationResult{ID: id, Attempt: attempt, Server: engine, Held: held})
+	next, flight.reserveNext = flight.reserveNext, Server{}
 	return next, next.ID != ""
 }
 
 // ReportProbeResult reports how a probe ended.
-func (t *Router) ReportProbeResult(engine ServerID, status Status, report Report) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.handle(ProbeResult{Server: engine, Status: status, Report: report})
+func (r *Router) ReportProbeResult(engine ServerID, status Status, report Report) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.handle(ProbeResult{Server: engine, Status: status, Report: report})
 }
 
 // Tick runs the timers that have expired and returns the milliseconds until the next
 // one, +Inf without any.
-func (t *Router) Tick() (next float64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for len(t.timers) > 0 {
-		now := t.now()
-		if left := t.timers[0].At - now; left > 0 {
+func (r *Router) Tick() (next float64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for len(r.timers) > 0 {
+		now := r.now()
+		if left := r.timers[0].At - now; left > 0 {
 			return float64(left) / float64(time.Millisecond)
 		}
-		t.handle(TimerFired{heap.Pop(&t.timers).(SetTimer).Token})
+		r.handle(TimerFired{heap.Pop(&r.timers).(SetTimer).Token})
 	}
 	return math.Inf(1)
 }
 
 // Wake receives a value when Tick has to be called earlier than it last returned.
-func (t *Router) Wake() <-chan struct{} { return t.wake }
+func (r *Router) Wake() <-chan struct{} { return r.wake }
 
-func (t *Router) engine(id RequestID, attempt int) ServerID {
-	if r := t.sched.reqs[id]; r != nil && attempt < len(r.attempts) {
-		return r.attempts[attempt].srv.ID
+// attemptServer returns the server of an attempt, or "" for an unknown one.
+func (r *Router) attemptServer(id RequestID, attempt int) ServerID {
+	if request := r.scheduler.requests[id]; request != nil && attempt < len(request.attempts) {
+		return request.attempts[attempt].server.ID
 	}
 	return ""
 }
 
-func (t *Router) now() time.Duration { return duration(t.clock.Now()) }
+func (r *Router) now() time.Duration { return duration(r.clock.Now()) }
 
 func duration(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
--- a/facade_test.go
+++ b/facade_test.go
@@ -58,8 +58,8 @@
 		t.Error("an answer begins once")
 	}
 	same(t, Step{Kind: StepDone}, r.ReportResult("a", 1, Result{Status: StatusServed}))
-	if len(r.flights) != 0 || len(r.sched.reqs) != 0 {
-		t.Errorf("left: %v, %v", r.flights, r.sched.reqs)
+	if len(r.flights) != 0 || len(r.scheduler.requests) != 0 {
+		t.Errorf("left: %v, %v", r.flights, r.scheduler.requests)
 	}
 }
 
@@ -97,8 +97,8 @@
 	same(t, Step{Kind: StepDone, Release: true}, r.ReportResult("a", 0, Result{Status: StatusCancelled}))
 	step, _ = r.Pick(ctx, call("b", "pay")) // it had left before
 	same(t, Step{Kind: StepDone, Release: true}, step)
-	if len(r.flights) != 0 || len(r.sched.reqs) != 0 {
-		t.Errorf("left: %v, %v", r.flights, r.sched.reqs)
+	if len(r.flights) != 0 || len(r.scheduler.requests) != 0 {
+		t.Errorf("left: %v, %v", r.flights, r.scheduler.requests)
 	}
 }
 
--- a/fairness_test.go
+++ b/fairness_test.go
@@ -53,7 +53,7 @@
 	for _, action := range gateway.do(e) {
 		switch a := action.(type) {
 		case Send:
-			s.attempt(gateway, a, len(gateway.s.reqs[a.ID].attempts)-1)
+			s.attempt(gateway, a, len(gateway.s.requests[a.ID].attempts)-1)
 		case Reserve:
 			s.after(ms, func() { s.tell(gateway, ReservationResult{ID: a.ID, Server: a.Server, Held: true}) })
 		case Probe:
@@ -71,7 +71,7 @@
 }
 
 func (s *simulation) attempt(gateway *node, a Send, number int) {
-	request := gateway.s.reqs[a.ID]
+	request := gateway.s.requests[a.ID]
 	if gateway.s.servers[a.Server].role != RoleRead {
 		s.after(5*ms, func() {
 			s.tell(gateway, Outcome{ID: a.ID, Attempt: number, Server: a.Server, Status: StatusServed, RequestDone: true, Latency: 5 * ms})
--- a/flight.go
+++ b/flight.go
@@ -5,156 +5,160 @@
 	"context"
 )
 
-// flight is a request on its way through the router.
+// flight is a request that the router has admitted and not finished.
 type flight struct {
-	ctx     context.Context
-	ready   chan struct{} // something below has changed
-	step    Step          // the next one; Kind 0 = not known yet
-	place   Server        // a place to ask for while a read is out
-	release bool
-	over    bool
-	out     int // attempts
-	sent    []float64
-	cancel  []context.CancelFunc
+	ctx            context.Context
+	changed        chan struct{} // receives a value when a field below has changed
+	nextStep       Step          // Kind 0 = not known yet
+	reserveNext    Server        // decode server to ask for a reservation while a prefill is in flight
+	releasePending bool
+	done           bool
+	inFlight       int // attempts
+	sentAt         []float64
+	cancels        []context.CancelFunc
 }
 
-// wait gives a flight's next step once there is one.
-func (t *Router) wait(id RequestID, f *flight) Step {
+// waitForStep returns a flight's next step once there is one.
+func (r *Router) waitForStep(id RequestID, flight *flight) Step {
 	for {
-		if step := t.step(id, f); step.Kind != 0 {
+		if step := r.takeStep(id, flight); step.Kind != 0 {
 			return step
 		}
 		select {
-		case <-f.ready:
-		case <-f.ctx.Done():
+		case <-flight.changed:
+		case <-flight.ctx.Done():
 		}
 	}
 }
 
-// step gives a flight's next step, without a kind as long as there is none.
-func (t *Router) step(id RequestID, f *flight) Step {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.leave(id, f)
-	step := f.step
+// takeStep returns a flight's next step, or one without a kind as long as there is none.
+func (r *Router) takeStep(id RequestID, flight *flight) Step {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.checkDisconnect(id, flight)
+	step := flight.nextStep
 	switch {
 	case step.Kind != 0:
-	case f.over:
+	case flight.done:
 		step.Kind = StepDone
-	case f.release:
+	case flight.releasePending:
 		step.Kind = StepRelease
 	default:
 		return step
 	}
-	step.Release = f.release
-	f.step, f.release = Step{}, false
-	if f.over && f.out == 0 {
-		delete(t.flights, id)
+	step.Release = flight.releasePending
+	flight.nextStep, flight.releasePending = Step{}, false
+	if flight.done && flight.inFlight == 0 {
+		delete(r.flights, id)
 	}
 	return step
 }
 
-// leave tells the module that a request's client has left. A step not yet
-// taken up is dropped, its attempt reported as never sent.
-func (t *Router) leave(id RequestID, f *flight) {
-	if f.over || f.ctx.Err() == nil {
+// checkDisconnect reports to the scheduler if a request's client has left. A step that has
+// not been taken is dropped.
+func (r *Router) checkDisconnect(id RequestID, flight *flight) {
+	if flight.done || flight.ctx.Err() == nil {
 		return
 	}
-	f.over = true
-	t.handle(ClientDisconnected{id})
-	t.drop(id, f)
+	flight.done = true
+	r.handle(ClientDisconnected{id})
+	r.dropStep(id, flight)
 }
 
-// drop takes back a step that has not been taken up, and reports its attempt as never sent.
-func (t *Router) drop(id RequestID, f *flight) {
-	step := f.step
-	f.step = Step{}
+// dropStep drops a step that has not been taken, and reports its attempt as never sent.
+func (r *Router) dropStep(id RequestID, flight *flight) {
+	step := flight.nextStep
+	flight.nextStep = Step{}
 	if step.Kind != StepSend {
 		return
 	}
-	f.out--
-	f.cancel[step.Attempt]()
-	t.handle(Outcome{ID: id, Attempt: step.Attempt, Server: step.Engine.ID, Status: StatusNotSent, RequestDone: true})
+	flight.inFlight--
+	flight.cancels[step.Attempt]()
+	r.handle(Outcome{ID: id, Attempt: step.Attempt, Server: step.Engine.ID, Status: StatusNotSent, RequestDone: true})
 }
 
-// handle puts an event to the module and turns its actions into steps.
-func (t *Router) handle(e Event) {
-	for _, a := range t.sched.Handle(t.now(), e, nil) {
+// handle passes an event to the scheduler and turns its actions into steps.
+func (r *Router) handle(e Event) {
+	for _, a := range r.scheduler.Handle(r.now(), e, nil) {
 		switch a := a.(type) {
 		case Send:
-			t.send(a)
+			r.startAttempt(a)
 		case Reserve:
-			if f := t.flights[a.ID]; f != nil {
-				place := t.sched.servers[a.Server].Server
-				if f.step.Kind == StepSend {
-					f.step.ReserveAt = place
+			if flight := r.flights[a.ID]; flight != nil {
+				server := r.scheduler.servers[a.Server].Server
+				if flight.nextStep.Kind == StepSend {
+					flight.nextStep.ReserveAt = server
 				} else {
-					f.place = place
+					flight.reserveNext = server
 				}
 			}
 		case Release:
-			if f := t.flights[a.ID]; f != nil {
-				f.release = true
-				f.signal()
+			if flight := r.flights[a.ID]; flight != nil {
+				flight.releasePending = true
+				flight.notify()
 			}
 		case Cancel:
-			if f := t.flights[a.ID]; f != nil {
-				f.cancel[a.Attempt]()
+			if flight := r.flights[a.ID]; flight != nil {
+				flight.cancels[a.Attempt]()
 			}
 		case Refuse:
-			t.final(a.ID, Step{Kind: StepRefuse, RetryAfter: millis(a.RetryAfter), Reason: a.Reason})
+			r.finish(a.ID, Step{Kind: StepRefuse, RetryAfter: millis(a.RetryAfter), Reason: a.Reason})
 		case Fail:
-			t.final(a.ID, Step{Kind: StepFail, Reason: a.Reason})
+			r.finish(a.ID, Step{Kind: StepFail, Reason: a.Reason})
 		case SetTimer:
-			heap.Push(&t.timers, a)
-			if t.timers[0] == a {
+			heap.Push(&r.timers, a)
+			if r.timers[0] == a {
 				select {
-				case t.wake <- struct{}{}:
+				case r.wake <- struct{}{}:
 				default:
 				}
 			}
 		case Probe:
-			t.probe(t.sched.servers[a.Server].Server)
+			r.probe(r.scheduler.servers[a.Server].Server)
 		}
 	}
 }
 
-func (t *Router) send(a Send) {
-	f := t.flights[a.ID]
-	ctx, cancel := context.WithCancel(f.ctx)
-	v := t.sched.servers[a.Server]
-	r := t.sched.reqs[a.ID]
-	once, until := v.role != RoleRead && r.class.Effect == SideEffect, 0.0
-	if v.role != RoleRead && r.class.Effect == TokenEffect && r.ran != nil {
-		until = millis(r.ran.sent + r.class.Window)
+// startAttempt makes the scheduler's Send action the next step of a flight.
+func (r *Router) startAttempt(send Send) {
+	flight := r.flights[send.ID]
+	ctx, cancel := context.WithCancel(flight.ctx)
+	server := r.scheduler.servers[send.Server]
+	request := r.scheduler.requests[send.ID]
+	nonRepeatable, sendBefore := server.role != RoleRead && request.class.Effect == SideEffect, 0.0
+	if server.role != RoleRead && request.class.Effect == TokenEffect && request.firstRun != nil {
+		sendBefore = millis(request.firstRun.sentAt + request.class.Window)
 	}
-	f.step = Step{
-		Kind: StepSend, Attempt: len(f.sent), Engine: v.Server, Prefill: v.role == RoleRead, NonRepeatable: once, SendBefore: until,
-		Timeout: millis(a.Timeout), Context: ctx,
+	flight.nextStep = Step{
+		Kind: StepSend, Attempt: len(flight.sentAt), Engine: server.Server, Prefill: server.role == RoleRead,
+		NonRepeatable: nonRepeatable, SendBefore: sendBefore, Timeout: millis(send.Timeout), Context: ctx,
 	}
-	f.sent, f.cancel, f.out = append(f.sent, t.clock.Now()), append(f.cancel, cancel), f.out+1
-	f.signal()
+	flight.sentAt, flight.cancels, flight.inFlight =
+		append(flight.sentAt, r.clock.Now()), append(flight.cancels, cancel), flight.inFlight+1
+	flight.notify()
 }
 
-func (t *Router) final(id RequestID, step Step) {
-	f := t.flights[id]
-	if f == nil {
+// finish gives a flight its final step.
+func (r *Router) finish(id RequestID, step Step) {
+	flight := r.flights[id]
+	if flight == nil {
 		return
 	}
-	f.over = true
-	t.drop(id, f) // a node that ends gives up requests whose attempts are out
-	f.step = step
-	f.signal()
+	flight.done = true
+	r.dropStep(id, flight) // a node that shuts down gives up requests whose attempts are in flight
+	flight.nextStep = step
+	flight.notify()
 }
 
-func (f *flight) signal() {
+// notify wakes waitForStep.
+func (f *flight) notify() {
 	select {
-	case f.ready <- struct{}{}:
+	case f.changed <- struct{}{}:
 	default:
 	}
 }
 
-// timerHeap orders timers by the time that they fall due.
+// timerHeap orders timers by expiry.
 type timerHeap []SetTimer
 
 func (h timerHeap) Len() int { return len(h) }
@@ -165,10 +169,10 @@
 
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (h *timerHeap) Push(x any) { *h = append(*h, x.(SetTimer)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
--- a/health.go
+++ b/health.go
@@ -6,151 +6,172 @@
 	"time"
 )
 
-// judge moves the health of a server and of the path to its zone: one where all
-// fails is left as a whole. Peers are the yardstick: shared trouble ejects nobody.
-func (s *Scheduler) judge(v *server, r *request, ok bool) {
-	v.sample(ok)
-	if v.Zone != s.set.Zone {
-		all := !slices.ContainsFunc(s.order, func(o *server) bool {
-			return o.listed && (o.Zone == v.Zone && o.fail < failLimit/2 || o.Zone == s.set.Zone && o.fail > failLimit)
+// updateHealth records the result of an attempt for a server and for the network path to its zone,
+// and ejects outliers. A server is compared with its peers, so that trouble that all of them share
+// ejects none. A zone in which every server fails is ejected as a whole.
+func (s *Scheduler) updateHealth(server *trackedServer, request *trackedRequest, ok bool) {
+	server.addSample(ok)
+	if server.Zone != s.settings.Zone {
+		zoneFails := !slices.ContainsFunc(s.sortedServers, func(other *trackedServer) bool {
+			return other.active && (other.Zone == server.Zone && other.failureRate < ejectFailureRate/2 ||
+				other.Zone == s.settings.Zone && other.failureRate > ejectFailureRate)
 		})
-		v.path.sample(ok)
-		v.path.judge(s.now, r.ID, ok, !ok && all && v.path.fail > 2*failLimit)
+		server.zonePath.addSample(ok)
+		server.zonePath.updateEjection(s.now, request.ID, ok,
+			!ok && zoneFails && server.zonePath.failureRate > 2*ejectFailureRate)
 	}
-	peers, gone, fails, ratios := 0.0, 1.0, 0.0, []float64{}
-	for _, o := range s.order {
-		if o == v || !o.listed || o.role != v.role {
+	peers, ejected, sumFailureRates, latencyRatios := 0.0, 1.0, 0.0, []float64{}
+	for _, other := range s.sortedServers {
+		if other == server || !other.active || other.role != server.role {
 			continue
 		}
 		peers++
-		fails += o.fail
-		ratios = append(ratios, o.ratio)
-		if o.ejected {
-			gone++
+		sumFailureRates += other.failureRate
+		latencyRatios = append(latencyRatios, other.latencyRatio)
+		if other.ejected {
+			ejected++
 		}
 	}
 	var bad bool
-	if peers > 0 && gone <= ejectShare*(peers+1) {
-		slices.Sort(ratios)
-		bad = ok && v.ratio > slowLimit*max(ratios[len(ratios)/2], 1) || !ok && v.fail > failLimit+fails/peers/2
+	if peers > 0 && ejected <= maxEjectedShare*(peers+1) {
+		slices.Sort(latencyRatios)
+		bad = ok && server.latencyRatio > ejectLatencyRatio*max(latencyRatios[len(latencyRatios)/2], 1) ||
+			!ok && server.failureRate > ejectFailureRate+sumFailureRates/peers/2
 	}
-	if was := v.ejected; v.judge(s.now, r.ID, ok, bad) && was {
-		v.ratio = 1
+	if wasEjected := server.ejected; server.updateEjection(s.now, request.ID, ok, bad) && wasEjected {
+		server.latencyRatio = 1
 	}
 }
 
-// sample takes in one result.
-func (h *health) sample(ok bool) {
-	h.fail *= 1 - ewma
+// addSample adds one result to the failure rate.
+func (h *health) addSample(ok bool) {
+	h.failureRate *= 1 - ewmaWeight
 	if !ok {
-		h.fail += ewma
+		h.failureRate += ewmaWeight
 	}
 }
 
-// judge ejects on bad and tells whether all is well. What is ejected comes
-// back by a single trial, later each time that the trial fails.
-func (h *health) judge(now time.Duration, id RequestID, ok, bad bool) bool {
+// updateEjection ejects on bad and returns whether the server or path is in rotation. After an
+// ejection, a single trial request decides about its return; the backoff doubles with each failed trial.
+func (h *health) updateEjection(now time.Duration, id RequestID, ok, bad bool) bool {
 	switch {
-	case h.ejected && h.trial != id:
+	case h.ejected && h.trialRequest != id:
 		return false
 	case h.ejected && ok:
-		h.ejected, h.fail = false, min(h.fail, failLimit*0.7)
+		h.ejected, h.failureRate = false, min(h.failureRate, ejectFailureRate*0.7)
 	case h.ejected || bad:
 		h.ejected = true
-		h.backoff = max(min(h.backoff*2, backoffMax), backoffFirst)
-		h.until = now + h.backoff
-	case h.fail < failLimit/4:
+		h.backoff = max(min(h.backoff*2, maxBackoff), minBackoff)
+		h.ejectedUntil = now + h.backoff
+	case h.failureRate < ejectFailureRate/4:
 		h.backoff = 0
 	}
 	return !h.ejected
 }
 
-func (h *health) due(now time.Duration) bool { return h.ejected && now >= h.until && h.trial == "" }
+func (h *health) trialDue(now time.Duration) bool {
+	return h.ejected && now >= h.ejectedUntil && h.trialRequest == ""
+}
 
-// overloaded tells of a reader that by its own word holds far more than its peers: it
-// hangs, or has been found by too many at once.
-func (s *Scheduler) overloaded(v *server) bool {
-	told, n := s.mean(v.role, func(o *server) (float64, bool) {
-		return o.report[ReportInFlight], o != v && len(o.report) > 0
+// overloaded tells whether a prefill server reports far more requests in flight than its peers: it
+// hangs, or too many nodes have chosen it at once.
+func (s *Scheduler) overloaded(server *trackedServer) bool {
+	meanInFlight, reporting := s.meanOver(server.role, func(peer *trackedServer) (float64, bool) {
+		return peer.report[ReportInFlight], peer != server && len(peer.report) > 0
 	})
-	return s.set.Nodes > manyNodes && v.role == RoleRead && n > 0 && v.report[ReportInFlight]-told > countGap
+	return s.settings.Nodes > manyNodes && server.role == RoleRead && reporting > 0 &&
+		server.report[ReportInFlight]-meanInFlight > maxLoadGap
 }
 
-// usable tells whether a request may go to a server at this moment.
-func (s *Scheduler) usable(r *request, v *server) bool {
-	return v.listed && !r.tried[v] && r.mayRunOn(v, s.now) && s.now >= v.pausedUntil && s.slowStartAllows(v, r)
+// usable tells whether a request may be sent to a server at this moment. Ejected servers may be
+// usable: see eligibleServers.
+func (s *Scheduler) usable(request *trackedRequest, server *trackedServer) bool {
+	return server.active && !request.tried[server] && request.mayRunOn(server, s.now) &&
+		s.now >= server.pausedUntil && s.slowStartAllows(server, request)
 }
 
-func (s *Scheduler) trusted(v *server) bool { return !v.ejected && !v.path.ejected }
+// healthy tells whether neither the server nor the network path to its zone is ejected.
+func (s *Scheduler) healthy(server *trackedServer) bool {
+	return !server.ejected && !server.zonePath.ejected
+}
 
-// avoided tells of a server in the list that the ordinary path leaves out at this moment: it
-// drains, is ejected or its zone is, or it turned something away of late.
-func (s *Scheduler) avoided(v *server) bool {
-	return v.State != StateRemoved && (!v.listed || !s.trusted(v) || s.now < v.pausedUntil)
+// avoided tells whether a server of the membership gets no ordinary requests at this moment: it
+// drains, it or its zone is ejected, or sends to it are paused after a rejection or a failed connect.
+func (s *Scheduler) avoided(server *trackedServer) bool {
+	return server.State != StateRemoved && (!server.active || !s.healthy(server) || s.now < server.pausedUntil)
 }
 
 // inSlowStart tells whether a server may still be warming up.
-func (s *Scheduler) inSlowStart(v *server) bool {
-	return v.Started > 0 && s.now-v.Started < s.set.Rules.SlowStartDuration
+func (s *Scheduler) inSlowStart(server *trackedServer) bool {
+	return server.Started > 0 && s.now-server.Started < s.settings.Rules.SlowStartDuration
 }
 
-// slowStartAllows keeps rule 4: this node's part of what a cold server can take, from
-// what warm ones finish. Under one request a window it is one in so many
-// windows, the first at a time drawn by seed, so that the sum keeps to it.
-func (s *Scheduler) slowStartAllows(v *server, r *request) bool {
-	if !s.inSlowStart(v) || s.set.Rules.SlowStartMultiple == 0 {
+// slowStartAllows enforces rule 4: this node's part of the slow-start budget of a server, which
+// follows from what warm servers finish. A part of less than one request per window is one request in
+// so many windows, the first at a random time, so that the sum over all nodes stays in the budget.
+// With many nodes, creditSlowStart and creditChanceAllowance hand out the budget instead.
+func (s *Scheduler) slowStartAllows(server *trackedServer, request *trackedRequest) bool {
+	if !s.inSlowStart(server) || s.settings.Rules.SlowStartMultiple == 0 {
 		return true
 	}
-	if s.set.Nodes > manyNodes {
-		return v.credit.Covers()
+	if s.settings.Nodes > manyNodes {
+		return server.slowStartCredit.Covers()
 	}
-	rules, cost := s.set.Rules, max(s.cost[r.class], 1)
-	each, _ := s.mean(v.role, func(o *server) (float64, bool) {
-		return o.done.Add(s.now, rules.SlowStartWindow, 0), !s.inSlowStart(o)
+	rules, cost := s.settings.Rules, max(s.classTokens[request.class], 1)
+	warmRate, _ := s.meanOver(server.role, func(peer *trackedServer) (float64, bool) {
+		return peer.warmThroughput.Add(s.now, rules.SlowStartWindow, 0), !s.inSlowStart(peer)
 	})
-	budget, nodes := each*rules.SlowStartWindow.Seconds()*rules.SlowStartMultiple*
-		rules.SlowStartCapacity, float64(s.set.Nodes)
-	k := max(budget*nodes/cost, 1) // of all nodes; their draws may by chance fall together, by three deviations
-	part := min(slowStartMargin, 1-s.crowd+math.Pow(math.Sqrt(9+4*k)-3, 2)/4/k)
-	budget = max(budget*part, cost*max(1/nodes, math.Pow(1-s.crowd, 2))) / s.copies // many nodes share one
+	budget, nodes := warmRate*rules.SlowStartWindow.Seconds()*rules.SlowStartMultiple*
+		rules.SlowStartCapacity, float64(s.settings.Nodes)
+	// The sends of all nodes may by chance fall into one window: room for three standard deviations.
+	fleetSends := max(budget*nodes/cost, 1)
+	share := min(slowStartMargin, 1-s.unseenShare+math.Pow(math.Sqrt(9+4*fleetSends)-3, 2)/4/fleetSends)
+	// The least budget is one request, which more than two nodes share.
+	budget = max(budget*share, cost*max(1/nodes, math.Pow(1-s.unseenShare, 2))) / s.processes
 	span := time.Duration(float64(rules.SlowStartWindow) * max(1, cost/budget))
-	sent := cost + v.sends.Within(s.now, span)
-	return sent <= max(budget, cost) && s.now-v.since >=
-		time.Duration(v.phase*float64(span-rules.SlowStartWindow))
+	sent := cost + server.slowStartSends.Within(s.now, span)
+	return sent <= max(budget, cost) && s.now-server.restartedAt >=
+		time.Duration(server.slowStartPhase*float64(span-rules.SlowStartWindow))
 }
 
-// creditSlowStart hands out sends to servers in slow start, where many nodes share their budget,
-// for a request that a warm peer has finished. What warm peers finish shows what a server can do
-// at the least, of which the settings allow a part in slow start. Every node hands out what its
-// own requests show, so that the sum over all nodes is that part.
-func (s *Scheduler) creditSlowStart(done *server) {
-	for _, v := range s.order {
-		if v.role == done.role && s.inSlowStart(v) && !s.inSlowStart(done) {
-			v.credit.Earn(s.set.Rules.SlowStartMultiple * s.set.Rules.SlowStartCapacity / max(s.warm(done.role), 1))
+// creditSlowStart adds to the slow-start credit of servers when a warm peer has finished a request,
+// for fleets of many nodes. What warm servers finish is the least that a server can do, and the
+// settings allow a part of it in slow start. Every node gives the credit that its own requests earn,
+// so that the sum over all nodes is that part.
+func (s *Scheduler) creditSlowStart(finished *trackedServer) {
+	for _, server := range s.sortedServers {
+		if server.role == finished.role && s.inSlowStart(server) && !s.inSlowStart(finished) {
+			server.slowStartCredit.Earn(s.settings.Rules.SlowStartMultiple *
+				s.settings.Rules.SlowStartCapacity / max(s.countWarm(finished.role), 1))
 		}
 	}
 }
 
-// warm counts the servers of a role that bear the usual load.
-func (s *Scheduler) warm(role Role) float64 {
-	_, n := s.mean(role, func(v *server) (float64, bool) { return 0, !s.inSlowStart(v) && s.trusted(v) })
-	return n
+// countWarm counts the healthy servers of a role that are not in slow start.
+func (s *Scheduler) countWarm(role Role) float64 {
+	_, count := s.meanOver(role, func(server *trackedServer) (float64, bool) {
+		return 0, !s.inSlowStart(server) && s.healthy(server)
+	})
+	return count
 }
 
-// creditChance hands out half of what the rule grants beyond the budget of n sends, 3 root n + 3
-// in a window; the other half is left to chance. The roots of the nodes' parts add up to no more
-// than the root of their sum. It is for readers, which leave much of their credit unused, as only
-// prompts go there whose beginning hashes to them, and for roles of which no warm server is left.
-func (s *Scheduler) creditChance() {
-	rules := s.set.Rules
-	_, readers := s.mean(RoleRead, func(*server) (float64, bool) { return 0, true })
-	requests := s.coming.Add(s.now, time.Second, 0) / max(s.prompt, 1) * float64(s.set.Nodes)
-	n := rules.SlowStartMultiple * rules.SlowStartCapacity *
-		requests * rules.SlowStartWindow.Seconds() / max(readers, 1)
-	for _, v := range s.order {
-		windows := float64(v.credit.Elapsed(s.now)) / float64(rules.SlowStartWindow)
-		if s.inSlowStart(v) && (v.role == RoleRead || s.warm(v.role) == 0) {
-			v.credit.Earn(windows * chanceShare * (math.Sqrt(n) + 1) / float64(s.set.Nodes) / s.copies)
+// creditChanceAllowance adds to the slow-start credit a part of the allowance for chance: beyond a
+// budget of n sends, rule 4 tolerates 3*sqrt(n)+3 more in a window. Half of it is handed out here, the
+// other half is left for chance. The square roots of the nodes' parts add up to no more than the
+// root of their sum. It is for prefill servers, which leave much of their credit unused, since only
+// prompts whose prefix hashes to them go there, and for roles that have no warm server left.
+func (s *Scheduler) creditChanceAllowance() {
+	rules := s.settings.Rules
+	_, prefillServers := s.meanOver(RoleRead, func(*trackedServer) (float64, bool) { return 0, true })
+	requestRate := s.arrivingTokens.Add(s.now, time.Second, 0) /
+		max(s.meanPromptTokens, 1) * float64(s.settings.Nodes)
+	sends := rules.SlowStartMultiple * rules.SlowStartCapacity *
+		requestRate * rules.SlowStartWindow.Seconds() / max(prefillServers, 1)
+	for _, server := range s.sortedServers {
+		windows := float64(server.slowStartCredit.Elapsed(s.now)) / float64(rules.SlowStartWindow)
+		if s.inSlowStart(server) && (server.role == RoleRead || s.countWarm(server.role) == 0) {
+			server.slowStartCredit.Earn(windows * chanceAllowance * (math.Sqrt(sends) + 1) /
+				float64(s.settings.Nodes) / s.processes)
 		}
 	}
 }
--- a/membership.go
+++ b/membership.go
@@ -5,34 +5,34 @@
 	"ashwood.example/ashwood/internal/trend"
 )
 
-// This file keeps the picture of the servers that the list tells of. It decides nothing.
+// This file applies membership entries to the scheduler's state. It decides nothing.
 
-// enter takes in an entry of the server list. A server that is not on gets nothing more from
-// this moment (rule 3).
-func (s *Scheduler) enter(entry Server) {
-	v := s.servers[entry.ID]
-	if v == nil {
-		v = newServer(entry.ID)
-		s.servers[entry.ID], s.order = v, append(s.order, v)
+// applyEntry applies an entry of the membership. A server that is not active gets no new work
+// from this moment (rule 3).
+func (s *Scheduler) applyEntry(entry Server) {
+	server := s.servers[entry.ID]
+	if server == nil {
+		server = newServer(entry.ID)
+		s.servers[entry.ID], s.sortedServers = server, append(s.sortedServers, server)
 	}
-	if entry.Started > v.Started {
-		s.restart(v)
+	if entry.Started > server.Started {
+		s.resetServer(server)
 	}
-	if s.zones[entry.Zone] == nil {
-		s.zones[entry.Zone] = &health{}
+	if s.zonePaths[entry.Zone] == nil {
+		s.zonePaths[entry.Zone] = &health{}
 	}
-	v.Server, v.path, v.listed = entry, s.zones[entry.Zone], entry.State == StateActive
+	server.Server, server.zonePath, server.active = entry, s.zonePaths[entry.Zone], entry.State == StateActive
 	if kind, known := s.kinds[entry.Kind]; known {
-		v.role, v.memory = kind.Role, max(kind.MemoryTokens, 1)
+		server.role, server.memoryTokens = kind.Role, max(kind.MemoryTokens, 1)
 	}
-	v.listed = v.listed && v.role != 0
+	server.active = server.active && server.role != 0
 }
 
-// restart empties what was known of a server that has started anew: its record, its load and the
-// blocks that it kept. Where this node stands among those that share its slow start is drawn.
-func (s *Scheduler) restart(v *server) {
-	v.health, v.ratio, v.pausedUntil, v.report, v.done = health{}, 1, 0, nil, trend.Rate{}
-	v.sends, v.since, v.phase = nil, s.now, s.rng.Float64()
-	v.credit = slowstart.NewCredit(s.now, v.phase)
-	s.table.Void(v.runs, s.now+1)
+// resetServer drops what was known about a server that has restarted: its health, its load and its
+// prefix cache. It draws this node's turn among the nodes that share the slow-start budget.
+func (s *Scheduler) resetServer(server *trackedServer) {
+	server.health, server.latencyRatio, server.pausedUntil, server.report, server.warmThroughput = health{}, 1, 0, nil, trend.Rate{}
+	server.slowStartSends, server.restartedAt, server.slowStartPhase = nil, s.now, s.rng.Float64()
+	server.slowStartCredit = slowstart.NewCredit(s.now, server.slowStartPhase)
+	s.prefixTable.Void(server.prefixRuns, s.now+1)
 }
--- a/outcomes.go
+++ b/outcomes.go
@@ -6,255 +6,269 @@
 	"time"
 )
 
-// placeNote tries the next roomiest writer once when a place is refused.
-func (s *Scheduler) placeNote(e ReservationResult) {
-	r := s.reqs[e.ID]
-	if r == nil || r.done || r.ahead == nil || r.ahead.ID != e.Server {
+// handleReservationResult asks one other decode server if a reservation was refused.
+func (s *Scheduler) handleReservationResult(e ReservationResult) {
+	request := s.requests[e.ID]
+	if request == nil || request.done || request.reservation == nil || request.reservation.ID != e.Server {
 		return
 	}
-	if r.held = e.Held; e.Held {
+	if request.reservationHeld = e.Held; e.Held {
 		return
 	}
-	r.tried[r.ahead], r.ahead = true, nil
-	if r.asked < 2 && r.out > 0 && r.state == nil {
-		s.askAhead(r, r.attempts[len(r.attempts)-1].srv)
+	request.tried[request.reservation], request.reservation = true, nil
+	if request.reservationsAsked < 2 && request.inFlight > 0 && request.stateHolder == nil {
+		s.requestReservation(request, request.attempts[len(request.attempts)-1].server)
 	}
 }
 
-func (s *Scheduler) first(e AnswerStarted) {
-	r, a := s.find(e.ID, e.Attempt, e.Server)
-	if r == nil || a.begun || !a.write {
+func (s *Scheduler) handleAnswerStarted(e AnswerStarted) {
+	request, attempt := s.findInFlight(e.ID, e.Attempt, e.Server)
+	if request == nil || attempt.answerStarted || !attempt.decodes {
 		return
 	}
-	s.worked(r, a, e.Latency)
-	s.impatience[r.Tenant] -= ewma * s.impatience[r.Tenant]
-	a.begun, r.done, r.state, r.ahead = true, true, nil, nil
-	a.srv.hear(s.now)
-	a.srv.queue -= a.tokens
+	s.recordProgress(request, attempt, e.Latency)
+	s.tenantImpatience[request.Tenant] -= ewmaWeight * s.tenantImpatience[request.Tenant]
+	attempt.answerStarted, request.done, request.stateHolder, request.reservation = true, true, nil, nil
+	attempt.server.recordResponse(s.now)
+	attempt.server.queuedTokens -= attempt.workTokens
 }
 
-// stopped tells of an answer, silent since a time, that will not go on although its
-// server is at work: that has begun what was sent later, and an answer that it took
-// back for want of memory would have been before it in the queue. Else it stops where
-// nothing waits, by the server's word, if its other answers have gone on, or, of many nodes,
-// which seldom have any there, with no second event: all nodes' work waits where it hangs.
-func (s *Scheduler) stopped(
-	r *request, n int, v *server, since, others time.Duration, first bool) (over, ask bool) {
-	waits, told := v.report[ReportQueue]
-	sign := first && s.set.Nodes > manyNodes || others-since >= stopSure/2
-	ask = sign && s.set.Limits.Probes && s.now-since < 2*stopSure
-	if s.justBack(v) {
+// answerStalled tells whether a started answer that has been silent since silentSince will not go on.
+// It has stalled if the server has started to answer a later attempt since: an answer that was
+// preempted for want of memory would have come before that one in the queue. It has also stalled if
+// the server reports an empty queue, for at a server that hangs the work of all nodes queues up, and if
+// the silence is suspicious: other answers of the server have gone on, or, with many nodes, which
+// seldom have other answers there, the answer has brought only one event. The result probe asks for a
+// probe of the server to get that report.
+func (s *Scheduler) answerStalled(
+	request *trackedRequest, index int, server *trackedServer,
+	silentSince, othersProgressAt time.Duration, oneEvent bool) (stalled, probe bool) {
+	queued, reported := server.report[ReportQueue]
+	suspicious := oneEvent && s.settings.Nodes > manyNodes || othersProgressAt-silentSince >= stallConfirmation/2
+	probe = suspicious && s.settings.Limits.Probes && s.now-silentSince < 2*stallConfirmation
+	if s.justRecovered(server) {
 		return false, false
 	}
-	idle := told && waits < 1 && v.reportAt-since >= stopSure
-	return r != nil && n < len(r.attempts) && v.began[r.attempts[n].stage] > since || ask && idle, ask
+	idle := reported && queued < 1 && server.reportAt-silentSince >= stallConfirmation
+	return request != nil && index < len(request.attempts) &&
+		server.latestStartedSend[request.attempts[index].stage] > silentSince || probe && idle, probe
 }
 
-func (s *Scheduler) outcome(e Outcome) {
-	r, a := s.find(e.ID, e.Attempt, e.Server)
-	if r == nil {
+func (s *Scheduler) handleOutcome(e Outcome) {
+	request, attempt := s.findInFlight(e.ID, e.Attempt, e.Server)
+	if request == nil {
 		return
 	}
-	v := a.srv
-	a.out, r.idle, r.out = false, s.now, r.out-1
+	server := attempt.server
+	attempt.inFlight, request.idleSince, request.inFlight = false, s.now, request.inFlight-1
 	if e.Status == StatusServed || e.Status == StatusPrefilled ||
 		e.Status == StatusRejected || e.Status == StatusServerError {
-		v.hear(s.now)
+		server.recordResponse(s.now)
 	}
-	if !a.begun {
-		v.queue -= a.tokens
+	if !attempt.answerStarted {
+		server.queuedTokens -= attempt.workTokens
 	}
-	if a.write {
-		v.held -= r.PromptTokens
+	if attempt.decodes {
+		server.decodeTokens -= request.PromptTokens
 	} else {
-		v.reads--
+		server.pendingPrefills--
 	}
-	s.heard(v, e.Report)
-	s.result(r, a, e)
-	for _, h := range []*health{&v.health, v.path} {
-		if h.trial == r.ID {
-			h.trial = ""
+	s.recordReport(server, e.Report)
+	s.recordOutcome(request, attempt, e)
+	for _, h := range []*health{&server.health, server.zonePath} {
+		if h.trialRequest == request.ID {
+			h.trialRequest = ""
 		}
 	}
 	switch {
-	case e.RequestDone && !r.done || r.done && !a.begun: // also a read that came in after the end
-		s.end(r)
-	case r.done:
-		delete(s.reqs, r.ID)
+	case e.RequestDone && !request.done || request.done && !attempt.answerStarted:
+		s.closeRequest(request) // also if a prefill has finished after the request's end
+	case request.done:
+		delete(s.requests, request.ID)
 	default:
-		s.advance(r)
+		s.advance(request)
 	}
 }
 
-// result takes in what an outcome tells of its server and its request.
-func (s *Scheduler) result(r *request, a *attempt, e Outcome) {
-	proof := []Status{StatusRejected, StatusNotSent, StatusConnectFailed, StatusPrefilled} // that it never ran
-	if a.write && r.ran == nil && !slices.Contains(proof, e.Status) {
-		r.ran = a
+// recordOutcome records what an outcome says about its server and its request.
+func (s *Scheduler) recordOutcome(request *trackedRequest, attempt *trackedAttempt, e Outcome) {
+	neverRan := []Status{StatusRejected, StatusNotSent, StatusConnectFailed, StatusPrefilled}
+	if attempt.decodes && request.firstRun == nil && !slices.Contains(neverRan, e.Status) {
+		request.firstRun = attempt
 	}
 	switch e.Status {
 	case StatusServed:
-		if !a.begun {
-			s.worked(r, a, e.Latency)
+		if !attempt.answerStarted {
+			s.recordProgress(request, attempt, e.Latency)
 		}
-		a.srv.alive = s.now
+		attempt.server.lastProgressAt = s.now
 	case StatusPrefilled:
-		s.worked(r, a, e.Latency)
-		s.parsed(r, a, e.Detail)
+		s.recordProgress(request, attempt, e.Latency)
+		s.recordPrefilled(request, attempt, e.Detail)
 	case StatusRejected:
-		if a.write && e.Detail == 1 {
-			s.releaseHeld(r) // no state to fetch: read again
-			clear(r.tried)
-		} else if e.Latency > r.class.Aim/slowRefusal {
-			a.srv.refuses[r.kind()] = s.now + backoffMax
+		if attempt.decodes && e.Detail == 1 {
+			s.releaseHolds(request) // the KV state is gone: repeat the prefill
+			clear(request.tried)
+		} else if e.Latency > request.class.Aim/slowRejectionDivisor {
+			attempt.server.rejectsUntil[request.throttleKey()] = s.now + maxBackoff
 		} else {
-			s.pauseSends(a.srv)
+			s.pauseSends(attempt.server)
 		}
 	case StatusConnectFailed:
-		if r.held && a.srv == r.ahead { // the state may have moved there: once more
-			r.tried[a.srv], r.held = false, false
+		if request.reservationHeld && attempt.server == request.reservation {
+			// The KV state may already be there: try this server once more.
+			request.tried[attempt.server], request.reservationHeld = false, false
 		}
-		if s.set.Nodes > manyNodes && e.Latency >= retryPause && a.srv.Zone != s.set.Zone {
-			r.near = true // a whole zone may be silent: the next try is not to wait for it too
+		if s.settings.Nodes > manyNodes && e.Latency >= retryInterval && attempt.server.Zone != s.settings.Zone {
+			request.stayInZone = true // a whole zone may be unreachable: don't wait for it again
 		}
-		s.pauseSends(a.srv)
-		s.judge(a.srv, r, false)
+		s.pauseSends(attempt.server)
+		s.updateHealth(attempt.server, request, false)
 	case StatusServerError, StatusConnectionLost:
-		s.judge(a.srv, r, false)
+		s.updateHealth(attempt.server, request, false)
 	case StatusTimedOut, StatusCancelled:
 		// If a client leaves a started answer, the latency says nothing about the wait before it.
-		if !a.begun && !a.overtaken() {
-			s.pace[a.stage].Observe(s.now, e.Latency, a.queue)
+		if !attempt.answerStarted && !attempt.overtaken() {
+			s.stageLatency[attempt.stage].Observe(s.now, e.Latency, attempt.queuedTokens)
 		}
 		if e.Status == StatusTimedOut {
-			s.judge(a.srv, r, false)
+			s.updateHealth(attempt.server, request, false)
 		}
 	}
 }
 
-// parsed takes in the truth about a reader's cache. One that kept far less than
-// it surely held has forgotten what it held before (a flush, an untold restart).
-func (s *Scheduler) parsed(r *request, a *attempt, kept float64) {
-	if kept < a.kept/2 {
-		s.table.Void(a.srv.runs, a.sent)
+// recordPrefilled records the KV state of a finished prefill and updates the prefix table. A server
+// that had far fewer tokens cached than the table was sure of has lost its cache (a flush, or a restart
+// that was not reported).
+func (s *Scheduler) recordPrefilled(request *trackedRequest, attempt *trackedAttempt, cachedTokens float64) {
+	if cachedTokens < attempt.cachedTokens/2 {
+		s.prefixTable.Void(attempt.server.prefixRuns, attempt.sentAt)
 	}
-	s.table.Record(s.now, a.srv.runs, r.parts(), true)
-	r.state = a.srv
-	clear(r.tried)
-	if !r.held && s.now-a.sent > s.set.Limits.ConnectTimeout {
-		r.ahead = nil // no word of the place: the writer may not be heard
+	s.prefixTable.Record(s.now, attempt.server.prefixRuns, request.prefixParts(), true)
+	request.stateHolder = attempt.server
+	clear(request.tried)
+	if !request.reservationHeld && s.now-attempt.sentAt > s.settings.Limits.ConnectTimeout {
+		request.reservation = nil // the reservation was not confirmed: its server may be unreachable
 	}
 }
 
-// pauseSends leaves a full or dead server alone for a while that doubles until it takes
-// a request: it answers at once, and attempts would be burnt on it.
-func (s *Scheduler) pauseSends(v *server) {
-	if s.now < v.pausedUntil { // sent before the pause: a burst of refusals tells no more than one
+// pauseSends stops sends to a full or dead server for a time that doubles until it takes a
+// request. Such a server rejects at once, and attempts would be wasted on it.
+func (s *Scheduler) pauseSends(server *trackedServer) {
+	if s.now < server.pausedUntil { // sent before the pause: a burst of rejections counts as one
 		return
 	}
-	v.pause = min(max(v.pause*2, retryPause*time.Duration(max(s.set.Nodes/2, 1))), backoffMax/4)
-	v.pausedUntil = s.now + v.pause
+	server.pauseLength = min(
+		max(server.pauseLength*2, retryInterval*time.Duration(max(s.settings.Nodes/2, 1))), maxBackoff/4)
+	server.pausedUntil = s.now + server.pauseLength
 }
 
-func (s *Scheduler) timer(e TimerFired) {
-	t, ok := s.timers[e.Token]
+func (s *Scheduler) handleTimer(e TimerFired) {
+	timer, ok := s.timers[e.Token]
 	if !ok {
 		return
 	}
 	delete(s.timers, e.Token)
-	r := s.reqs[t.id]
+	request := s.requests[timer.requestID]
 	switch {
-	case t.what == watchAgain:
-		s.act(Watch{})
-	case t.what == endRequests:
-		s.endRequests()
-	case r == nil || r.done:
-	case t.what == lookAgain:
-		s.advance(r)
-	case t.what == lookForSign:
-		s.lookForSign(r, t.attempt)
-	case r.attempts[t.what].out:
-		s.overdue(r, t.what)
+	case timer.purpose == timerWatch:
+		s.emit(Watch{})
+	case timer.purpose == timerShutdown:
+		s.giveUpUnanswered()
+	case request == nil || request.done:
+	case timer.purpose == timerAdvance:
+		s.advance(request)
+	case timer.purpose == timerLiveness:
+		s.checkLiveness(request, timer.attempt)
+	case request.attempts[timer.purpose].inFlight:
+		s.handleOverdue(request, timer.purpose)
 	}
 }
 
-// overdue looks at an attempt out far longer than peers take. A server that has
-// finished anything since is busy, and leaving would lose a place in its queue;
-// one silent all along loses trust, and the attempt is called off while another
-// can earn. With little own work there, silence is no sign: it gets its aim. One
-// that has begun what was sent later has not got it: its connection fell silent.
-func (s *Scheduler) overdue(r *request, n int) {
-	a, limit := r.attempts[n], s.limit(r, r.attempts[n])
-	wait := s.now - a.sent
-	switch s.after(max(limit-wait, limit/2), timer{id: r.ID, what: n}); {
-	case wait < limit: // the pace has changed since
-	case a.overtaken() && (!a.write || wait >= 2*limit): // at writers, small states overtake
-		s.leave(r, n)
-	case a.srv.alive > a.sent || s.shared(a.srv):
-		if a.write && !a.overtaken() { // it will have taken longer yet
-			s.pace[a.stage].Observe(s.now, wait, a.queue)
+// handleOverdue checks an attempt that has been in flight far longer than its peers take. A server
+// that has made progress since the send is busy, and cancelling would lose a place in its queue. A
+// server without any progress gets a failure sample, and later the attempt is cancelled if another one
+// may follow. With many nodes there is little own work at a server, so silence is no evidence before the
+// class's aim is nearly used up. A server that has started to answer a later attempt has not got
+// this one: its connection is dead.
+func (s *Scheduler) handleOverdue(request *trackedRequest, index int) {
+	attempt, limit := request.attempts[index], s.overdueAfter(request, request.attempts[index])
+	waited := s.now - attempt.sentAt
+	switch s.setTimer(max(limit-waited, limit/2), pendingTimer{requestID: request.ID, purpose: index}); {
+	case waited < limit: // the expected latency has risen since the timer was set
+	case attempt.overtaken() && (!attempt.decodes || waited >= 2*limit): // small KV states overtake at decode
+		s.cancelForRetry(request, index)
+	case attempt.server.lastProgressAt > attempt.sentAt || s.sharedSlowness(attempt.server):
+		if attempt.decodes && !attempt.overtaken() { // the wait so far is a lower bound of the latency
+			s.stageLatency[attempt.stage].Observe(s.now, waited, attempt.queuedTokens)
 		}
-	case float64(wait) < math.Pow(s.crowd, 4)*float64(r.class.Aim):
-	case wait < 2*limit:
-		s.judge(a.srv, r, false)
+	case float64(waited) < math.Pow(s.unseenShare, 4)*float64(request.class.Aim):
+	case waited < 2*limit:
+		s.updateHealth(attempt.server, request, false)
 	default:
-		s.leave(r, n)
+		s.cancelForRetry(request, index)
 	}
 }
 
-// shared tells whether the peers of a silent server with work of this node are not
-// much livelier. Leaving it would only begin anew elsewhere what is slow everywhere.
-func (s *Scheduler) shared(v *server) bool {
-	oldest := s.oldestWaits(v.role)
-	silence := func(v *server) time.Duration { return s.now - max(oldest[v], v.alive) }
+// sharedSlowness tells whether the peers of a server that have work of this node make no progress
+// either. Leaving the server would then only restart elsewhere what is slow everywhere.
+func (s *Scheduler) sharedSlowness(server *trackedServer) bool {
+	oldest := s.oldestUnanswered(server.role)
+	silence := func(server *trackedServer) time.Duration {
+		return s.now - max(oldest[server], server.lastProgressAt)
+	}
 	var peers []time.Duration
-	for o := range oldest {
-		if o != v && o.listed {
-			peers = append(peers, silence(o))
+	for peer := range oldest {
+		if peer != server && peer.active {
+			peers = append(peers, silence(peer))
 		}
 	}
 	slices.Sort(peers)
-	return len(peers) > 0 && silence(v) < slowLimit*peers[len(peers)/2]
+	return len(peers) > 0 && silence(server) < ejectLatencyRatio*peers[len(peers)/2]
 }
 
-// leave calls an attempt off where another can earn.
-func (s *Scheduler) leave(r *request, n int) {
-	if s.maySend(r) && s.set.Limits.Cancel && (r.class.Effect == Pure || !r.attempts[n].write) {
-		s.act(Cancel{r.ID, n})
+// cancelForRetry cancels an attempt if another one may follow.
+func (s *Scheduler) cancelForRetry(request *trackedRequest, index int) {
+	if s.maySend(request) && s.settings.Limits.Cancel &&
+		(request.class.Effect == Pure || !request.attempts[index].decodes) {
+		s.emit(Cancel{request.ID, index})
 	}
 }
 
-// worked feeds the pace of a stage and the server's standing against it.
-func (s *Scheduler) worked(r *request, a *attempt, latency time.Duration) {
-	v, p := a.srv, &s.pace[a.stage]
-	v.pause, v.alive, v.began[a.stage] = 0, s.now, max(v.began[a.stage], a.sent)
-	if !s.inSlowStart(v) { // taken, not sent: a storm of rejects must not swell the cold budget
-		v.done.Add(s.now, s.set.Rules.SlowStartWindow, s.cost[r.class])
-		s.creditSlowStart(v)
+// recordProgress records that a server has started or finished an answer: its latency, its latency
+// relative to other servers, and its health.
+func (s *Scheduler) recordProgress(request *trackedRequest, attempt *trackedAttempt, latency time.Duration) {
+	server, stageLatency := attempt.server, &s.stageLatency[attempt.stage]
+	server.pauseLength, server.lastProgressAt, server.latestStartedSend[attempt.stage] =
+		0, s.now, max(server.latestStartedSend[attempt.stage], attempt.sentAt)
+	if !s.inSlowStart(server) { // counts work done, not sent: rejections must not raise the slow-start budget
+		server.warmThroughput.Add(s.now, s.settings.Rules.SlowStartWindow, s.classTokens[request.class])
+		s.creditSlowStart(server)
 	}
-	if want := p.Expect(a.queue); want > 0 {
-		v.ratio += ewma * (min(float64(latency)/want, 10) - v.ratio)
+	if expected := stageLatency.Expect(attempt.queuedTokens); expected > 0 {
+		server.latencyRatio += ewmaWeight * (min(float64(latency)/expected, 10) - server.latencyRatio)
 	}
-	p.Observe(s.now, latency, a.queue)
-	s.judge(v, r, true)
+	stageLatency.Observe(s.now, latency, attempt.queuedTokens)
+	s.updateHealth(server, request, true)
 }
 
-func (s *Scheduler) gone(e ClientDisconnected) {
-	if r := s.reqs[e.ID]; r != nil && !r.done {
-		s.impatience[r.Tenant] += ewma * (max(float64(s.minAim-s.now+r.arrived), 0) - s.impatience[r.Tenant])
-		s.end(r)
+func (s *Scheduler) handleClientDisconnected(e ClientDisconnected) {
+	if request := s.requests[e.ID]; request != nil && !request.done {
+		s.tenantImpatience[request.Tenant] += ewmaWeight *
+			(max(float64(s.minAim-s.now+request.arrivedAt), 0) - s.tenantImpatience[request.Tenant])
+		s.closeRequest(request)
 	}
 }
 
-func (s *Scheduler) probed(e ProbeResult) {
-	v := s.servers[e.Server]
-	if v == nil {
+func (s *Scheduler) handleProbeResult(e ProbeResult) {
+	server := s.servers[e.Server]
+	if server == nil {
 		return
 	}
-	s.signed(v, e.Status)
+	s.recordProbeResponse(server, e.Status)
 	if e.Status == StatusServed {
-		if s.heard(v, e.Report); s.overloaded(v) { // but else it proves nothing about a hang
-			s.pauseSends(v)
+		if s.recordReport(server, e.Report); s.overloaded(server) { // a low load does not prove that it is not hung
+			s.pauseSends(server)
 		}
 	}
 }
--- a/outcomes_test.go
+++ b/outcomes_test.go
@@ -46,8 +46,8 @@
 	n.do(AnswerStarted{ID: "a", Attempt: 1, Server: "w1", Latency: 10 * ms})
 	n.do(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: StatusServed, RequestDone: true})
 	lacks[Refuse](n)
-	if len(n.s.reqs) != 0 || n.s.servers["w1"].held != 0 || n.s.servers["w1"].queue != 0 {
-		t.Errorf("left: %v, %+v", n.s.reqs, n.s.servers["w1"])
+	if len(n.s.requests) != 0 || n.s.servers["w1"].decodeTokens != 0 || n.s.servers["w1"].queuedTokens != 0 {
+		t.Errorf("left: %v, %+v", n.s.requests, n.s.servers["w1"])
 	}
 }
 
@@ -85,9 +85,9 @@
 	n.ask("a", 1, 0)
 	n.end("a", 0, "r1", StatusPrefilled)
 	n.do(AnswerStarted{ID: "a", Attempt: 1, Server: "w1", Latency: 10 * ms})
-	before := n.s.pace[writing]
+	before := n.s.stageLatency[stageDecode]
 	n.do(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: StatusCancelled, RequestDone: true, Latency: time.Minute})
-	if n.s.pace[writing] != before || len(n.s.reqs) != 0 {
-		t.Errorf("pace %+v, was %+v; left %v", n.s.pace[writing], before, n.s.reqs)
+	if n.s.stageLatency[stageDecode] != before || len(n.s.requests) != 0 {
+		t.Errorf("pace %+v, was %+v; left %v", n.s.stageLatency[stageDecode], before, n.s.requests)
 	}
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -75,7 +75,7 @@
 			continue
 		}
 		lacks[Send](n)
-		for i := 0; i < 40 && len(n.s.reqs) > 0; i++ { // it may look for a server of the group for a while
+		for i := 0; i < 40 && len(n.s.requests) > 0; i++ { // it may look for a server of the group for a while
 			n.now += 50 * ms
 			if x, ok := pick[SetTimer](n); ok {
 				n.do(TimerFired{x.Token})
@@ -87,9 +87,9 @@
 }
 
 func TestTokenRepeatsStayInGroupAndWindow(t *testing.T) {
-	r := &request{class: &Class{Effect: TokenEffect, Group: ScopeZone, Window: time.Second}}
-	r.ran = &attempt{srv: &server{Server: Server{Zone: "a", Cell: 1}}}
-	same, other := &server{Server: Server{Zone: "a", Cell: 2}}, &server{Server: Server{Zone: "b", Cell: 1}}
+	r := &trackedRequest{class: &Class{Effect: TokenEffect, Group: ScopeZone, Window: time.Second}}
+	r.firstRun = &trackedAttempt{server: &trackedServer{Server: Server{Zone: "a", Cell: 1}}}
+	same, other := &trackedServer{Server: Server{Zone: "a", Cell: 2}}, &trackedServer{Server: Server{Zone: "b", Cell: 1}}
 	if !r.mayRunOn(same, 999*ms) || r.mayRunOn(same, time.Second) || r.mayRunOn(other, 0) {
 		t.Error("zone group or window not kept")
 	}
@@ -123,7 +123,7 @@
 			n.ask(fmt.Sprint(i), i, i)
 			n.sentTo("r2")
 			a := n.s.servers["r2"]
-			a.reads = 0
+			a.pendingPrefills = 0
 		}
 	}
 	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
@@ -186,13 +186,13 @@
 			list = append(list, v)
 		}
 		n := newNode(t, settings(), list...)
-		v, r := n.s.servers["r4"], &request{class: n.s.classes["chat"]}
-		n.s.now, n.s.cost[r.class] = n.now, 1
-		for _, o := range n.s.order {
-			o.done.Add(n.now, time.Second, 200)
+		v, r := n.s.servers["r4"], &trackedRequest{class: n.s.classes["chat"]}
+		n.s.now, n.s.classTokens[r.class] = n.now, 1
+		for _, o := range n.s.sortedServers {
+			o.warmThroughput.Add(n.now, time.Second, 200)
 		}
 		for ; sends < 1000 && n.s.slowStartAllows(v, r); sends++ {
-			v.sends.Add(n.now, 1)
+			v.slowStartSends.Add(n.now, 1)
 		}
 		return sends
 	}
@@ -225,7 +225,7 @@
 	n.do(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: StatusTimedOut, RequestDone: true})
 	wants[Release](n)
 	n = begin() // the reader turns the request away while a place is held, and no other is there
-	p := n.s.reqs["a"].ahead
+	p := n.s.requests["a"].reservation
 	n.do(ReservationResult{ID: "a", Server: p.ID, Held: true})
 	n.end("a", 0, "r1", StatusRejected)
 	wants[Release](n)
--- a/scheduler.go
+++ b/scheduler.go
@@ -1,9 +1,11 @@
-// Package ashwood decides, for one node, where prompts are read and answers
-// are written: prefix-cache-aware routing over readers (prefill), then the
-// roomiest nearby writer (decode). This file, outcomes.go, health.go and choose.go
-// hold every decision and tuned value, ending.go what becomes of requests when the node ends,
-// silence.go what becomes of attempts at servers that give no sign;
-// the interface is in types.go, what is remembered in state.go.
+// Package ashwood is the decision module of a gateway for language-model fleets. For one node it
+// decides which server prefills a prompt (prefix-cache-aware routing) and which one decodes the
+// answer (free memory nearby), and when requests are retried, refused or cancelled. It does no I/O:
+// a Scheduler receives events and returns actions, and a Router makes it usable by many goroutines.
+//
+// The decisions and their tuned values are in this file, outcomes.go, health.go and choose.go,
+// in ending.go (shutdown of the node) and silence.go (servers that stop responding). The
+// interface is in types.go and facade.go, the state in state.go.
 package ashwood
 
 import (
@@ -15,318 +17,343 @@
 	"ashwood.example/ashwood/internal/trend"
 )
 
-// The design's values (docs/design.md).
+// Values of prefix matching and load comparison (docs/design.md).
 const (
-	blockTokens = 16               // tokens in a prefix block
-	maxBlocks   = 200000           // blocks in the table
-	blockExpiry = 60 * time.Second // since last use
-	countGap    = 16               // counts further apart than this ignore matches
-	deviations  = 2                // a match may exceed the mean count by this many deviations
+	blockTokens    = 16               // tokens in a prefix block
+	maxBlocks      = 200000           // blocks in the prefix table
+	blockExpiry    = 60 * time.Second // since last use
+	maxLoadGap     = 16               // requests; a larger gap between servers overrides prefix matches
+	loadDeviations = 2                // standard deviations by which a match's load may exceed the mean
 )
 
-// Values of the guards that the design leaves open; all else follows from the settings or is learned.
+// Values of health checks, backoff, slow start and load probes. Everything else follows from the
+// settings or is learned at run time.
 const (
-	ewma            = 0.2                   // weight of a new sample
-	failLimit       = 0.35                  // failing share, above half of peers', at which a server is ejected
-	slowLimit       = 3                     // times peers' latency at which a server is ejected
-	ejectShare      = 0.5                   // of a role's servers at most that are ejected
-	backoffFirst    = time.Second           // from ejection to trial; doubles with each failed trial
-	backoffMax      = 8 * time.Second       //
-	retryPause      = 40 * time.Millisecond // between looks for a server while a request waits
-	slowStartMargin = 0.6                   // of the slow-start budget that is used
-	chanceShare     = 1.5                   // half of the 3 root n + 3 sends that the rule grants to chance
-	manyNodes       = 8                     // of which each sends a server too little to count
-	nearRoom        = 0.35                  // of the best room anywhere that a nearer writer needs
-	slightWait      = 0.1                   // of the shortest aim, no reason to leave a zone or a roomy writer
-	moveWait        = 2.5                   // times that: no reason to have a state leave its cell
-	slowRefusal     = 20                    // of the aim, from which a refusal is of this kind alone
-	transferLimit   = 0.5                   // of the shortest aim, from which on states stay in their cell
+	ewmaWeight           = 0.2                   // of a new sample in moving averages
+	ejectFailureRate     = 0.35                  // ejected above this plus half of the peers' failure rate
+	ejectLatencyRatio    = 3                     // ejected above this multiple of the peers' latency
+	maxEjectedShare      = 0.5                   // of a role's servers
+	minBackoff           = time.Second           // from ejection to trial; doubles with each failed trial
+	maxBackoff           = 8 * time.Second       // limit of that
+	retryInterval        = 40 * time.Millisecond // between tries to choose a server for a waiting request
+	slowStartMargin      = 0.6                   // share of the slow-start budget that is used
+	chanceAllowance      = 1.5                   // half of the 3*sqrt(n)+3 sends that rule 4 allows for chance
+	manyNodes            = 8                     // above this, a node sends each server too little to count
+	minNearMemory        = 0.35                  // of the most free memory anywhere, for a nearer server
+	negligibleWait       = 0.1                   // of the shortest aim: too short to change zone or server for
+	transferWaitFactor   = 2.5                   // times negligibleWait: too short to move KV state for
+	slowRejectionDivisor = 20                    // of the aim: later rejections concern one class and tenant
+	maxTransferDelay     = 0.5                   // of the shortest aim: with more, KV state stays in its cell
 
-	spread          = 3                       // homes of a prefix, in parts of what its share of traffic needs
-	blindShare      = 0.2                     // of readers, a prefix's homes at least where no load is told
-	leastStartSpeed = 0.1                     // of its speed that a server in slow start has at the least
-	probesAtOnce    = 3                       // for one choice
-	probeWait       = 12 * time.Millisecond   // for an answer before a choice, over a new connection to any zone
-	pollRounds      = 2                       // before a choice: the others where the first do not answer
-	probeEvery      = 500 * time.Millisecond  // where load is told on probes alone
-	stopSure        = 3500 * time.Millisecond // of silence, in which work comes to wait where a server hangs
+	affinitySpread     = 3                       // targets of a prefix per server that its traffic needs
+	minBlindAffinity   = 0.2                     // of the servers: targets of a prefix without load reports
+	minSlowStartSpeed  = 0.1                     // least share of its full speed that a server starts with
+	maxProbesPerChoice = 3                       // load probes sent at once
+	loadProbeWait      = 12 * time.Millisecond   // for a probe's answer, over a new connection to any zone
+	maxProbeRounds     = 2                       // the second probes others if the first got no answer
+	loadProbeInterval  = 500 * time.Millisecond  // per server, where only probes report load
+	stallConfirmation  = 3500 * time.Millisecond // silence in which work would queue up at a hung server
 )
 
-// New makes a scheduler. Figures left at zero mean: no cap on attempts, one
-// node, and a fall window, cold time and release time of one second.
-func New(set Settings, seed int64) (*Scheduler, error) {
-	if err := set.check(); err != nil {
+// New returns a scheduler. Settings left at zero mean: no limit on attempts, one node, and one
+// second for the slow-start window and duration and the release timeout.
+func New(settings Settings, seed int64) (*Scheduler, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	return empty(set.withDefaults(), seed), nil
+	return newScheduler(settings.withDefaults(), seed), nil
 }
 
-// members follows the server list.
-func (s *Scheduler) members(e MembershipUpdate) {
-	if e.Form == MembershipFailed && s.set.Subscribe { // by and by, and not all nodes at once
-		s.after(time.Duration((0.5+s.rng.Float64()/2)*float64(backoffFirst)), timer{what: watchAgain})
+func (s *Scheduler) handleMembershipUpdate(e MembershipUpdate) {
+	if e.Form == MembershipFailed && s.settings.Subscribe { // with jitter, so that nodes don't retry at once
+		s.setTimer(time.Duration((0.5+s.rng.Float64()/2)*float64(minBackoff)), pendingTimer{purpose: timerWatch})
 	}
 	if e.Form == MembershipSnapshot || e.Form == MembershipStale {
-		for _, v := range s.order {
-			v.listed, v.State = false, StateRemoved
+		for _, server := range s.sortedServers {
+			server.active, server.State = false, StateRemoved
 		}
 	}
 	for _, entry := range e.Entries {
-		s.enter(entry)
+		s.applyEntry(entry)
 	}
-	slices.SortFunc(s.order, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
-	if e.Form == MembershipStale && s.set.Subscribe {
-		s.act(Watch{})
+	slices.SortFunc(s.sortedServers, func(a, b *trackedServer) int { return cmp.Compare(a.ID, b.ID) })
+	if e.Form == MembershipStale && s.settings.Subscribe {
+		s.emit(Watch{})
 	}
 }
 
-func (s *Scheduler) request(e Request) {
-	if s.reqs[e.ID] != nil {
+func (s *Scheduler) handleRequest(e Request) {
+	if s.requests[e.ID] != nil {
 		return
 	}
-	c := s.classes[e.Class]
-	if c == nil {
-		s.act(Refuse{ID: e.ID, RetryAfter: s.set.Limits.MaxRetryAfter, Reason: ReasonUnknownClass})
+	class := s.classes[e.Class]
+	if class == nil {
+		s.emit(Refuse{ID: e.ID, RetryAfter: s.settings.Limits.MaxRetryAfter, Reason: ReasonUnknownClass})
 		return
 	}
-	r := &request{
-		Request: e, class: c, arrived: s.now, idle: s.now, tried: map[*server]bool{},
-		deadline: min(s.now+e.TimeLeft, s.endsAt),
-	}
-	s.reqs[e.ID] = r
-	s.cost[c] = cmp.Or(s.cost[c], e.PromptTokens)
-	s.cost[c] += ewma * (e.PromptTokens - s.cost[c])
-	s.prompt += ewma * (e.PromptTokens - s.prompt)
-	s.coming.Add(s.now, time.Second, e.PromptTokens)
-	if q := s.asked[e.Tenant]; q != nil {
-		q.Add(s.now, time.Second, 1)
-	}
-	s.after(r.deadline-s.now, timer{id: e.ID, what: lookAgain})
-	s.creditChance()
-	if r.PromptTokens > s.longest {
-		s.giveUp(r, ReasonPromptTooLong)
+	request := &trackedRequest{
+		Request: e, class: class, arrivedAt: s.now, idleSince: s.now, tried: map[*trackedServer]bool{},
+		deadline: min(s.now+e.TimeLeft, s.shutdownAt),
+	}
+	s.requests[e.ID] = request
+	s.classTokens[class] = cmp.Or(s.classTokens[class], e.PromptTokens)
+	s.classTokens[class] += ewmaWeight * (e.PromptTokens - s.classTokens[class])
+	s.meanPromptTokens += ewmaWeight * (e.PromptTokens - s.meanPromptTokens)
+	s.arrivingTokens.Add(s.now, time.Second, e.PromptTokens)
+	if rate := s.tenantRate[e.Tenant]; rate != nil {
+		rate.Add(s.now, time.Second, 1)
+	}
+	s.setTimer(request.deadline-s.now, pendingTimer{requestID: e.ID, purpose: timerAdvance})
+	s.creditChanceAllowance()
+	if request.PromptTokens > s.maxPromptTokens {
+		s.giveUp(request, ReasonPromptTooLong)
 		return
 	}
-	s.advance(r)
+	s.advance(request)
 }
 
-// advance takes a request with no attempt out a step further, or ends it.
-func (s *Scheduler) advance(r *request) {
+// advance makes the next attempt for a request that has none in flight, or gives it up.
+func (s *Scheduler) advance(request *trackedRequest) {
 	switch {
-	case r.done || r.out > 0:
-	case s.now >= r.deadline || !s.maySend(r):
-		s.giveUp(r, ReasonExhausted)
-	case r.state != nil:
-		s.toWriter(r)
+	case request.done || request.inFlight > 0:
+	case s.now >= request.deadline || !s.maySend(request):
+		s.giveUp(request, ReasonExhausted)
+	case request.stateHolder != nil:
+		s.sendToDecode(request)
 	default:
-		s.toReader(r)
+		s.sendToPrefill(request)
 	}
 }
 
-// toWriter hands a read state over. Rule 5: it is let go in time although no writer takes it.
-func (s *Scheduler) toWriter(r *request) {
-	if w := s.pickWriter(r, r.state); w != nil {
-		s.send(r, w, true)
-	} else if s.now-r.idle < s.set.Rules.ReleaseTimeout/2 {
-		s.after(min(retryPause, s.set.Rules.ReleaseTimeout/8), timer{id: r.ID, what: lookAgain})
+// sendToDecode sends a request whose KV state is ready to a decode server. If none takes it, the
+// state is released in time (rule 5).
+func (s *Scheduler) sendToDecode(request *trackedRequest) {
+	if decode := s.pickDecode(request, request.stateHolder); decode != nil {
+		s.sendAttempt(request, decode, true)
+	} else if s.now-request.idleSince < s.settings.Rules.ReleaseTimeout/2 {
+		s.setTimer(min(retryInterval, s.settings.Rules.ReleaseTimeout/8),
+			pendingTimer{requestID: request.ID, purpose: timerAdvance})
 	} else {
-		s.giveUp(r, ReasonNoDecodeServer)
+		s.giveUp(request, ReasonNoDecodeServer)
 	}
 }
 
-func (s *Scheduler) toReader(r *request) {
-	if s.crowd > 0 && r.polls < pollRounds && s.set.Reports != ReportNone { // own counts tell nothing of them
-		r.polls++
-		candidates := s.candidates(r, s.answering(s.pool(r, reads)))
-		if s.poll(func(v *server) bool { return slices.Contains(candidates, v) }) {
-			s.after(probeWait, timer{id: r.ID, what: lookAgain})
+// sendToPrefill probes the likely servers if own counts say little about their load, then chooses a
+// server, and sends the request there unless admission control refuses it.
+func (s *Scheduler) sendToPrefill(request *trackedRequest) {
+	if s.unseenShare > 0 && request.probeRounds < maxProbeRounds && s.settings.Reports != ReportNone {
+		request.probeRounds++
+		candidates := s.probeCandidates(request, s.answeringProbes(s.eligibleServers(request, isPrefill)))
+		if s.probeLoad(func(server *trackedServer) bool { return slices.Contains(candidates, server) }) {
+			s.setTimer(loadProbeWait, pendingTimer{requestID: request.ID, purpose: timerAdvance})
 			return
 		}
 	}
-	v, write := s.pickReader(r)
-	why := Reason("")
-	if v != nil && len(r.attempts) == 0 {
-		why = s.refusalBeforeSend(r, v)
+	server, decodes := s.pickPrefill(request)
+	reason := Reason("")
+	if server != nil && len(request.attempts) == 0 {
+		reason = s.checkAdmission(request, server)
 	}
 	switch {
-	case why != "":
-		s.giveUp(r, why)
-	case v == nil && s.now-r.arrived > r.class.Aim:
-		s.giveUp(r, ReasonNoPrefillServer)
-	case v == nil:
-		if r.ahead != nil {
-			s.releaseHeld(r)
+	case reason != "":
+		s.giveUp(request, reason)
+	case server == nil && s.now-request.arrivedAt > request.class.Aim:
+		s.giveUp(request, ReasonNoPrefillServer)
+	case server == nil:
+		if request.reservation != nil {
+			s.releaseHolds(request)
 		}
-		clear(r.tried)
-		s.after(retryPause, timer{id: r.ID, what: lookAgain})
+		clear(request.tried)
+		s.setTimer(retryInterval, pendingTimer{requestID: request.ID, purpose: timerAdvance})
 	default:
-		s.send(r, v, write)
-		if s.set.Reservations && !write && r.ahead == nil {
-			s.askAhead(r, v)
+		s.sendAttempt(request, server, decodes)
+		if s.settings.Reservations && !decodes && request.reservation == nil {
+			s.requestReservation(request, server)
 		}
 	}
 }
 
-// refusalBeforeSend tells of a request that would come too late even at the servers
-// chosen, or for which the writers' reported memory is spoken for (a full writer
-// reads answers anew). All classes answer to the shortest aim, longer for long prompts as
-// the settings say, or the patient would keep queues too long. It may hurt after a slow spell.
-func (s *Scheduler) refusalBeforeSend(r *request, v *server) Reason {
-	least, room, queued, told := math.Inf(1), 0.0, 0.0, false
-	matched, _ := s.match(r, v)
-	wait := s.delay(v, reading, r.PromptTokens-matched)
-	free := s.rooms(RoleWrite)
-	for _, w := range s.order {
-		if w.role == RoleRead {
-			queued += w.queue
-		} else if s.usable(r, w) && s.trusted(w) {
-			told = told || w.report != nil
-			room += free(w)
-			least = min(least, s.delay(w, stageOf(true, v, w), r.PromptTokens))
+// checkAdmission returns why a request should be refused before its first attempt, or "". It is
+// refused if its first token would come too late even at the best servers, or if the reported memory
+// of the decode servers is taken (a full decode server repeats the prefill of answers). All classes
+// are held to the shortest aim, plus the time that the settings add for long prompts: otherwise classes
+// with longer aims would keep queues too long. After a slow spell it may refuse too much.
+func (s *Scheduler) checkAdmission(request *trackedRequest, prefill *trackedServer) Reason {
+	minDecodeDelay, available, queued, reported := math.Inf(1), 0.0, 0.0, false
+	matched, _ := s.matchPrefix(request, prefill)
+	prefillDelay := s.expectedDelay(prefill, stagePrefill, request.PromptTokens-matched)
+	free := s.freeMemory(RoleWrite)
+	for _, decode := range s.sortedServers {
+		if decode.role == RoleRead {
+			queued += decode.queuedTokens
+		} else if s.usable(request, decode) && s.healthy(decode) {
+			reported = reported || decode.report != nil
+			available += free(decode)
+			minDecodeDelay = min(minDecodeDelay,
+				s.expectedDelay(decode, stageOf(true, prefill, decode), request.PromptTokens))
 		}
 	}
-	// What is being read will want room too: here what waits, at the others what comes in while a read takes.
-	each := s.coming.Add(s.now, time.Second, 0) * s.pace[reading].Y / float64(time.Second)
-	room -= trend.Fleet(s.set.Nodes, queued, each, s.prompt)
-	aim := float64(s.minAim) + float64(r.class.AimPer1K)*r.PromptTokens/1000
-	limit := (aim - s.impatience[r.Tenant]) * (1 + r.class.Worth/s.topWorth) / 2
-	if q := s.quota[r.Tenant]; q > 0 { // the further over its share, the smaller its part of the aim
-		limit *= min(1, max(s.set.OverShareWorth, q/max(s.asked[r.Tenant].Add(s.now, time.Second, 0), q/2)))
+	// Prompts in prefill will need decode memory too: this node's queue, and for other nodes what
+	// arrives during one prefill.
+	arriving := s.arrivingTokens.Add(s.now, time.Second, 0) *
+		s.stageLatency[stagePrefill].Y / float64(time.Second)
+	available -= trend.Fleet(s.settings.Nodes, queued, arriving, s.meanPromptTokens)
+	aim := float64(s.minAim) + float64(request.class.AimPer1K)*request.PromptTokens/1000
+	limit := (aim - s.tenantImpatience[request.Tenant]) * (1 + request.class.Worth/s.maxWorth) / 2
+	if quota := s.tenantQuota[request.Tenant]; quota > 0 { // the further over its quota, the lower its limit
+		limit *= min(1, max(s.settings.OverShareWorth,
+			quota/max(s.tenantRate[request.Tenant].Add(s.now, time.Second, 0), quota/2)))
 	}
-	full := told && room < r.PromptTokens
-	if full && s.set.Reports == ReportProbe { // or refusing would go on for want of news
-		s.poll(func(w *server) bool { return w.role != RoleRead })
+	full := reported && available < request.PromptTokens
+	if full && s.settings.Reports == ReportProbe { // without new reports, refusals would never stop
+		s.probeLoad(func(decode *trackedServer) bool { return decode.role != RoleRead })
 	}
 	switch {
 	case full:
 		return ReasonNoMemory
-	case !math.IsInf(least, 1) && wait+least > limit:
+	case !math.IsInf(minDecodeDelay, 1) && prefillDelay+minDecodeDelay > limit:
 		return ReasonTooLate
 	}
 	return ""
 }
 
-// delay is the wait to expect behind what waits at a server. Where nothing of
-// this node does, other nodes' may: then the latest latencies speak, less with age.
-func (s *Scheduler) delay(v *server, at stage, tokens float64) float64 {
-	p := &s.pace[at]
-	if v.queue > 0 {
-		return p.Expect(v.queue + tokens)
-	}
-	return s.crowd * s.crowd * p.Expect(tokens) * math.Exp(-float64(s.now-p.Last)/float64(2*s.minAim))
+// expectedDelay returns the expected time, in ns, until a server has done a stage of a new request.
+// If no request of this node waits there, those of other nodes may: then it is the latest latency
+// of the stage, which decays with age.
+func (s *Scheduler) expectedDelay(server *trackedServer, stage stage, tokens float64) float64 {
+	latency := &s.stageLatency[stage]
+	if server.queuedTokens > 0 {
+		return latency.Expect(server.queuedTokens + tokens)
+	}
+	return s.unseenShare * s.unseenShare * latency.Expect(tokens) *
+		math.Exp(-float64(s.now-latency.Last)/float64(2*s.minAim))
 }
 
-func (s *Scheduler) releaseHeld(r *request) {
-	s.act(Release{r.ID})
-	r.state, r.ahead, r.held = nil, nil, false
+// releaseHolds releases all KV state and reservations held for a request.
+func (s *Scheduler) releaseHolds(request *trackedRequest) {
+	s.emit(Release{request.ID})
+	request.stateHolder, request.reservation, request.reservationHeld = nil, nil, false
 }
 
-// maySend tells whether the attempt cap and the class's effect leave another attempt.
-func (s *Scheduler) maySend(r *request) bool {
-	left := s.set.Limits.MaxAttempts == 0 || len(r.attempts) < s.set.Limits.MaxAttempts
-	return left && (r.ran == nil || r.class.Effect != SideEffect)
+// maySend tells whether the attempt limit and the class's effect allow another attempt.
+func (s *Scheduler) maySend(request *trackedRequest) bool {
+	attemptLeft := s.settings.Limits.MaxAttempts == 0 || len(request.attempts) < s.settings.Limits.MaxAttempts
+	return attemptLeft && (request.firstRun == nil || request.class.Effect != SideEffect)
 }
 
-// mayRunOn keeps rule 2 for Token requests: after an attempt that may have
-// run, only its group of servers, and only within the window, gets another.
-func (r *request) mayRunOn(v *server, now time.Duration) bool {
-	a := r.ran
-	if a == nil || r.class.Effect == Pure {
+// mayRunOn enforces rule 2 for TokenEffect requests: after an attempt that may have run, another
+// one may go only to the same group of servers, and only within the window.
+func (r *trackedRequest) mayRunOn(server *trackedServer, now time.Duration) bool {
+	ran := r.firstRun
+	if ran == nil || r.class.Effect == Pure {
 		return true
 	}
-	same := r.class.Group != ScopeZone && r.class.Group != ScopeCell ||
-		r.class.Group == ScopeZone && v.Zone == a.srv.Zone || r.class.Group == ScopeCell && v.Cell == a.srv.Cell
-	return r.class.Effect == TokenEffect && same && now-a.sent < r.class.Window
+	sameGroup := r.class.Group != ScopeZone && r.class.Group != ScopeCell ||
+		r.class.Group == ScopeZone && server.Zone == ran.server.Zone ||
+		r.class.Group == ScopeCell && server.Cell == ran.server.Cell
+	return r.class.Effect == TokenEffect && sameGroup && now-ran.sentAt < r.class.Window
 }
 
-// giveUp gives the final answer: a refusal where repeating is harmless.
-func (s *Scheduler) giveUp(r *request, why Reason) {
-	c := r.class
-	if r.ran == nil || c.Effect == Pure || c.Effect == TokenEffect && c.Group == ScopeAll {
-		s.act(Refuse{ID: r.ID, RetryAfter: s.set.Limits.MaxRetryAfter, Reason: why})
+// giveUp gives a request its final answer: a refusal if trying again is safe, else a failure.
+func (s *Scheduler) giveUp(request *trackedRequest, reason Reason) {
+	class := request.class
+	if request.firstRun == nil || class.Effect == Pure ||
+		class.Effect == TokenEffect && class.Group == ScopeAll {
+		s.emit(Refuse{ID: request.ID, RetryAfter: s.settings.Limits.MaxRetryAfter, Reason: reason})
 	} else {
-		s.act(Fail{ID: r.ID, Reason: why})
+		s.emit(Fail{ID: request.ID, Reason: reason})
 	}
-	s.end(r)
+	s.closeRequest(request)
 }
 
-// end closes a request and lets go of whatever is held for it; what is still
-// out is called off, and its outcome releases again (rule 5 on every path).
-func (s *Scheduler) end(r *request) {
-	r.done = true
-	s.releaseHeld(r)
-	for i, a := range r.attempts {
-		if a.out && !a.begun && s.set.Limits.Cancel {
-			s.act(Cancel{r.ID, i})
+// closeRequest ends a request, releases what is held for it and, if allowed, cancels its attempts in
+// flight. The outcome of each of them releases once more, so that rule 5 holds on every path.
+func (s *Scheduler) closeRequest(request *trackedRequest) {
+	request.done = true
+	s.releaseHolds(request)
+	for index, attempt := range request.attempts {
+		if attempt.inFlight && !attempt.answerStarted && s.settings.Limits.Cancel {
+			s.emit(Cancel{request.ID, index})
 		}
 	}
-	if r.out == 0 {
-		delete(s.reqs, r.ID)
+	if request.inFlight == 0 {
+		delete(s.requests, request.ID)
 	}
 }
 
-func (s *Scheduler) send(r *request, v *server, write bool) {
-	a := &attempt{srv: v, write: write, out: true, sent: s.now, tokens: r.PromptTokens}
-	if a.stage = stageOf(write, r.state, v); r.state == nil {
+// sendAttempt sends a request to a server and records the attempt.
+func (s *Scheduler) sendAttempt(request *trackedRequest, server *trackedServer, decodes bool) {
+	attempt := &trackedAttempt{
+		server: server, decodes: decodes, inFlight: true, sentAt: s.now, workTokens: request.PromptTokens,
+	}
+	if attempt.stage = stageOf(decodes, request.stateHolder, server); request.stateHolder == nil {
 		var matched float64
-		matched, a.kept = s.match(r, v)
-		a.tokens = max(r.PromptTokens-matched, 0)
-		s.table.Record(s.now, v.runs, r.parts(), false)
-	}
-	v.queue += a.tokens
-	a.queue = v.queue
-	if write {
-		v.held += r.PromptTokens
-		v.sentSince += r.PromptTokens
+		matched, attempt.cachedTokens = s.matchPrefix(request, server)
+		attempt.workTokens = max(request.PromptTokens-matched, 0)
+		s.prefixTable.Record(s.now, server.prefixRuns, request.prefixParts(), false)
+	}
+	server.queuedTokens += attempt.workTokens
+	attempt.queuedTokens = server.queuedTokens
+	if decodes {
+		server.decodeTokens += request.PromptTokens
+		server.sentSinceReport += request.PromptTokens
 	} else {
-		v.reads++
-		if s.set.Reports == ReportProbe { // for the choice at the read's end
-			any := s.rng.Float64() >= s.crowd
-			s.poll(func(w *server) bool { return any || w.Cell == v.Cell && w.role != RoleRead })
+		server.pendingPrefills++
+		if s.settings.Reports == ReportProbe { // for the choice of a decode server after the prefill
+			all := s.rng.Float64() >= s.unseenShare
+			s.probeLoad(func(other *trackedServer) bool {
+				return all || other.Cell == server.Cell && other.role != RoleRead
+			})
 		}
 	}
-	for _, h := range []*health{&v.health, v.path} {
+	for _, h := range []*health{&server.health, server.zonePath} {
 		if h.ejected {
-			h.trial = r.ID
+			h.trialRequest = request.ID
 		}
 	}
-	if s.inSlowStart(v) {
-		v.sends.Add(s.now, s.cost[r.class])
-		v.credit.Spend()
+	if s.inSlowStart(server) {
+		server.slowStartSends.Add(s.now, s.classTokens[request.class])
+		server.slowStartCredit.Spend()
 	}
-	r.attempts, r.out, r.tried[v] = append(r.attempts, a), r.out+1, true
-	s.act(Send{ID: r.ID, Server: v.ID, Timeout: r.deadline - s.now})
-	s.after(s.limit(r, a), timer{id: r.ID, what: len(r.attempts) - 1})
-	s.watchSign(r, len(r.attempts)-1)
+	request.attempts, request.inFlight, request.tried[server] =
+		append(request.attempts, attempt), request.inFlight+1, true
+	s.emit(Send{ID: request.ID, Server: server.ID, Timeout: request.deadline - s.now})
+	s.setTimer(s.overdueAfter(request, attempt),
+		pendingTimer{requestID: request.ID, purpose: len(request.attempts) - 1})
+	s.watchLiveness(request, len(request.attempts)-1)
 }
 
-// limit is the time after which an attempt is overdue, as like work goes now.
-func (s *Scheduler) limit(r *request, a *attempt) time.Duration {
-	limit := r.class.Aim / 2
-	if p := &s.pace[a.stage]; p.N > 0 {
-		limit = time.Duration(p.Expect(a.queue) + 4*p.Dev)
+// overdueAfter returns the time after which an attempt is overdue: the expected latency plus four
+// times the mean error, or half the aim before any sample, but at least the connect timeout.
+func (s *Scheduler) overdueAfter(request *trackedRequest, attempt *trackedAttempt) time.Duration {
+	limit := request.class.Aim / 2
+	if latency := &s.stageLatency[attempt.stage]; latency.N > 0 {
+		limit = time.Duration(latency.Expect(attempt.queuedTokens) + 4*latency.Dev)
 	}
-	return max(limit, s.set.Limits.ConnectTimeout, retryPause)
+	return max(limit, s.settings.Limits.ConnectTimeout, retryInterval)
 }
 
-// poll asks for the load that a choice depends on, and tells whether it did. Tied
-// to own traffic: many nodes watching all servers would cost more than they learn.
-func (s *Scheduler) poll(want func(*server) bool) (asked bool) {
-	left := probesAtOnce
-	for _, i := range s.rng.Perm(len(s.order)) {
-		v := s.order[i]
-		if left > 0 && s.set.Limits.Probes && v.listed && s.now-max(v.polled, v.reportAt) >= probeEvery && want(v) {
-			v.polled, asked, left = s.now, true, left-1
-			s.act(Probe{v.ID})
+// probeLoad probes wanted servers whose last report is old, and returns whether it sent a probe. Probes
+// are tied to own requests: if many nodes probed all servers all the time, it would cost more than
+// they learn.
+func (s *Scheduler) probeLoad(wanted func(*trackedServer) bool) (asked bool) {
+	remaining := maxProbesPerChoice
+	for _, i := range s.rng.Perm(len(s.sortedServers)) {
+		server := s.sortedServers[i]
+		if remaining > 0 && s.settings.Limits.Probes && server.active &&
+			s.now-max(server.loadProbedAt, server.reportAt) >= loadProbeInterval && wanted(server) {
+			server.loadProbedAt, asked, remaining = s.now, true, remaining-1
+			s.emit(Probe{server.ID})
 		}
 	}
 	return asked
 }
 
-func (s *Scheduler) askAhead(r *request, reader *server) {
-	if w := s.pickWriter(r, reader); w != nil && !s.inSlowStart(w) && !w.ejected {
-		r.ahead, r.held = w, false
-		r.asked++
-		s.act(Reserve{r.ID, w.ID})
+// requestReservation asks a decode server for a reservation while the prompt is in prefill.
+func (s *Scheduler) requestReservation(request *trackedRequest, prefill *trackedServer) {
+	if decode := s.pickDecode(request, prefill); decode != nil && !s.inSlowStart(decode) && !decode.ejected {
+		request.reservation, request.reservationHeld = decode, false
+		request.reservationsAsked++
+		s.emit(Reserve{request.ID, decode.ID})
 	}
 }
--- a/settings.go
+++ b/settings.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// check tells what is impossible about settings.
-func (set Settings) check() error {
-	if len(set.Kinds) == 0 || len(set.Classes) == 0 {
-		return errors.New("ashwood: settings name no kind of server or no class of requests")
+// validate returns an error if the settings are incomplete or out of range.
+func (s Settings) validate() error {
+	if len(s.Kinds) == 0 || len(s.Classes) == 0 {
+		return errors.New("ashwood: settings need at least one kind of server and one class of requests")
 	}
-	for _, k := range set.Kinds {
-		if k.Role < RoleRead || k.Role > RoleMixed {
-			return fmt.Errorf("ashwood: kind %q has no role", k.Name)
+	for _, kind := range s.Kinds {
+		if kind.Role < RoleRead || kind.Role > RoleMixed {
+			return fmt.Errorf("ashwood: kind %q has no role", kind.Name)
 		}
 	}
-	for _, c := range set.Classes {
-		if c.Deadline <= 0 || c.Effect < Pure || c.Effect > SideEffect {
-			return fmt.Errorf("ashwood: class %q lacks a deadline or an effect", c.Name)
+	for _, class := range s.Classes {
+		if class.Deadline <= 0 || class.Effect < Pure || class.Effect > SideEffect {
+			return fmt.Errorf("ashwood: class %q has no deadline or no effect", class.Name)
 		}
 	}
-	r := set.Rules
-	for _, f := range []struct {
+	rules := s.Rules
+	for _, field := range []struct {
 		name  string
 		value float64
 	}{
-		{"the number of nodes", float64(set.Nodes)}, {"the attempt cap", float64(set.Limits.MaxAttempts)},
-		{"the fall multiple", r.SlowStartMultiple}, {"the cold share", r.SlowStartCapacity},
-		{"the release time", float64(r.ReleaseTimeout)}, {"the fall window", float64(r.SlowStartWindow)},
+		{"the number of nodes", float64(s.Nodes)}, {"the attempt limit", float64(s.Limits.MaxAttempts)},
+		{"the slow-start multiple", rules.SlowStartMultiple}, {"the slow-start capacity", rules.SlowStartCapacity},
+		{"the release timeout", float64(rules.ReleaseTimeout)}, {"the slow-start window", float64(rules.SlowStartWindow)},
 	} {
-		if f.value < 0 {
-			return fmt.Errorf("ashwood: %s is below zero", f.name)
+		if field.value < 0 {
+			return fmt.Errorf("ashwood: %s is negative", field.name)
 		}
 	}
 	return nil
 }
 
-// withDefaults gives a copy whose figures left at zero have the values that New names.
-func (set Settings) withDefaults() Settings {
-	set.Nodes = max(set.Nodes, 1)
-	set.Classes = slices.Clone(set.Classes)
-	for _, d := range []*time.Duration{&set.Rules.SlowStartWindow, &set.Rules.SlowStartDuration, &set.Rules.ReleaseTimeout} {
-		if *d <= 0 {
-			*d = time.Second
+// withDefaults returns a copy in which values left at zero have the defaults that New documents.
+func (s Settings) withDefaults() Settings {
+	s.Nodes = max(s.Nodes, 1)
+	s.Classes = slices.Clone(s.Classes)
+	for _, value := range []*time.Duration{&s.Rules.SlowStartWindow, &s.Rules.SlowStartDuration, &s.Rules.ReleaseTimeout} {
+		if *value <= 0 {
+			*value = time.Second
 		}
 	}
-	if !set.Limits.RetryAfter {
-		set.Limits.MaxRetryAfter = 0
+	if !s.Limits.RetryAfter {
+		s.Limits.MaxRetryAfter = 0
 	}
-	return set
+	return s
 }
--- a/share_test.go
+++ b/share_test.go
@@ -15,22 +15,22 @@
 		set.Rules = Rules{SlowStartMultiple: 2.5, SlowStartWindow: time.Second, SlowStartCapacity: 0.31, SlowStartDuration: 12 * time.Second, ReleaseTimeout: time.Second}
 		for range processes {
 			r := newNode(t, set, reader("warm"), reader("cold"))
-			r.s.copies = float64(processes)
+			r.s.processes = float64(processes)
 			cold := r.s.servers["cold"]
 			for i := range 200 { // what a warm reader is seen to do
-				r.s.servers["warm"].done.Add(r.now+time.Duration(i)*10*time.Millisecond, time.Second, 1000)
+				r.s.servers["warm"].warmThroughput.Add(r.now+time.Duration(i)*10*time.Millisecond, time.Second, 1000)
 			}
 			r.now += 2 * time.Second
-			cold.Started, cold.since = r.now, r.now-time.Second
+			cold.Started, cold.restartedAt = r.now, r.now-time.Second
 			for range 100 {
-				q := &request{Request: Request{ID: RequestID(fmt.Sprint(n)), Class: "chat", PromptTokens: 1000}, class: r.s.classes["chat"]}
+				q := &trackedRequest{Request: Request{ID: RequestID(fmt.Sprint(n)), Class: "chat", PromptTokens: 1000}, class: r.s.classes["chat"]}
 				r.s.now = r.now
 				if q.class == nil {
 					t.Fatal("no such class")
 				}
-				r.s.cost[q.class] = 1000
+				r.s.classTokens[q.class] = 1000
 				if r.s.slowStartAllows(cold, q) {
-					cold.sends.Add(r.now, 1000)
+					cold.slowStartSends.Add(r.now, 1000)
 					n++
 				}
 			}
@@ -60,7 +60,7 @@
 	draining.State = StateDraining
 	r.Update(MembershipSnapshot, []Server{reader("a"), reader("b"), draining})
 	want(3, 1)
-	r.sched.servers["a"].ejected = true
+	r.scheduler.servers["a"].ejected = true
 	want(3, 2)
 	gone := reader("b")
 	gone.State = StateRemoved
--- a/silence.go
+++ b/silence.go
@@ -6,114 +6,122 @@
 	"time"
 )
 
-// This file decides about servers that give no sign. That an attempt was written to one says
-// nothing of it: only what it has sent back since does. An attempt that waits is looked after by
-// probes of its server; where those go unanswered too, what may be sent again is sent elsewhere.
-// A slow answer of a server that answers probes is no silence, and costs a probe now and then.
+// This file decides about servers that stop responding. A successful write to a server is no sign
+// that it is alive; only a response since then is. While an attempt waits, its server is probed. If the
+// probes get no response either, requests that may be repeated are sent elsewhere. A server that
+// answers probes but is slow with its answers is not silent; it costs a probe now and then.
 
 const (
-	// signWait is how long nothing is heard from a server with an attempt until it is probed, and
-	// signAnswer how long the probe may take. A server answers between the steps of its work, some
-	// 0.25 s apart where it reads long prompts and some 0.02 s where it writes; a busy one is late
-	// by more. With half of signAnswer, overload cost 0.06 of G on four drawn days. Reads often take
-	// some 0.3 s; to probe sooner for them cost 0.005 to 0.008 of G.
-	signWaitRead    = 600 * time.Millisecond
-	signWaitWrite   = 150 * time.Millisecond
-	signAnswerRead  = 800 * time.Millisecond
-	signAnswerWrite = 400 * time.Millisecond
-	// signHeldUp is by how much later an unanswered probe is looked at at the most: beyond, this
-	// node was held up itself, and the answer may have been there.
-	signHeldUp = 150 * time.Millisecond
-	// signEvery is how long nothing is heard from a server until it is probed again, once it has
-	// given a sign of an attempt: that has arrived.
-	signEvery = time.Second
-	// backAfter is the silence behind which a server that is heard counts as back, and backWait is
-	// what its open answers then have to go on as well: they do not all at the same moment.
-	backAfter = time.Second
-	backWait  = 100 * time.Millisecond
+	// livenessWait is how long a server with an attempt may be silent until it is probed, and
+	// livenessTimeout how long the probe may take. A server answers between the steps of its work,
+	// about 0.25 s apart while it prefills long prompts and about 0.02 s while it decodes; a busy one
+	// is later still. Half of livenessTimeout cost 0.06 of goodput under overload, on four randomly
+	// drawn days of traffic. A prefill often takes some 0.3 s; probing earlier for it cost 0.005 to
+	// 0.008 of goodput.
+	livenessWaitPrefill    = 600 * time.Millisecond
+	livenessWaitDecode     = 150 * time.Millisecond
+	livenessTimeoutPrefill = 800 * time.Millisecond
+	livenessTimeoutDecode  = 400 * time.Millisecond
+	// maxTimerLateness is how late the check of an unanswered probe may be. If it is later, this
+	// node was delayed itself, and the answer may already have arrived.
+	maxTimerLateness = 150 * time.Millisecond
+	// livenessInterval is how long a server may be silent until it is probed again after a response
+	// since the send: the attempt has then arrived there.
+	livenessInterval = time.Second
+	// recoverySilence is the silence after which a server that responds counts as recovered, and
+	// recoveryGrace the time that its started answers then have to go on: they don't all do so at
+	// the same moment.
+	recoverySilence = time.Second
+	recoveryGrace   = 100 * time.Millisecond
 )
 
-// signTimes are those of a server's role.
-func (v *server) signTimes() (wait, answer time.Duration) {
-	if v.role == RoleRead {
-		return signWaitRead, signAnswerRead
+// livenessTimes returns the liveness wait and timeout of the server's role.
+func (t *trackedServer) livenessTimes() (wait, timeout time.Duration) {
+	if t.role == RoleRead {
+		return livenessWaitPrefill, livenessTimeoutPrefill
 	}
-	return signWaitWrite, signAnswerWrite
+	return livenessWaitDecode, livenessTimeoutDecode
 }
 
-// hear notes that a server has sent something back.
-func (v *server) hear(now time.Duration) {
-	if now-v.heardAt > backAfter {
-		v.backAt = now
+// recordResponse records that the server has sent something back.
+func (t *trackedServer) recordResponse(now time.Duration) {
+	if now-t.lastResponseAt > recoverySilence {
+		t.recoveredAt = now
 	}
-	v.heardAt = now
+	t.lastResponseAt = now
 }
 
-// justBack tells of a server that is heard again after a silence, but not for long yet.
-func (s *Scheduler) justBack(v *server) bool { return s.now-v.backAt < backWait }
+// justRecovered tells whether a server has responded again after a silence a moment ago.
+func (s *Scheduler) justRecovered(server *trackedServer) bool {
+	return s.now-server.recoveredAt < recoveryGrace
+}
 
-// watchSign has an attempt looked after, where that is of use.
-func (s *Scheduler) watchSign(r *request, n int) {
-	if s.set.Limits.Probes && s.set.Limits.Cancel {
-		wait, _ := r.attempts[n].srv.signTimes()
-		s.after(wait, timer{id: r.ID, what: lookForSign, attempt: n})
+// watchLiveness starts the liveness checks of an attempt, if probes and cancels are allowed.
+func (s *Scheduler) watchLiveness(request *trackedRequest, index int) {
+	if s.settings.Limits.Probes && s.settings.Limits.Cancel {
+		wait, _ := request.attempts[index].server.livenessTimes()
+		s.setTimer(wait, pendingTimer{requestID: request.ID, purpose: timerLiveness, attempt: index})
 	}
 }
 
-// lookForSign probes the server of an attempt that has no answer, once nothing has been heard
-// from it for a while, and looks again when the probe should have been answered.
-func (s *Scheduler) lookForSign(r *request, n int) {
-	a := r.attempts[n]
-	if !a.out || a.begun || a.silent {
+// checkLiveness probes the server of an unanswered attempt if it has been silent for a while, and
+// checks again when the probe should have been answered.
+func (s *Scheduler) checkLiveness(request *trackedRequest, index int) {
+	attempt := request.attempts[index]
+	if !attempt.inFlight || attempt.answerStarted || attempt.serverSilent {
 		return
 	}
-	v := a.srv
-	wait, answer := v.signTimes()
-	again := func(d time.Duration) { s.after(d, timer{id: r.ID, what: lookForSign, attempt: n}) }
-	asked := s.now - v.signAsked
-	switch pending := v.signAsked > a.sent && v.heardAt < v.signAsked; {
-	case pending && asked < answer:
-		again(answer - asked)
+	server := attempt.server
+	wait, timeout := server.livenessTimes()
+	checkAfter := func(d time.Duration) {
+		s.setTimer(d, pendingTimer{requestID: request.ID, purpose: timerLiveness, attempt: index})
+	}
+	sinceProbe := s.now - server.livenessProbedAt
+	switch pending := server.livenessProbedAt > attempt.sentAt &&
+		server.lastResponseAt < server.livenessProbedAt; {
+	case pending && sinceProbe < timeout:
+		checkAfter(timeout - sinceProbe)
 		return
-	case pending && asked <= answer+signHeldUp:
-		s.silent(v)
+	case pending && sinceProbe <= timeout+maxTimerLateness:
+		s.abandonSilentServer(server)
 		return
 	}
-	if v.heardAt > a.sent+wait/2 { // not of what was under way already
-		wait = signEvery
+	if server.lastResponseAt > attempt.sentAt+wait/2 { // earlier responses may have been under way at the send
+		wait = livenessInterval
 	}
-	if quiet := s.now - max(v.heardAt, a.sent); quiet < wait {
-		again(wait - quiet)
+	if quiet := s.now - max(server.lastResponseAt, attempt.sentAt); quiet < wait {
+		checkAfter(wait - quiet)
 		return
 	}
-	if asked >= answer+signHeldUp {
-		v.signAsked = s.now
-		s.act(Probe{v.ID})
+	if sinceProbe >= timeout+maxTimerLateness {
+		server.livenessProbedAt = s.now
+		s.emit(Probe{server.ID})
 	}
-	again(answer)
+	checkAfter(timeout)
 }
 
-// signed takes in that a server has answered a probe, in whatever way.
-func (s *Scheduler) signed(v *server, status Status) {
+// recordProbeResponse records a response to a probe, whatever it says.
+func (s *Scheduler) recordProbeResponse(server *trackedServer, status Status) {
 	if status == StatusServed || status == StatusServerError || status == StatusRejected {
-		v.hear(s.now)
+		server.recordResponse(s.now)
 	}
 }
 
-// silent leaves the attempts at a server that has given no sign since they were sent, where
-// another may follow; those that may not be repeated wait on.
-func (s *Scheduler) silent(v *server) {
-	for _, id := range slices.Sorted(maps.Keys(s.reqs)) {
-		r := s.reqs[id]
-		for n, a := range r.attempts {
-			if a.srv != v || !a.out || a.begun || a.silent || a.sent >= v.signAsked {
+// abandonSilentServer handles the attempts at a server that has not responded since they were sent: it
+// cancels those that another attempt may follow. Those that must not be repeated keep waiting.
+func (s *Scheduler) abandonSilentServer(server *trackedServer) {
+	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
+		request := s.requests[id]
+		for index, attempt := range request.attempts {
+			if attempt.server != server || !attempt.inFlight || attempt.answerStarted ||
+				attempt.serverSilent || attempt.sentAt >= server.livenessProbedAt {
 				continue
 			}
-			a.silent = true
-			v.fail = 1 // no chance result among others: all that was asked of it
-			s.judge(v, r, false)
-			if !r.done {
-				s.leave(r, n)
+			attempt.serverSilent = true
+			server.failureRate = 1 // not one failed sample among others: nothing sent to it is answered
+			s.updateHealth(server, request, false)
+			if !request.done {
+				s.cancelForRetry(request, index)
 			}
 		}
 	}
--- a/size_test.go
+++ b/size_test.go
@@ -52,7 +52,7 @@
 		n := newNode(t, set, fleetOf(30, 0)...)
 		n.ask("a", 1, 7)
 		first, _ := pick[Send](n)
-		for _, v := range n.s.order {
+		for _, v := range n.s.sortedServers {
 			switch v.ID {
 			case first.Server: // it holds the prefix and is at work
 				v.report, v.reportAt = Report{ReportInFlight: 2}, n.now
@@ -60,8 +60,8 @@
 				v.report, v.reportAt = Report{ReportInFlight: 3}, n.now
 			}
 		}
-		n.s.servers[first.Server].reads = 0 // what is in flight here tells nothing
-		for key := uint64(2); ; key++ {     // a session that would come here too
+		n.s.servers[first.Server].pendingPrefills = 0 // what is in flight here tells nothing
+		for key := uint64(2); ; key++ {               // a session that would come here too
 			other := newNode(t, set, fleetOf(30, 0)...)
 			other.ask("b", key, 7)
 			if a, _ := pick[Send](other); a.Server == first.Server {
@@ -84,7 +84,7 @@
 		low, high float64
 	}{
 		{1, 3, 1, 3, 3}, {2, 3, 1, 6, 6}, // own counts tell
-		{50, 1, 0.04, 1, countGap}, {300, 1, 0.01, 1, countGap}, // chance
+		{50, 1, 0.04, 1, maxLoadGap}, {300, 1, 0.01, 1, maxLoadGap}, // chance
 		{50, 20, 2, 300, 1000}, // more than chance gives
 		{50, 0, 0, 0, 0},
 	} {
@@ -101,21 +101,21 @@
 		n := newNode(t, nodesOf(nodes), fleetOf(20, 20)...)
 		for i := 0; i < 30; i++ {
 			n.now += time.Second
-			n.s.pace[reading].Observe(n.now, 50*ms, 320)
+			n.s.stageLatency[stagePrefill].Observe(n.now, 50*ms, 320)
 		}
 		n.ask("a", 1, 0)
 		a, _ := pick[Send](n)
 		n.now += 600 * ms
-		n.s.now, n.s.out = n.now, nil
-		n.s.overdue(n.s.reqs["a"], 0)
-		n.out = n.s.out
+		n.s.now, n.s.actions = n.now, nil
+		n.s.handleOverdue(n.s.requests["a"], 0)
+		n.out = n.s.actions
 		if _, got := pick[Cancel](n); got != want {
 			t.Errorf("%d nodes: called off %v, want %v", nodes, got, want)
 		}
 		n.now += time.Second
-		n.s.now, n.s.out = n.now, nil
-		n.s.overdue(n.s.reqs["a"], 0)
-		n.out = n.s.out
+		n.s.now, n.s.actions = n.now, nil
+		n.s.handleOverdue(n.s.requests["a"], 0)
+		n.out = n.s.actions
 		wants[Cancel](n) // an answer that never comes, though the server may serve others
 		n.end("a", 0, string(a.Server), StatusCancelled)
 		if b, _ := pick[Send](n); b.Server == a.Server || b.Server == "" {
@@ -138,7 +138,7 @@
 	} {
 		n := newNode(t, nodesOf(tt.nodes), fleetOf(20, 20)...)
 		for i := 0; i < 30; i++ {
-			n.s.pace[reading].Observe(n.now, tt.latency, 320)
+			n.s.stageLatency[stagePrefill].Observe(n.now, tt.latency, 320)
 		}
 		n.now += tt.age
 		n.ask("a", 1, 0)
@@ -165,7 +165,7 @@
 		n.do(Request{ID: "other", Class: "pay", Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 160,
 			TimeLeft: 5 * time.Second})
 		x, _ := pick[Send](n)
-		if got := n.s.usable(&request{class: n.s.classes["pay"]}, n.s.servers[a.Server]); got != other {
+		if got := n.s.usable(&trackedRequest{class: n.s.classes["pay"]}, n.s.servers[a.Server]); got != other {
 			t.Errorf("%v: usable for others %v, want %v; sent to %s", latency, got, other, x.Server)
 		}
 	}
@@ -211,7 +211,7 @@
 	}
 	share := set.Rules.SlowStartMultiple * set.Rules.SlowStartCapacity
 	total := map[Role]int{}
-	for _, v := range all[0].s.order {
+	for _, v := range all[0].s.sortedServers {
 		if v.Started == 0 {
 			continue
 		}
@@ -256,7 +256,7 @@
 					continue
 				}
 				probes++
-				if at, before := last[p.Server]; before && n.now-at < probeEvery {
+				if at, before := last[p.Server]; before && n.now-at < loadProbeInterval {
 					t.Errorf("%s is asked again after %v", p.Server, n.now-at)
 				}
 				last[p.Server] = n.now
@@ -264,7 +264,7 @@
 			}
 		}
 	}
-	if probes == 0 || probes > probesAtOnce*requests {
+	if probes == 0 || probes > maxProbesPerChoice*requests {
 		t.Errorf("%d probes for %d requests", probes, requests)
 	}
 }
@@ -314,7 +314,7 @@
 			n.do(ProbeResult{Server: ServerID(fmt.Sprint("r", i)), Status: StatusServed, Report: Report{ReportInFlight: 2}})
 		}
 		n.do(ProbeResult{Server: "r3", Status: StatusServed, Report: Report{ReportInFlight: tt.inflight}})
-		pool := n.s.pool(&request{class: n.s.classes["chat"]}, reads)
+		pool := n.s.eligibleServers(&trackedRequest{class: n.s.classes["chat"]}, isPrefill)
 		if left := len(pool) == 5; left != tt.left {
 			t.Errorf("%+v: %d readers to choose from", tt, len(pool))
 		}
@@ -332,11 +332,11 @@
 		b, _ := pick[Send](n)
 		n.do(Outcome{ID: RequestID(id), Attempt: 1, Server: b.Server, Status: StatusServed, RequestDone: true, Latency: 9 * ms})
 	}
-	if most := int(2 * 2 * blockExpiry / (200 * ms)); n.s.table.Len() > most || len(n.s.reqs) > 0 {
-		t.Errorf("%d runs and %d requests remembered, at most %d and none", n.s.table.Len(), len(n.s.reqs), most)
+	if most := int(2 * 2 * blockExpiry / (200 * ms)); n.s.prefixTable.Len() > most || len(n.s.requests) > 0 {
+		t.Errorf("%d runs and %d requests remembered, at most %d and none", n.s.prefixTable.Len(), len(n.s.requests), most)
 	}
-	if math.Abs(n.s.table.Uses()-float64(n.s.table.Len()/2)) > 1 {
-		t.Errorf("%v uses counted for %d runs", n.s.table.Uses(), n.s.table.Len())
+	if math.Abs(n.s.prefixTable.Uses()-float64(n.s.prefixTable.Len()/2)) > 1 {
+		t.Errorf("%v uses counted for %d runs", n.s.prefixTable.Uses(), n.s.prefixTable.Len())
 	}
 }
 
--- a/state.go
+++ b/state.go
@@ -12,351 +12,367 @@
 	"ashwood.example/ashwood/internal/trend"
 )
 
-// This file declares what a scheduler remembers, and hands events on. It decides nothing.
+// This file declares the state of a scheduler and queries on it, and dispatches events to
+// their handlers. It decides nothing.
 
-// health is the trust in a server, or in the path to a zone.
+// health is the failure record of a server, or of the network path to a zone.
 type health struct {
-	fail    float64       // failing share of recent attempts
-	until   time.Duration // ejected until
-	backoff time.Duration
-	ejected bool
-	trial   RequestID // the single request that tries it again
+	failureRate  float64       // moving average over recent attempts
+	ejectedUntil time.Duration // time from which a trial is allowed
+	backoff      time.Duration
+	ejected      bool
+	trialRequest RequestID // the single request that tries it again
 }
 
-type server struct {
+// trackedServer is what the scheduler knows about a server. "Own" means of this node's requests.
+type trackedServer struct {
 	Server
 	health
-	path        *health // to its zone
-	role        Role
-	memory      float64
-	listed      bool    // on; anything else gets nothing new
-	reads       int     // own unfinished reads
-	queue       float64 // own tokens that wait to be read or fetched
-	held        float64 // own prompt tokens sent to it as a writer, until the answer's end
-	sentSince   float64 // of those, sent since the report
-	report      Report
-	reportAt    time.Duration
-	polled      time.Duration // last asked for it
-	heardAt     time.Duration // it last sent anything back
-	backAt      time.Duration // it was heard again after a silence
-	signAsked   time.Duration // last probed for a sign of life
-	runs        prefix.Held
-	hash        uint64                // of its id
-	ratio       float64               // latency against what its role takes for like work
-	alive       time.Duration         // it last finished or began something
-	began       [stages]time.Duration // the latest send that it has begun to answer
-	pausedUntil time.Duration
-	refuses     map[[2]string]time.Duration // kinds of request, until when
-	pause       time.Duration               // the last pause after it would not take a request
-	sends       slowstart.Sends             // in slow start
-	since       time.Duration               // known to have started anew
-	credit      slowstart.Credit            // where many nodes share its budget in slow start
-	phase       float64                     // drawn then, of this node among those that share its slow start
-	done        trend.Rate                  // work finished once warm
+	zonePath          *health // of the network path to its zone
+	role              Role
+	memoryTokens      float64
+	active            bool    // may get new work: in the membership, not draining, of a known kind
+	pendingPrefills   int     // own unfinished prefills
+	queuedTokens      float64 // own tokens that wait to be prefilled or fetched
+	decodeTokens      float64 // own prompt tokens sent to it for decode, until the answer's end
+	sentSinceReport   float64 // part of decodeTokens that was sent since the last report
+	report            Report
+	reportAt          time.Duration
+	loadProbedAt      time.Duration // last probe for a load report
+	lastResponseAt    time.Duration // last time that it sent anything back
+	recoveredAt       time.Duration // first response after its last silence
+	livenessProbedAt  time.Duration // last probe for a liveness signal
+	prefixRuns        prefix.Held
+	idHash            uint64
+	latencyRatio      float64                  // its latency, relative to what its role takes for the same work
+	lastProgressAt    time.Duration            // last time that it started or finished an answer
+	latestStartedSend [numStages]time.Duration // send time of the latest attempt that it has started to answer
+	pausedUntil       time.Duration
+	rejectsUntil      map[[2]string]time.Duration // by throttleKey
+	pauseLength       time.Duration               // length of the last pause after a rejection or a failed connect
+	slowStartSends    slowstart.Sends
+	restartedAt       time.Duration    // when this node learned of its latest start
+	slowStartCredit   slowstart.Credit // used when many nodes share its slow-start budget
+	slowStartPhase    float64          // random turn of this node among those that share the budget
+	warmThroughput    trend.Rate       // work finished outside slow start
 }
 
 // stage is what an attempt does.
 type stage int
 
 const (
-	reading    stage = iota
-	writing          // with a state from the same cell, or none
-	writingFar       // the state has to leave the reader's cell
-	stages
+	stagePrefill   stage = iota
+	stageDecode          // with KV state from the same cell, or none
+	stageDecodeFar       // the KV state comes from another cell
+	numStages
 )
 
-// attempt is one send.
-type attempt struct {
-	srv    *server
-	write  bool // it may answer
-	out    bool
-	begun  bool // its answer has
-	stage  stage
-	sent   time.Duration
-	tokens float64 // to be read or fetched
-	queue  float64 // own tokens waiting there, these included
-	kept   float64 // tokens that the table was sure of
-	silent bool    // its server has left a probe without an answer since
+// trackedAttempt is what the scheduler knows about an attempt.
+type trackedAttempt struct {
+	server        *trackedServer
+	decodes       bool // it may produce the client's answer
+	inFlight      bool
+	answerStarted bool
+	stage         stage
+	sentAt        time.Duration
+	workTokens    float64 // prompt tokens to be prefilled or fetched
+	queuedTokens  float64 // the server's queuedTokens just after the send
+	cachedTokens  float64 // prompt tokens that the prefix table knew for sure to be cached
+	serverSilent  bool    // the server has not answered a liveness probe since the send
 }
 
-// overtaken tells that its server has begun what was sent later: its connection may have
-// fallen silent, and then its wait says nothing of how long the work takes.
-func (a *attempt) overtaken() bool { return a.srv.began[a.stage] > a.sent }
+// overtaken tells whether the server has started to answer an attempt that was sent later. The
+// attempt's connection may then be dead, so its wait does not show how long the work takes.
+func (a *trackedAttempt) overtaken() bool { return a.server.latestStartedSend[a.stage] > a.sentAt }
 
-type request struct {
+// trackedRequest is what the scheduler knows about a request.
+type trackedRequest struct {
 	Request
-	class    *Class
-	deadline time.Duration
-	arrived  time.Duration
-	idle     time.Duration // of the last outcome; rule 5 counts from it
-	attempts []*attempt
-	ran      *attempt // the first that may have had an effect
-	out      int
-	state    *server // reader that holds its read state
-	ahead    *server // writer asked to hold a place
-	held     bool    // and it does
-	polls    int     // how often its homes were asked for their load
-	near     bool    // a connect to another zone never came up: it goes on in this one
-	asked    int     // places asked for
-	tried    map[*server]bool
-	done     bool
+	class             *Class
+	deadline          time.Duration
+	arrivedAt         time.Duration
+	idleSince         time.Duration // last outcome; the release timeout of rule 5 counts from it
+	attempts          []*trackedAttempt
+	firstRun          *trackedAttempt // the first attempt that may have had an effect
+	inFlight          int             // attempts
+	stateHolder       *trackedServer  // prefill server that holds its KV state
+	reservation       *trackedServer  // decode server that was asked for a reservation
+	reservationHeld   bool            // and has confirmed it
+	probeRounds       int             // how often load was probed before the choice of a prefill server
+	stayInZone        bool            // a connection to another zone failed: only servers of this zone from then on
+	reservationsAsked int
+	tried             map[*trackedServer]bool
+	done              bool // it has its final answer, or its answer has started
 }
 
-// timer tells what a Timer event is for: an attempt to look at, or one of these.
-type timer struct {
-	id      RequestID
-	what    int
-	attempt int // with lookForSign
+// pendingTimer tells what a TimerFired event is for. A purpose of 0 or more is the number of an
+// attempt to check for being overdue; others are the timer constants.
+type pendingTimer struct {
+	requestID RequestID
+	purpose   int
+	attempt   int // with timerLiveness
 }
 
+// Purposes of timers.
 const (
-	lookAgain = -1 - iota
-	watchAgain
-	endRequests
-	lookForSign
+	timerAdvance  = -1 - iota // look again for a server
+	timerWatch                // watch membership again
+	timerShutdown             // give up what is unanswered
+	timerLiveness             // look for a liveness signal of an attempt's server
 )
 
 // Scheduler makes the decisions of one node.
 type Scheduler struct {
-	set        Settings
-	rng        *rand.Rand
-	kinds      map[string]Kind
-	classes    map[string]*Class
-	quota      map[string]float64 // this node's part of a tenant's share
-	asked      map[string]*trend.Rate
-	topWorth   float64
-	minAim     time.Duration
-	longest    float64            // tokens of a prompt that fits into the memory of some server of each stage
-	crowd      float64            // of nodes: 0 where own counts tell of the fleet (up to two), near 1 where they are chance
-	impatience map[string]float64 // of a tenant's clients: how far before the shortest aim they leave
-	servers    map[ServerID]*server
-	order      []*server          // by id, so that no loop depends on map order
-	zones      map[string]*health // paths to other zones
-	reqs       map[RequestID]*request
-	timers     map[uint64]timer
-	next       uint64
-	copies     float64       // processes that count as this one node
-	endsAt     time.Duration // by then each request has its answer; math.MaxInt64 = not known
-	table      prefix.Table
-	pace       [stages]trend.Line
-	cost       map[*Class]float64
-	prompt     float64    // tokens of a prompt
-	coming     trend.Rate // tokens of the prompts that come in
-	now        time.Duration
-	out        []Action
+	settings         Settings
+	rng              *rand.Rand
+	kinds            map[string]Kind
+	classes          map[string]*Class
+	tenantQuota      map[string]float64     // this node's part of a tenant's quota, in requests per second
+	tenantRate       map[string]*trend.Rate // of requests
+	maxWorth         float64                // over all classes
+	minAim           time.Duration          // over all classes
+	maxPromptTokens  float64                // longest prompt that fits into the memory of some server of each stage
+	unseenShare      float64                // 1 - 2/nodes, at least 0: how little own counts say about the fleet; 0 up to two nodes
+	tenantImpatience map[string]float64     // moving average, in ns, of how long before the shortest aim clients leave
+	servers          map[ServerID]*trackedServer
+	sortedServers    []*trackedServer   // by id, so that no loop depends on map order
+	zonePaths        map[string]*health // network paths, by zone
+	requests         map[RequestID]*trackedRequest
+	timers           map[uint64]pendingTimer
+	lastTimer        uint64
+	processes        float64       // processes that count as this one node
+	shutdownAt       time.Duration // by then each request has its answer; math.MaxInt64 = not set
+	prefixTable      prefix.Table
+	stageLatency     [numStages]trend.Line
+	classTokens      map[*Class]float64 // mean prompt tokens
+	meanPromptTokens float64
+	arrivingTokens   trend.Rate // prompt tokens of new requests
+	now              time.Duration
+	actions          []Action
 }
 
-func (s *Scheduler) act(a Action) { s.out = append(s.out, a) }
+func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
 
-func (s *Scheduler) after(d time.Duration, t timer) {
-	s.next++
-	s.timers[s.next] = t
-	s.act(SetTimer{At: s.now + max(d, time.Millisecond), Token: s.next})
+func (s *Scheduler) setTimer(delay time.Duration, timer pendingTimer) {
+	s.lastTimer++
+	s.timers[s.lastTimer] = timer
+	s.emit(SetTimer{At: s.now + max(delay, time.Millisecond), Token: s.lastTimer})
 }
 
-// find gives the attempt that an event is about, if it is still out.
-func (s *Scheduler) find(id RequestID, n int, v ServerID) (*request, *attempt) {
-	r := s.reqs[id]
-	if r == nil || n < 0 || n >= len(r.attempts) || !r.attempts[n].out || r.attempts[n].srv.ID != v {
+// findInFlight returns the attempt that an event is about if it is still in flight.
+func (s *Scheduler) findInFlight(id RequestID, index int, server ServerID) (*trackedRequest, *trackedAttempt) {
+	request := s.requests[id]
+	if request == nil || index < 0 || index >= len(request.attempts) ||
+		!request.attempts[index].inFlight || request.attempts[index].server.ID != server {
 		return nil, nil
 	}
-	return r, r.attempts[n]
+	return request, request.attempts[index]
 }
 
-func (s *Scheduler) heard(v *server, rep Report) {
-	if len(rep) > 0 {
-		v.report, v.reportAt, v.sentSince = rep, s.now, 0
+// recordReport stores a server's load report, if there is one.
+func (s *Scheduler) recordReport(server *trackedServer, report Report) {
+	if len(report) > 0 {
+		server.report, server.reportAt, server.sentSinceReport = report, s.now, 0
 	}
 }
 
-func newServer(id ServerID) *server {
-	return &server{ratio: 1, runs: prefix.Held{}, refuses: map[[2]string]time.Duration{}, hash: rendezvous.Hash(string(id))}
+func newServer(id ServerID) *trackedServer {
+	return &trackedServer{
+		latencyRatio: 1, prefixRuns: prefix.Held{}, rejectsUntil: map[[2]string]time.Duration{}, idHash: rendezvous.Hash(string(id)),
+	}
 }
 
-// running is the unfinished work that a server last reported, in requests of the mean prompt, 0
-// without a report. Prompts differ by orders of magnitude: where tokens are told, they count. Of
-// few nodes, whose own counts are in requests, requests do.
-func (s *Scheduler) running(v *server) float64 {
-	if waiting, told := v.report[ReportWaiting]; told && s.prompt > 0 && s.set.Nodes > manyNodes {
-		return waiting * 1000 / s.prompt
+// reportedLoad returns the unfinished work that a server last reported, in requests of the mean
+// prompt, 0 without a report. With many nodes, reported tokens are preferred, since prompts differ
+// in length by orders of magnitude. With few nodes the result is compared with own counts, which
+// are in requests, so reported requests are used.
+func (s *Scheduler) reportedLoad(server *trackedServer) float64 {
+	if waiting, reported := server.report[ReportWaiting]; reported && s.meanPromptTokens > 0 && s.settings.Nodes > manyNodes {
+		return waiting * 1000 / s.meanPromptTokens
 	}
-	return max(v.report[ReportInFlight], v.report[ReportQueue])
+	return max(server.report[ReportInFlight], server.report[ReportQueue])
 }
 
-// score is the rank of a server for a key, alike at all nodes.
-func (v *server) score(key uint64) uint64 { return rendezvous.Weight(v.hash, key) }
+// rendezvousWeight ranks a server for a key. All nodes compute the same rank.
+func (t *trackedServer) rendezvousWeight(key uint64) uint64 { return rendezvous.Weight(t.idHash, key) }
 
-// homesIn gives n readers of a pool by the session's key, of so many by the prefix's.
-func (r *request) homesIn(pool []*server, many, n int) []*server {
-	prefix := cmp.Or(r.Prefix, r.Session)
-	homes := rendezvous.Top(pool, many, func(v *server) uint64 { return v.score(prefix) })
-	return rendezvous.Top(homes, n, func(v *server) uint64 { return v.score(r.Session) })
+// affinityTargetsIn returns n servers of a pool: the width servers that rank highest for the
+// prefix, and of these the n that rank highest for the session.
+func (r *trackedRequest) affinityTargetsIn(pool []*trackedServer, width, n int) []*trackedServer {
+	prefixKey := cmp.Or(r.Prefix, r.Session)
+	targets := rendezvous.Top(pool, width, func(server *trackedServer) uint64 { return server.rendezvousWeight(prefixKey) })
+	return rendezvous.Top(targets, n, func(server *trackedServer) uint64 { return server.rendezvousWeight(r.Session) })
 }
 
-// byZone parts servers into those of this node's zone and others.
-func (s *Scheduler) byZone(pool []*server) (near, far []*server) {
-	for _, v := range pool {
-		if v.Zone == s.set.Zone {
-			near = append(near, v)
+// splitByZone splits servers into those of this node's zone and others.
+func (s *Scheduler) splitByZone(pool []*trackedServer) (near, far []*trackedServer) {
+	for _, server := range pool {
+		if server.Zone == s.settings.Zone {
+			near = append(near, server)
 		} else {
-			far = append(far, v)
+			far = append(far, server)
 		}
 	}
 	return near, far
 }
 
-// transferDelay is how much longer an answer takes to begin where its state has to leave
-// the reader's cell, less with the age of what is known of it.
+// transferDelay returns how much longer an answer takes to start, in ns, when its KV state has to
+// leave the prefill server's cell. The estimate decays with its age.
 func (s *Scheduler) transferDelay() float64 {
-	far := &s.pace[writingFar]
-	return max(far.Y-s.pace[writing].Y, 0) * math.Exp(-float64(s.now-far.Last)/float64(4*s.minAim))
+	far := &s.stageLatency[stageDecodeFar]
+	return max(far.Y-s.stageLatency[stageDecode].Y, 0) * math.Exp(-float64(s.now-far.Last)/float64(4*s.minAim))
 }
 
-// mean averages a figure over the listed servers of a role that have it.
-func (s *Scheduler) mean(role Role, figure func(*server) (float64, bool)) (mean, n float64) {
-	for _, v := range s.order {
-		if x, ok := figure(v); ok && v.listed && v.role == role {
-			n++
-			mean += (x - mean) / n
+// meanOver averages a value over the active servers of a role that have it, and counts them.
+func (s *Scheduler) meanOver(role Role, value func(*trackedServer) (float64, bool)) (mean, count float64) {
+	for _, server := range s.sortedServers {
+		if x, ok := value(server); ok && server.active && server.role == role {
+			count++
+			mean += (x - mean) / count
 		}
 	}
-	return mean, n
+	return mean, count
 }
 
-// parts gives the two runs of a prompt's leading blocks: what it shares with
-// other sessions, then its session's own.
-func (r *request) parts() []prefix.Part {
-	all, shared := int(r.PromptTokens)/blockTokens, 0
+// prefixParts returns the two runs of a prompt's leading blocks: those shared with
+// other sessions, then the session's own.
+func (r *trackedRequest) prefixParts() []prefix.Part {
+	total, shared := int(r.PromptTokens)/blockTokens, 0
 	if r.Prefix != 0 {
-		shared = min(int(r.PrefixTokens)/blockTokens, all)
+		shared = min(int(r.PrefixTokens)/blockTokens, total)
+	}
+	return []prefix.Part{
+		{Key: prefix.Key{Hash: r.Prefix}, Blocks: shared},
+		{Key: prefix.Key{Hash: r.Session, Own: true}, Blocks: total - shared},
 	}
-	return []prefix.Part{{Key: prefix.Key{Hash: r.Prefix}, Blocks: shared}, {Key: prefix.Key{Hash: r.Session, Own: true}, Blocks: all - shared}}
 }
 
-// match counts the leading tokens of a prompt that a server holds, and those
-// that it surely holds.
-func (s *Scheduler) match(r *request, v *server) (tokens, sure float64) {
-	held, known := s.table.Match(s.now, v.runs, r.parts())
-	return float64(held * blockTokens), float64(known * blockTokens)
+// matchPrefix counts the leading tokens of a prompt that a server probably has in its prefix
+// cache, and those that it has for sure.
+func (s *Scheduler) matchPrefix(request *trackedRequest, server *trackedServer) (tokens, sure float64) {
+	heldBlocks, sureBlocks := s.prefixTable.Match(s.now, server.prefixRuns, request.prefixParts())
+	return float64(heldBlocks * blockTokens), float64(sureBlocks * blockTokens)
 }
 
-// empty is a scheduler that knows its settings, and nothing of the fleet yet.
-func empty(set Settings, seed int64) *Scheduler {
+// newScheduler returns a scheduler without any servers.
+func newScheduler(settings Settings, seed int64) *Scheduler {
 	s := &Scheduler{
-		set: set, rng: rand.New(rand.NewSource(seed)), kinds: map[string]Kind{}, classes: map[string]*Class{},
-		quota: map[string]float64{}, servers: map[ServerID]*server{}, zones: map[string]*health{},
-		reqs: map[RequestID]*request{}, timers: map[uint64]timer{}, cost: map[*Class]float64{},
-		asked: map[string]*trend.Rate{}, impatience: map[string]float64{},
-		copies: 1, endsAt: math.MaxInt64, table: prefix.Table{MaxBlocks: maxBlocks, Expiry: blockExpiry},
-		minAim: math.MaxInt64, topWorth: math.SmallestNonzeroFloat64,
-		crowd: max(1-2/float64(set.Nodes), 0),
+		settings: settings, rng: rand.New(rand.NewSource(seed)), kinds: map[string]Kind{}, classes: map[string]*Class{},
+		tenantQuota: map[string]float64{}, servers: map[ServerID]*trackedServer{}, zonePaths: map[string]*health{},
+		requests: map[RequestID]*trackedRequest{}, timers: map[uint64]pendingTimer{}, classTokens: map[*Class]float64{},
+		tenantRate: map[string]*trend.Rate{}, tenantImpatience: map[string]float64{},
+		processes: 1, shutdownAt: math.MaxInt64, prefixTable: prefix.Table{MaxBlocks: maxBlocks, Expiry: blockExpiry},
+		minAim: math.MaxInt64, maxWorth: math.SmallestNonzeroFloat64,
+		unseenShare: max(1-2/float64(settings.Nodes), 0),
 	}
-	for _, kind := range set.Kinds {
+	for _, kind := range settings.Kinds {
 		s.kinds[kind.Name] = kind
 	}
-	s.longest = min(mostMemory(set.Kinds, RoleRead), mostMemory(set.Kinds, RoleWrite))
-	for i := range set.Classes {
-		c := &set.Classes[i]
-		s.classes[c.Name] = c
-		s.topWorth = max(s.topWorth, c.Worth)
-		s.minAim = min(s.minAim, c.Aim)
+	s.maxPromptTokens = min(maxMemory(settings.Kinds, RoleRead), maxMemory(settings.Kinds, RoleWrite))
+	for i := range settings.Classes {
+		class := &settings.Classes[i]
+		s.classes[class.Name] = class
+		s.maxWorth = max(s.maxWorth, class.Worth)
+		s.minAim = min(s.minAim, class.Aim)
 	}
-	for _, t := range set.Tenants {
-		s.quota[t.Name] = t.QuotaPerSec / float64(set.Nodes)
-		s.asked[t.Name] = &trend.Rate{}
+	for _, tenant := range settings.Tenants {
+		s.tenantQuota[tenant.Name] = tenant.QuotaPerSec / float64(settings.Nodes)
+		s.tenantRate[tenant.Name] = &trend.Rate{}
 	}
 	return s
 }
 
-// mostMemory is the memory in tokens of the largest kind of server of a stage, infinite where
-// there is none or a kind does not tell its own.
-func mostMemory(kinds []Kind, stage Role) float64 {
-	most := 0.0
+// maxMemory returns the memory in tokens of the largest kind of server that serves a role,
+// infinite if there is none or a kind's memory is not known.
+func maxMemory(kinds []Kind, role Role) float64 {
+	largest := 0.0
 	for _, kind := range kinds {
 		switch {
-		case kind.Role != stage && kind.Role != RoleMixed:
+		case kind.Role != role && kind.Role != RoleMixed:
 		case kind.MemoryTokens == 0:
 			return math.Inf(1)
 		default:
-			most = max(most, kind.MemoryTokens)
+			largest = max(largest, kind.MemoryTokens)
 		}
 	}
-	if most == 0 {
+	if largest == 0 {
 		return math.Inf(1)
 	}
-	return most
+	return largest
 }
 
-// byCell sums a figure over the listed servers of a role that have it, by cell, and counts them.
-func (s *Scheduler) byCell(role Role, figure func(*server) (float64, bool)) (sum, n map[int]float64) {
-	sum, n = map[int]float64{}, map[int]float64{}
-	for _, v := range s.order {
-		if x, ok := figure(v); ok && v.listed && v.role == role {
-			sum[v.Cell] += x
-			n[v.Cell]++
+// sumByCell sums a value over the active servers of a role that have it, by cell, and counts them.
+func (s *Scheduler) sumByCell(role Role, value func(*trackedServer) (float64, bool)) (sum, count map[int]float64) {
+	sum, count = map[int]float64{}, map[int]float64{}
+	for _, server := range s.sortedServers {
+		if x, ok := value(server); ok && server.active && server.role == role {
+			sum[server.Cell] += x
+			count[server.Cell]++
 		}
 	}
-	return sum, n
+	return sum, count
 }
 
-// oldestWaits gives, by server of a role, when the oldest of this node's attempts was sent that
-// have no answer yet.
-func (s *Scheduler) oldestWaits(role Role) map[*server]time.Duration {
-	oldest := map[*server]time.Duration{}
-	for _, r := range s.reqs {
-		for _, a := range r.attempts {
-			if a.out && !a.begun && a.srv.role == role && (oldest[a.srv] == 0 || a.sent < oldest[a.srv]) {
-				oldest[a.srv] = a.sent
+// oldestUnanswered returns, by server of a role, when the oldest of this node's attempts that
+// have no answer yet was sent.
+func (s *Scheduler) oldestUnanswered(role Role) map[*trackedServer]time.Duration {
+	oldest := map[*trackedServer]time.Duration{}
+	for _, request := range s.requests {
+		for _, attempt := range request.attempts {
+			if attempt.inFlight && !attempt.answerStarted && attempt.server.role == role &&
+				(oldest[attempt.server] == 0 || attempt.sentAt < oldest[attempt.server]) {
+				oldest[attempt.server] = attempt.sentAt
 			}
 		}
 	}
 	return oldest
 }
 
-func stageOf(write bool, from, to *server) stage {
+// stageOf returns the stage of an attempt at a server, with KV state from another one or nil.
+func stageOf(decodes bool, from, to *trackedServer) stage {
 	switch {
-	case !write:
-		return reading
+	case !decodes:
+		return stagePrefill
 	case from != nil && from.Cell != to.Cell:
-		return writingFar
+		return stageDecodeFar
 	}
-	return writing
+	return stageDecode
 }
 
-// kind is what a throttle may tell requests apart by: a full server says so at
-// once, one that takes its time has room and refuses this kind alone.
-func (r *request) kind() [2]string { return [2]string{r.Class, r.Tenant} }
+// throttleKey returns the properties by which a server may throttle requests. A full server
+// rejects at once; one that takes longer has room and rejects only requests like this one.
+func (r *trackedRequest) throttleKey() [2]string { return [2]string{r.Class, r.Tenant} }
 
-func reads(r Role) bool { return r == RoleRead }
+func isPrefill(role Role) bool { return role == RoleRead }
 
-func mixed(r Role) bool { return r == RoleMixed }
+func isMixed(role Role) bool { return role == RoleMixed }
 
-func writes(r Role) bool { return r != RoleRead }
+func canDecode(role Role) bool { return role != RoleRead }
 
-// Handle takes in one event and appends the actions to out. Events come in
-// the order of their times; stray ones are ignored.
+// Handle processes one event and appends the resulting actions to out. Events must come
+// in the order of their times; those that match nothing in flight are ignored.
 func (s *Scheduler) Handle(now time.Duration, e Event, out []Action) []Action {
-	s.now, s.out = max(now, s.now), out
+	s.now, s.actions = max(now, s.now), out
 	switch e := e.(type) {
 	case MembershipUpdate:
-		s.members(e)
+		s.handleMembershipUpdate(e)
 	case Request:
-		s.request(e)
+		s.handleRequest(e)
 	case AnswerStarted:
-		s.first(e)
+		s.handleAnswerStarted(e)
 	case ReservationResult:
-		s.placeNote(e)
+		s.handleReservationResult(e)
 	case Outcome:
-		s.outcome(e)
+		s.handleOutcome(e)
 	case ClientDisconnected:
-		s.gone(e)
+		s.handleClientDisconnected(e)
 	case TimerFired:
-		s.timer(e)
+		s.handleTimer(e)
 	case ProbeResult:
-		s.probed(e)
+		s.handleProbeResult(e)
 	case Shutdown:
-		s.ending(e)
+		s.handleShutdown(e)
 	}
-	out, s.out = s.out, nil
+	out, s.actions = s.actions, nil
 	return out
 }
--- a/storm_test.go
+++ b/storm_test.go
@@ -175,7 +175,7 @@
 				w.finishAs(RequestID(fmt.Sprint("q", i)), n, StatusTimedOut)
 			}
 		}
-		if r.holds && len(r.out) == 0 && w.n.now-r.idle > w.n.s.set.Rules.ReleaseTimeout+40*ms {
+		if r.holds && len(r.out) == 0 && w.n.now-r.idle > w.n.s.settings.Rules.ReleaseTimeout+40*ms {
 			w.t.Errorf("rule 5: q%d held something %v after its last outcome", i, w.n.now-r.idle)
 			r.holds = false
 		}
--- a/types.go
+++ b/types.go
@@ -41,13 +41,13 @@
 
 // The statuses of attempts and probes.
 const (
-	StatusServed         Status = iota + 1 // answered in full, or a probe was answered
+	StatusServed         Status = iota + 1 // the server answered the request or the probe
 	StatusServerError                      // the server reported an error; it may have run the request
 	StatusRejected                         // the server turned the request away without running it
 	StatusTimedOut                         // no answer before the timeout
 	StatusConnectFailed                    // no connection came up, so the request never ran
 	StatusConnectionLost                   // the connection broke; the server may have run the request
-	StatusCancelled                        // the gateway cancelled the attempt
+	StatusCancelled                        // the gateway or the client cancelled the attempt
 	StatusNotSent                          // nothing was sent to the server
 	StatusPrefilled                        // a prefill server has processed the prompt and keeps its KV state
 )
@@ -83,7 +83,7 @@
 	Deadline  time.Duration
 	TokenAim  time.Duration // wanted time between the tokens of an answer
 	Worth     float64
-	LateShare float64
+	LateShare float64 // part of the worth that an answer after the aim earns
 	Effect    Effect
 	Group     Scope         // with TokenEffect only
 	Window    time.Duration // with TokenEffect only
@@ -98,11 +98,11 @@
 
 // Limits are what the site allows.
 type Limits struct {
-	MaxAttempts    int // 0 = no limit
-	Cancel         bool
-	Hedging        bool
-	Probes         bool
-	RetryAfter     bool
+	MaxAttempts    int  // 0 = no limit
+	Cancel         bool // attempts may be cancelled
+	Hedging        bool // a request may have a second attempt in flight; not used by the scheduler
+	Probes         bool // servers may be probed
+	RetryAfter     bool // refusals may carry a time to try again
 	MaxRetryAfter  time.Duration
 	ConnectTimeout time.Duration
 	ConnIdle       time.Duration // after which servers close an idle connection; used by transports only
