--- a/choose.go
+++ b/choose.go
@@ -214,9 +214,9 @@
 	return tokens
 }
 
-// preferSlowStart replaces a choice by a server in slow start that has reported its load just now and
+// preferSlowStart replaces a choice by a server in slow start that has just reported its load and
 // would finish earlier. A cached prefix is worth only the tokens that need no prefill. Servers
-// outside slow start don't replace a choice because they are idle: one that fails at once is idle too.
+// outside slow start don't replace a choice for being idle: one that fails at once is idle too.
 func (s *Scheduler) preferSlowStart(
 	choice *trackedServer, pool []*trackedServer, work func(*trackedServer) float64) *trackedServer {
 	least := work(choice) * max(s.settings.Rules.SlowStartCapacity, minSlowStartSpeed)
--- a/membership.go
+++ b/membership.go
@@ -31,7 +31,8 @@
 // resetServer drops what was known about a server that has restarted: its health, its load and its
 // prefix cache. It draws this node's turn among the nodes that share the slow-start budget.
 func (s *Scheduler) resetServer(server *trackedServer) {
-	server.health, server.latencyRatio, server.pausedUntil, server.report, server.warmThroughput = health{}, 1, 0, nil, trend.Rate{}
+	server.health, server.latencyRatio, server.pausedUntil, server.report, server.warmThroughput =
+		health{}, 1, 0, nil, trend.Rate{}
 	server.slowStartSends, server.restartedAt, server.slowStartPhase = nil, s.now, s.rng.Float64()
 	server.slowStartCredit = slowstart.NewCredit(s.now, server.slowStartPhase)
 	s.prefixTable.Void(server.prefixRuns, s.now+1)
--- a/outcomes.go
+++ b/outcomes.go
@@ -21,6 +21,8 @@
 	}
 }
 
+// handleAnswerStarted records the start of an answer. The request's KV state and reservation are used
+// up then.
 func (s *Scheduler) handleAnswerStarted(e AnswerStarted) {
 	request, attempt := s.findInFlight(e.ID, e.Attempt, e.Server)
 	if request == nil || attempt.answerStarted || !attempt.decodes {
@@ -54,6 +56,7 @@
 		server.latestStartedSend[request.attempts[index].stage] > silentSince || probe && idle, probe
 }
 
+// handleOutcome records how an attempt ended, and makes the next one or ends the request.
 func (s *Scheduler) handleOutcome(e Outcome) {
 	request, attempt := s.findInFlight(e.ID, e.Attempt, e.Server)
 	if request == nil {
@@ -163,6 +166,7 @@
 	server.pausedUntil = s.now + server.pauseLength
 }
 
+// handleTimer does what an expired timer was set for.
 func (s *Scheduler) handleTimer(e TimerFired) {
 	timer, ok := s.timers[e.Token]
 	if !ok {
@@ -186,11 +190,11 @@
 }
 
 // handleOverdue checks an attempt that has been in flight far longer than its peers take. A server
-// that has made progress since the send is busy, and cancelling would lose a place in its queue. A
+// that has made progress since the send is busy, and cancelling would lose a position in its queue. A
 // server without any progress gets a failure sample, and later the attempt is cancelled if another one
-// may follow. With many nodes there is little own work at a server, so silence is no evidence before the
-// class's aim is nearly used up. A server that has started to answer a later attempt has not got
-// this one: its connection is dead.
+// may follow. With many nodes there is little own work at a server, so silence is no evidence until
+// most of the class's aim has passed. A server that has started to answer a later attempt has not
+// received this one: its connection is dead.
 func (s *Scheduler) handleOverdue(request *trackedRequest, index int) {
 	attempt, limit := request.attempts[index], s.overdueAfter(request, request.attempts[index])
 	waited := s.now - attempt.sentAt
@@ -210,8 +214,9 @@
 	}
 }
 
-// sharedSlowness tells whether the peers of a server that have work of this node make no progress
-// either. Leaving the server would then only restart elsewhere what is slow everywhere.
+// sharedSlowness tells whether a server's silence is less than ejectLatencyRatio times the median of
+// its peers that have work of this node. Leaving the server would then only restart elsewhere what is
+// slow everywhere.
 func (s *Scheduler) sharedSlowness(server *trackedServer) bool {
 	oldest := s.oldestUnanswered(server.role)
 	silence := func(server *trackedServer) time.Duration {
@@ -252,6 +257,7 @@
 	s.updateHealth(server, request, true)
 }
 
+// handleClientDisconnected ends a request whose client has left, and learns how long clients wait.
 func (s *Scheduler) handleClientDisconnected(e ClientDisconnected) {
 	if request := s.requests[e.ID]; request != nil && !request.done {
 		s.tenantImpatience[request.Tenant] += ewmaWeight *
@@ -260,6 +266,7 @@
 	}
 }
 
+// handleProbeResult records a probe's result. Sends to an overloaded server are paused.
 func (s *Scheduler) handleProbeResult(e ProbeResult) {
 	server := s.servers[e.Server]
 	if server == nil {
--- a/scheduler.go
+++ b/scheduler.go
@@ -64,6 +64,7 @@
 	return newScheduler(settings.withDefaults(), seed), nil
 }
 
+// handleMembershipUpdate applies a membership update, and watches again if that is needed.
 func (s *Scheduler) handleMembershipUpdate(e MembershipUpdate) {
 	if e.Form == MembershipFailed && s.settings.Subscribe { // with jitter, so that nodes don't retry at once
 		s.setTimer(time.Duration((0.5+s.rng.Float64()/2)*float64(minBackoff)), pendingTimer{purpose: timerWatch})
@@ -82,6 +83,7 @@
 	}
 }
 
+// handleRequest admits a request and takes its first step.
 func (s *Scheduler) handleRequest(e Request) {
 	if s.requests[e.ID] != nil {
 		return
