--- a/choose.go
+++ b/choose.go
@@ -101,7 +101,7 @@
 // unfinished prefills behind which a request rather waits. Another zone costs a network crossing.
 // A cell without free decode memory costs a transfer of the KV state to another cell.
 func (s *Scheduler) detourCost(request *trackedRequest) func(*trackedServer) float64 {
-	prefillTime := s.stageLatency[stagePrefill].Y
+	prefillTime := s.stageLatency[stagePrefill].Mean
 	if prefillTime <= 0 {
 		return func(*trackedServer) float64 { return 0 }
 	}
@@ -138,7 +138,7 @@
 		}, 1
 	}
 	return func(server *trackedServer) float64 {
-		estimate := trend.Fleet(s.settings.Nodes, float64(server.pendingPrefills), meanOwn, 1)
+		estimate := trend.FleetTotal(s.settings.Nodes, float64(server.pendingPrefills), meanOwn, 1)
 		if len(server.report) > 0 && s.now-server.reportAt < loadProbeInterval {
 			estimate = max(estimate*(1-s.unseenShare), s.reportedLoad(server))
 		}
@@ -249,10 +249,10 @@
 func (s *Scheduler) affinityTargets(request *trackedRequest, pool []*trackedServer) []*trackedServer {
 	prefixUses, poolSize := 0.0, float64(len(pool))
 	for _, server := range pool {
-		prefixUses += s.prefixTable.Used(server.prefixRuns, prefix.Key{Hash: request.Prefix})
+		prefixUses += s.prefixTable.UsesOf(server.prefixRuns, prefix.Key{Hash: request.Prefix})
 	}
 	// A prefix that was seen once may be chance.
-	width, needed := 2, affinitySpread*poolSize*max(prefixUses-1, 0)/(s.prefixTable.Uses()+poolSize)
+	width, needed := 2, affinitySpread*poolSize*max(prefixUses-1, 0)/(s.prefixTable.TotalUses()+poolSize)
 	if s.settings.Nodes > manyNodes && s.settings.Reports == ReportNone {
 		width = max(width, int(poolSize*minBlindAffinity))
 	}
@@ -354,7 +354,7 @@
 	usedInCell, reportingInCell := s.sumByCell(role, usedShare)
 	return func(server *trackedServer) float64 {
 		free := server.memoryTokens -
-			trend.Fleet(s.settings.Nodes, server.decodeTokens, meanOwnTokens, s.meanPromptTokens)
+			trend.FleetTotal(s.settings.Nodes, server.decodeTokens, meanOwnTokens, s.meanPromptTokens)
 		if reporting > 0 {
 			used := (usedInCell[server.Cell] + meanUsed) / (reportingInCell[server.Cell] + 1)
 			if own, ok := usedShare(server); ok {
--- a/contract/targets.go
+++ b/contract/targets.go
@@ -171,7 +171,7 @@
 	a, err := d.r.Do(ctx, &router.Request{
 		Method: http.MethodPost, Target: "/v1/chat/completions", Body: d.body.Body(t),
 		RequestInfo: ashwood.RequestInfo{
-			ID: ashwood.RequestID(t.ID), Class: t.Class.Name, Session: gateway.Key(t.Session), Prefix: gateway.Key(t.Shared),
+			ID: ashwood.RequestID(t.ID), Class: t.Class.Name, Session: gateway.AffinityKey(t.Session), Prefix: gateway.AffinityKey(t.Shared),
 			PromptTokens: float64(t.PromptTokens), PrefixTokens: float64(t.SharedTokens), MaxOutputTokens: float64(t.MaxOut), Remaining: t.Remaining,
 		},
 	})
--- a/gateway/fallback_test.go
+++ b/gateway/fallback_test.go
@@ -23,7 +23,7 @@
 	defer p.mu.Unlock()
 	for i := range engines {
 		v := ashwood.Server{ID: ashwood.ServerID(fmt.Sprint("e", i)), Kind: "w", Zone: fmt.Sprint("z", i%3), State: ashwood.StateActive}
-		g.Update(ashwood.MembershipDelta, []ashwood.Server{v})
+		g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{v})
 		p.silent[v.ID] = 1e6
 		list = append(list, v.ID)
 	}
@@ -337,7 +337,7 @@
 				time.Sleep(10 * time.Millisecond)
 				if started > 0 {
 					anew := ashwood.Server{ID: "r1", Kind: "r", State: ashwood.StateActive, Started: clock.Duration(g.clock.Now())}
-					g.Update(ashwood.MembershipDelta, []ashwood.Server{anew})
+					g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{anew})
 				}
 				if d := p.wantNext(t, string(fleet[0])); d > ruleTime {
 					t.Errorf("told after %v", d)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -90,7 +90,7 @@
 }
 
 // Update tells the gateway of news of the list of engines.
-func (g *Gateway) Update(form ashwood.MembershipForm, list []ashwood.Server) {
+func (g *Gateway) UpdateMembership(form ashwood.MembershipForm, list []ashwood.Server) {
 	g.router.Update(form, list)
 	g.owner.update(form, list)
 	if g.log.Enabled(context.Background(), slog.LevelDebug) {
@@ -115,7 +115,7 @@
 
 // EndBy tells by when, in ms of the clock, each request must have its answer, because the
 // process ends then; see ashwood.Router.
-func (g *Gateway) EndBy(at float64) {
+func (g *Gateway) SetAnswerDeadline(at float64) {
 	g.endsAt.Store(math.Float64bits(at))
 	g.router.ShutdownBy(at)
 }
@@ -124,12 +124,12 @@
 // how long its client is to stay away, as Pause does.
 func (g *Gateway) TurnAway(class string) float64 {
 	g.metrics.Ended(class, metrics.Throttled)
-	return g.Pause()
+	return g.RetryAfter()
 }
 
 // Pause is how long in ms a client is to stay away that a front must refuse by
 // itself, for want of room; 0 = no advice.
-func (g *Gateway) Pause() float64 { return g.router.RetryAfter() }
+func (g *Gateway) RetryAfter() float64 { return g.router.RetryAfter() }
 
 // Serve takes a request to its final answer, or to the beginning of one. When
 // ctx ends, the client has left; ctx bounds a served stream too, which the
@@ -141,7 +141,7 @@
 		s.class, s.begun = req.Class, begun
 	}
 	g.log.Debug("answer", "id", req.ID, "class", req.Class, "kind", reply.Kind, "ms", g.clock.Now()-begun,
-		"why", reply.Why, "err", err)
+		"why", reply.Reason, "err", err)
 	return reply, err
 }
 
@@ -181,24 +181,24 @@
 		case ashwood.StepRelease:
 			step, planned = g.router.Next(req.ID), g.clock.Now()
 		case ashwood.StepRefuse:
-			return Reply{Kind: Refused, RetryAfter: step.RetryAfter, Why: step.Reason, Err: last}, nil
+			return Reply{Kind: Refused, RetryAfter: step.RetryAfter, Reason: step.Reason, Err: last}, nil
 		case ashwood.StepFail:
-			return Reply{Kind: Failed, Why: step.Reason, Err: last}, nil
+			return Reply{Kind: Failed, Reason: step.Reason, Err: last}, nil
 		default:
-			return Reply{Kind: Gone, Err: ErrClientGone}, nil
+			return Reply{Kind: ClientGone, Err: ErrClientGone}, nil
 		}
 	}
 }
 
 // attempt sends a request once. It gives either a begun answer's stream or,
 // after it has reported how the attempt ended, the next step.
-func (g *Gateway) attempt(ctx context.Context, req *Request, step ashwood.Step, h *holds) (Answer, ashwood.Step) {
+func (g *Gateway) attempt(ctx context.Context, req *Request, step ashwood.Step, h *holds) (AttemptResult, ashwood.Step) {
 	begun := g.clock.Now()
 	actx, cancel := context.WithCancelCause(step.Context)
-	stop := g.clock.AfterFunc(step.Timeout, func() { cancel(ErrTimedOut) })
+	stop := g.clock.AfterFunc(step.Timeout, func() { cancel(ErrFirstTokenTimeout) })
 	ans := g.transport.Send(actx, Attempt{
-		Request: req, Engine: step.Engine, Reads: step.Prefill, Once: step.NonRepeatable, Remaining: step.Timeout,
-		Ready: func() bool {
+		Request: req, Engine: step.Engine, Prefill: step.Prefill, NonIdempotent: step.NonRepeatable, Remaining: step.Timeout,
+		MayWrite: func() bool {
 			late := step.SendBefore > 0 && g.clock.Now() >= step.SendBefore
 			if late || actx.Err() != nil || !g.router.Accepts(step.Engine.ID) {
 				return false
@@ -206,7 +206,7 @@
 			h.pause(true)
 			return true
 		},
-		Sent: func() {
+		OnSent: func() {
 			g.record(req, step, reqlog.Sent, "")
 			h.sent(step.Engine, step.Prefill)
 			g.metrics.Relayed(req.Class)
@@ -230,8 +230,8 @@
 	// An attempt that was given up may have run, unless its last byte never left.
 	if ans.Status == ashwood.StatusConnectionLost && !inTime {
 		ans.Status = ashwood.StatusCancelled
-		if errors.Is(context.Cause(actx), ErrTimedOut) {
-			ans.Status, ans.Err = ashwood.StatusTimedOut, ErrTimedOut
+		if errors.Is(context.Cause(actx), ErrFirstTokenTimeout) {
+			ans.Status, ans.Err = ashwood.StatusTimedOut, ErrFirstTokenTimeout
 		}
 	}
 	cancel(nil)
@@ -313,30 +313,30 @@
 		place := g.transport.Reserve(ctx, v, h.id, ready)
 		g.log.Debug("place", "id", h.id, "engine", v.ID, "answer", int(place))
 		switch place {
-		case PlaceHeld, PlaceRefused:
+		case ReserveHeld, ReserveRefused:
 			g.owner.heard(v)
 		}
-		if place == PlaceUnknown && ctx.Err() != nil { // given up; an answer that tells nothing ends the call
+		if place == ReserveUnknown && ctx.Err() != nil { // given up; an answer that tells nothing ends the call
 			h.doubt(v)
 			g.live.unanswered(v.ID, "reservation")
 		}
 		switch {
-		case place != PlaceHeld && place != PlaceUnknown:
+		case place != ReserveHeld && place != ReserveUnknown:
 		case reading.Err() != nil:
 			h.addLate(v)
 		default:
 			h.reserved(v, asked, reservationAnswer(place, ctx.Err() != nil))
 		}
-		if place == PlaceUnknown || place == PlaceUnasked {
+		if place == ReserveUnknown || place == ReserveNotSent {
 			return
 		}
-		v, ok = g.router.ReportReservation(h.id, step.Attempt, v.ID, place == PlaceHeld)
+		v, ok = g.router.ReportReservation(h.id, step.Attempt, v.ID, place == ReserveHeld)
 	}
 }
 
-func reservationAnswer(place Place, givenUp bool) reservation {
+func reservationAnswer(place ReserveResult, givenUp bool) reservation {
 	switch {
-	case place == PlaceHeld:
+	case place == ReserveHeld:
 		return reservationHeld
 	case givenUp:
 		return reservationNoAnswer
--- a/gateway/liveness_test.go
+++ b/gateway/liveness_test.go
@@ -42,7 +42,7 @@
 	in(t, p, func(t *testing.T, g *Gateway) {
 		p.freed = make(chan string, 9)
 		w1 := ashwood.Server{ID: "w1", Kind: "w", State: ashwood.StateActive}
-		g.Update(ashwood.MembershipDelta, []ashwood.Server{w1})
+		g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{w1})
 		g.owner.heard(w1)
 		for range silentAfter {
 			g.ask(w1, probeWait)
--- a/gateway/owner.go
+++ b/gateway/owner.go
@@ -244,7 +244,7 @@
 	err := o.g.transport.Release(ctx, v, id, n > 0)
 	if err == nil {
 		o.answered(v)
-	} else if context.Cause(ctx) != errWithdrawn && !errors.Is(err, ErrLocal) {
+	} else if context.Cause(ctx) != errWithdrawn && !errors.Is(err, ErrLocalFailure) {
 		o.unheard(v, "release", errors.Is(err, ErrUnanswered))
 	}
 	o.g.log.Debug("release", "id", id, "engine", v.ID, "try", n, "ms", o.g.clock.Now()-begun, "err", err)
--- a/gateway/stall_test.go
+++ b/gateway/stall_test.go
@@ -33,7 +33,7 @@
 func TestStalledStreamBreaks(t *testing.T) {
 	for _, works := range []bool{true, false} {
 		stalled := &stalls{pieces: pieces{left: []string{"a"}}, waiting: make(chan struct{})}
-		p := &peer{place: PlaceRefused, answers: map[ashwood.ServerID][]Answer{
+		p := &peer{place: ReserveRefused, answers: map[ashwood.ServerID][]AttemptResult{
 			"r1": {answer(ashwood.StatusPrefilled), answer(ashwood.StatusPrefilled)},
 			"w1": {{Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: stalled}, streams(io.EOF, "b")}}}
 		g, c := start(t, p)
@@ -110,7 +110,7 @@
 	} {
 		stalled := &stalls{pieces: pieces{left: []string{"a", "b"}}}
 		going := &paced{}
-		p := &peer{nodes: 2, place: PlaceRefused, load: ashwood.Report{ashwood.ReportQueue: tt.queue}, answers: map[ashwood.ServerID][]Answer{
+		p := &peer{nodes: 2, place: ReserveRefused, load: ashwood.Report{ashwood.ReportQueue: tt.queue}, answers: map[ashwood.ServerID][]AttemptResult{
 			"r1": {answer(ashwood.StatusPrefilled), answer(ashwood.StatusPrefilled)},
 			"w1": {{Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: going}, {Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: stalled}}}}
 		synctest.Test(t, func(t *testing.T) {
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -88,13 +88,13 @@
 
 // Move hands the answer to another process. Here it ends as one that was called off,
 // which says nothing of its engine.
-func (s *stream) Move(give func(Live) error) error {
-	m, ok := s.Stream.(Movable)
+func (s *stream) HandOver(give func(HandoverState) error) error {
+	m, ok := s.Stream.(HandoverStream)
 	if !ok {
 		return fmt.Errorf("gateway: a stream of %T can't be moved", s.Stream)
 	}
-	err := m.Move(func(v Live) error {
-		v.ID, v.Class, v.Engine, v.Begun = s.id, s.class, s.engine, s.begun
+	err := m.HandOver(func(v HandoverState) error {
+		v.ID, v.Class, v.Engine, v.StartedAt = s.id, s.class, s.engine, s.begun
 		return give(v)
 	})
 	if err == nil {
@@ -106,15 +106,15 @@
 // Adopt goes on with an answer that another process has begun: make gives its stream,
 // which ctx bounds. The decisions have not heard of its request and are not asked about it;
 // what it tells of its engine at its end is.
-func (g *Gateway) Adopt(ctx context.Context, live Live, make func(context.Context, Transport) (Stream, error)) (Stream, error) {
+func (g *Gateway) Adopt(ctx context.Context, live HandoverState, make func(context.Context, Transport) (Stream, error)) (Stream, error) {
 	actx, cancel := context.WithCancelCause(ctx)
 	inner, err := make(actx, g.transport)
 	if err != nil {
 		cancel(nil)
 		return nil, err
 	}
-	g.log.Debug("adopted", "id", live.ID, "class", live.Class, "engine", live.Engine.ID, "ms", g.clock.Now()-live.Begun)
-	return &stream{Stream: inner, g: g, ctx: ctx, id: live.ID, engine: live.Engine, pulse: g.pulses.enter(live.Engine.ID), cancel: cancel, class: live.Class, begun: live.Begun, pieces: 2}, nil
+	g.log.Debug("adopted", "id", live.ID, "class", live.Class, "engine", live.Engine.ID, "ms", g.clock.Now()-live.StartedAt)
+	return &stream{Stream: inner, g: g, ctx: ctx, id: live.ID, engine: live.Engine, pulse: g.pulses.enter(live.Engine.ID), cancel: cancel, class: live.Class, begun: live.StartedAt, pieces: 2}, nil
 }
 
 // Close ends the engine's stream if it has not ended.
--- a/internal/grpcfront/grpcfront_test.go
+++ b/internal/grpcfront/grpcfront_test.go
@@ -145,7 +145,7 @@
 		}
 	}
 	check(&ashwoodpb.GenerateRequest{RequestId: "a", Class: "send-order", Session: "refused", PromptTokens: 64, FirstTokenMs: 200}, codes.Unavailable)
-	gw.Update(ashwood.MembershipSnapshot, nil) // no box left
+	gw.UpdateMembership(ashwood.MembershipSnapshot, nil) // no box left
 	check(&ashwoodpb.GenerateRequest{RequestId: "b", Class: "send-order", PromptTokens: 64, FirstTokenMs: 200}, codes.ResourceExhausted)
 }
 
--- a/internal/grpcfront/harness_test.go
+++ b/internal/grpcfront/harness_test.go
@@ -198,7 +198,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gw.Update(ashwood.MembershipSnapshot, f.list)
+	gw.UpdateMembership(ashwood.MembershipSnapshot, f.list)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go gw.Run(ctx)
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -39,14 +39,14 @@
 // NewDiscovery makes a follower.
 func NewDiscovery(addr string, c clock.Clock, log *slog.Logger) *Discovery {
 	d := &Discovery{addr: addr, clock: c, log: log, moved: func() {}}
-	d.Fleet(ashwood.Settings{}, 0)
+	d.Configure(ashwood.Settings{}, 0)
 	return d
 }
 
 // Fleet says how many gateways there are, whether lists are pushed to an agent of this
 // one's own or asked for at a discovery that serves all, and the seed from which its
 // waits are drawn. It is to be called before Run.
-func (d *Discovery) Fleet(set ashwood.Settings, seed int64) {
+func (d *Discovery) Configure(set ashwood.Settings, seed int64) {
 	d.pace = pacing.NewReopen(set.Nodes, set.Subscribe, clock.Millis(set.Rules.ResubscribeWithin), rand.New(rand.NewSource(seed)))
 }
 
@@ -54,11 +54,11 @@
 func (d *Discovery) Share(processes int) { d.shares.Store(int32(processes)) }
 
 // Known says which version of the list is in hand, so that Run watches from there.
-func (d *Discovery) Known(version int64) { d.from, d.inHand = version, true }
+func (d *Discovery) ResumeFrom(version int64) { d.from, d.inHand = version, true }
 
 // Move has discovery asked at another address from now on. The list in hand
 // stays until that has answered with one of its own.
-func (d *Discovery) Move(addr string) {
+func (d *Discovery) SetAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if addr == d.addr {
--- a/membership.go
+++ b/membership.go
@@ -35,5 +35,5 @@
 		health{}, 1, 0, nil, trend.Rate{}
 	server.slowStartSends, server.restartedAt, server.slowStartPhase = nil, s.now, s.rng.Float64()
 	server.slowStartCredit = slowstart.NewCredit(s.now, server.slowStartPhase)
-	s.prefixTable.Void(server.prefixRuns, s.now+1)
+	s.prefixTable.DropOlderThan(server.prefixRuns, s.now+1)
 }
--- a/outcomes.go
+++ b/outcomes.go
@@ -145,7 +145,7 @@
 // that was not reported).
 func (s *Scheduler) recordPrefilled(request *trackedRequest, attempt *trackedAttempt, cachedTokens float64) {
 	if cachedTokens < attempt.cachedTokens/2 {
-		s.prefixTable.Void(attempt.server.prefixRuns, attempt.sentAt)
+		s.prefixTable.DropOlderThan(attempt.server.prefixRuns, attempt.sentAt)
 	}
 	s.prefixTable.Record(s.now, attempt.server.prefixRuns, request.prefixParts(), true)
 	request.stateHolder = attempt.server
--- a/router/harness_test.go
+++ b/router/harness_test.go
@@ -48,16 +48,16 @@
 	return n
 }
 
-func (f *fleet) Send(ctx context.Context, a gateway.Attempt) gateway.Answer {
-	if !a.Ready() {
-		return gateway.Answer{Result: ashwood.Result{Status: ashwood.StatusNotSent}}
+func (f *fleet) Send(ctx context.Context, a gateway.Attempt) gateway.AttemptResult {
+	if !a.MayWrite() {
+		return gateway.AttemptResult{Result: ashwood.Result{Status: ashwood.StatusNotSent}}
 	}
-	a.Sent()
+	a.OnSent()
 	f.mu.Lock()
 	f.told[a.ID] = a.Remaining
 	f.mu.Unlock()
 	wait, what := f.writing, "write"
-	if a.Reads {
+	if a.Prefill {
 		wait, what = f.reading, "read"
 		f.hold(a.ID, a.Engine.ID)
 	} else {
@@ -70,22 +70,22 @@
 		select {
 		case <-wait:
 		case <-ctx.Done():
-			return gateway.Answer{Result: ashwood.Result{Status: ashwood.StatusConnectionLost}, Err: context.Cause(ctx)}
+			return gateway.AttemptResult{Result: ashwood.Result{Status: ashwood.StatusConnectionLost}, Err: context.Cause(ctx)}
 		}
 	}
-	if a.Reads {
-		return gateway.Answer{Result: ashwood.Result{Status: ashwood.StatusPrefilled}}
+	if a.Prefill {
+		return gateway.AttemptResult{Result: ashwood.Result{Status: ashwood.StatusPrefilled}}
 	}
 	f.mu.Lock()
 	delete(f.held, a.ID) // the first token lets go of all
 	f.mu.Unlock()
-	return gateway.Answer{Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: &pieces{f.pieces, ctx}}
+	return gateway.AttemptResult{Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: &pieces{f.pieces, ctx}}
 }
 
-func (f *fleet) Reserve(_ context.Context, v ashwood.Server, id ashwood.RequestID, _ func() bool) gateway.Place {
+func (f *fleet) Reserve(_ context.Context, v ashwood.Server, id ashwood.RequestID, _ func() bool) gateway.ReserveResult {
 	f.hold(id, v.ID)
 	f.reached <- "place"
-	return gateway.PlaceHeld
+	return gateway.ReserveHeld
 }
 
 func (f *fleet) Release(ctx context.Context, v ashwood.Server, id ashwood.RequestID, _ bool) error {
--- a/scheduler.go
+++ b/scheduler.go
@@ -198,8 +198,8 @@
 	// Prompts in prefill will need decode memory too: this node's queue, and for other nodes what
 	// arrives during one prefill.
 	arriving := s.arrivingTokens.Add(s.now, time.Second, 0) *
-		s.stageLatency[stagePrefill].Y / float64(time.Second)
-	available -= trend.Fleet(s.settings.Nodes, queued, arriving, s.meanPromptTokens)
+		s.stageLatency[stagePrefill].Mean / float64(time.Second)
+	available -= trend.FleetTotal(s.settings.Nodes, queued, arriving, s.meanPromptTokens)
 	aim := float64(s.minAim) + float64(request.class.AimPer1K)*request.PromptTokens/1000
 	limit := (aim - s.tenantImpatience[request.Tenant]) * (1 + request.class.Worth/s.maxWorth) / 2
 	if quota := s.tenantQuota[request.Tenant]; quota > 0 { // the further over its quota, the lower its limit
@@ -329,8 +329,8 @@
 // times the mean error, or half the aim before any sample, but at least the connect timeout.
 func (s *Scheduler) overdueAfter(request *trackedRequest, attempt *trackedAttempt) time.Duration {
 	limit := request.class.Aim / 2
-	if latency := &s.stageLatency[attempt.stage]; latency.N > 0 {
-		limit = time.Duration(latency.Expect(attempt.queuedTokens) + 4*latency.Dev)
+	if latency := &s.stageLatency[attempt.stage]; latency.Count > 0 {
+		limit = time.Duration(latency.Expect(attempt.queuedTokens) + 4*latency.MeanError)
 	}
 	return max(limit, s.settings.Limits.ConnectTimeout, retryInterval)
 }
--- a/size_test.go
+++ b/size_test.go
@@ -88,7 +88,7 @@
 		{50, 20, 2, 300, 1000}, // more than chance gives
 		{50, 0, 0, 0, 0},
 	} {
-		if got := trend.Fleet(tt.nodes, tt.own, tt.mean, 1); got < tt.low || got > tt.high {
+		if got := trend.FleetTotal(tt.nodes, tt.own, tt.mean, 1); got < tt.low || got > tt.high {
 			t.Errorf("%d nodes, own %v of mean %v: %v", tt.nodes, tt.own, tt.mean, got)
 		}
 	}
@@ -335,8 +335,8 @@
 	if most := int(2 * 2 * blockExpiry / (200 * ms)); n.s.prefixTable.Len() > most || len(n.s.requests) > 0 {
 		t.Errorf("%d runs and %d requests remembered, at most %d and none", n.s.prefixTable.Len(), len(n.s.requests), most)
 	}
-	if math.Abs(n.s.prefixTable.Uses()-float64(n.s.prefixTable.Len()/2)) > 1 {
-		t.Errorf("%v uses counted for %d runs", n.s.prefixTable.Uses(), n.s.prefixTable.Len())
+	if math.Abs(n.s.prefixTable.TotalUses()-float64(n.s.prefixTable.Len()/2)) > 1 {
+		t.Errorf("%v uses counted for %d runs", n.s.prefixTable.TotalUses(), n.s.prefixTable.Len())
 	}
 }
 
--- a/state.go
+++ b/state.go
@@ -42,7 +42,7 @@
 	lastResponseAt    time.Duration // last time that it sent anything back
 	recoveredAt       time.Duration // first response after its last silence
 	livenessProbedAt  time.Duration // last probe for a liveness signal
-	prefixRuns        prefix.Held
+	prefixRuns        prefix.ServerRuns
 	idHash            uint64
 	latencyRatio      float64                  // its latency, relative to what its role takes for the same work
 	lastProgressAt    time.Duration            // last time that it started or finished an answer
@@ -143,7 +143,7 @@
 	processes        float64       // processes that count as this one node
 	shutdownAt       time.Duration // by then each request has its answer; math.MaxInt64 = not set
 	prefixTable      prefix.Table
-	stageLatency     [numStages]trend.Line
+	stageLatency     [numStages]trend.LatencyLine
 	classTokens      map[*Class]float64 // mean prompt tokens
 	meanPromptTokens float64
 	arrivingTokens   trend.Rate // prompt tokens of new requests
@@ -178,7 +178,7 @@
 
 func newServer(id ServerID) *trackedServer {
 	return &trackedServer{
-		latencyRatio: 1, prefixRuns: prefix.Held{}, rejectsUntil: map[[2]string]time.Duration{}, idHash: rendezvous.Hash(string(id)),
+		latencyRatio: 1, prefixRuns: prefix.ServerRuns{}, rejectsUntil: map[[2]string]time.Duration{}, idHash: rendezvous.Hash(string(id)),
 	}
 }
 
@@ -220,7 +220,7 @@
 // leave the prefill server's cell. The estimate decays with its age.
 func (s *Scheduler) transferDelay() float64 {
 	far := &s.stageLatency[stageDecodeFar]
-	return max(far.Y-s.stageLatency[stageDecode].Y, 0) * math.Exp(-float64(s.now-far.Last)/float64(4*s.minAim))
+	return max(far.Mean-s.stageLatency[stageDecode].Mean, 0) * math.Exp(-float64(s.now-far.Last)/float64(4*s.minAim))
 }
 
 // meanOver averages a value over the active servers of a role that have it, and counts them.
@@ -243,7 +243,7 @@
 	}
 	return []prefix.Part{
 		{Key: prefix.Key{Hash: r.Prefix}, Blocks: shared},
-		{Key: prefix.Key{Hash: r.Session, Own: true}, Blocks: total - shared},
+		{Key: prefix.Key{Hash: r.Session, PerSession: true}, Blocks: total - shared},
 	}
 }
 
