--- a/gateway/owner.go
+++ b/gateway/owner.go
@@ -126,24 +126,24 @@
 var errWithdrawn = errors.New("gateway: release withdrawn: the request was sent again")
 
 // updateMembership applies a membership update.
-func (r *releaser) updateMembership(form ashwood.ListForm, engines []ashwood.Server) {
+func (r *releaser) updateMembership(form ashwood.MembershipForm, engines []ashwood.Server) {
 	r.mu.Lock()
 	now := r.gateway.clock.Now()
-	if form != ashwood.ListPatch {
+	if form != ashwood.MembershipDelta {
 		clear(r.listed)
 	}
 	for _, engine := range engines {
 		r.ledger.Started(now, engine.ID, clock.Millis(engine.Started))
-		if delete(r.listed, engine.ID); engine.State == ashwood.StateOn {
+		if delete(r.listed, engine.ID); engine.State == ashwood.StateActive {
 			r.listed[engine.ID] = engine
 		}
-		if engine.State == ashwood.StateOff {
+		if engine.State == ashwood.StateRemoved {
 			r.ledger.Left(engine.ID)
 			r.fallback.Unreachable(engine.ID)
 			r.gateway.liveness.forget(engine.ID)
 		}
 	}
-	if form == ashwood.ListWhole {
+	if form == ashwood.MembershipSnapshot {
 		listed := map[ashwood.ServerID]bool{}
 		for _, engine := range engines {
 			listed[engine.ID] = true
--- a/internal/platform/abandon_test.go
+++ b/internal/platform/abandon_test.go
@@ -85,7 +85,7 @@
 		}
 		peer.Close()
 		// A prefill engine's 202 means that the prompt has been read, whatever happens to the body.
-		if a := <-answer; a.Status != ashwood.ConnectionLost && (name != "half a body" || a.Status != ashwood.Parsed) || a.Err == nil {
+		if a := <-answer; a.Status != ashwood.StatusConnectionLost && (name != "half a body" || a.Status != ashwood.StatusPrefilled) || a.Err == nil {
 			t.Errorf("%s: status %v, error %v", name, a.Status, a.Err)
 		}
 		if e.pool.open != 0 {
@@ -117,7 +117,7 @@
 			}
 			runtime.Gosched()
 		}
-		if a := <-answer; a.Status != ashwood.ConnectionLost {
+		if a := <-answer; a.Status != ashwood.StatusConnectionLost {
 			t.Errorf("floods %v: status %v, error %v", floods, a.Status, a.Err)
 		}
 	}
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -31,13 +31,13 @@
 		return response
 	})
 	type membershipUpdate struct {
-		Form  ashwood.ListForm
+		Form  ashwood.MembershipForm
 		State ashwood.ServerState
 	}
 	updates := make(chan membershipUpdate, 9)
 	var logged bytes.Buffer
 	d := NewDiscovery(peer.Address, clock.System(), slog.New(slog.NewTextHandler(&logged, nil)))
-	update := func(f ashwood.ListForm, l []ashwood.Server) {
+	update := func(f ashwood.MembershipForm, l []ashwood.Server) {
 		updates <- membershipUpdate{f, l[0].State}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -50,7 +50,7 @@
 		target, _, _ := strings.Cut(<-requests, "&hold_ms=")
 		targets = append(targets, target)
 	}
-	want := []membershipUpdate{{ashwood.ListPatch, ashwood.StateFading}, {ashwood.ListWhole, ashwood.StateOn}}
+	want := []membershipUpdate{{ashwood.MembershipDelta, ashwood.StateDraining}, {ashwood.MembershipSnapshot, ashwood.StateActive}}
 	const from = "/api/targets?from="
 	if diff := cmp.Diff(want, got) + cmp.Diff([]string{from + "0", from + "0", from + "7", from + "7", from + "7", from + "9"}, targets); diff != "" {
 		t.Error(diff)
@@ -86,7 +86,7 @@
 	old, replacement := peer("old", snapshot("a")), peer("new", snapshot("b"))
 	updates := make(chan ashwood.ServerID, 9)
 	d := NewDiscovery(old.Address, clock.System(), slog.New(slog.DiscardHandler))
-	update := func(_ ashwood.ListForm, l []ashwood.Server) {
+	update := func(_ ashwood.MembershipForm, l []ashwood.Server) {
 		updates <- l[0].ID
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -130,14 +130,14 @@
 	})
 	states := make(chan ashwood.ServerState, 99)
 	d := NewDiscovery(peer.Address, clock.System(), slog.New(slog.DiscardHandler))
-	update := func(_ ashwood.ListForm, l []ashwood.Server) {
+	update := func(_ ashwood.MembershipForm, l []ashwood.Server) {
 		states <- l[0].State
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d.ResumeFrom(7)
 	go d.Run(ctx, update)
-	if got := <-states; got != ashwood.StateFading {
+	if got := <-states; got != ashwood.StateDraining {
 		t.Errorf("first update has state %v, want draining", got)
 	}
 }
@@ -185,7 +185,7 @@
 			d.Share(tt.processes)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			go d.Run(ctx, func(ashwood.ListForm, []ashwood.Server) {})
+			go d.Run(ctx, func(ashwood.MembershipForm, []ashwood.Server) {})
 			for n, maxWait := range tt.maxWaits {
 				wait := <-c.waits
 				if n == 0 {
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -102,7 +102,7 @@
 		case "prefix_len":
 			field = &req.PrefixTokens
 		case "max_out":
-			field = &req.MaxOut
+			field = &req.MaxOutputTokens
 		}
 		if field != nil {
 			if *field, err = parseNumber(value); err != nil {
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -42,7 +42,7 @@
 			}()
 		}
 	}()
-	return ashwood.Server{ID: "r1", Kind: "reader", State: ashwood.StateOn, Address: l.Addr().String()}, got
+	return ashwood.Server{ID: "r1", Kind: "reader", State: ashwood.StateActive, Address: l.Addr().String()}, got
 }
 
 // A client's headers reach the engine unchanged: an idempotency key, for example. Hop-by-hop headers,
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gw.UpdateMembership(ashwood.ListWhole, []ashwood.Server{engine})
+	gw.UpdateMembership(ashwood.MembershipSnapshot, []ashwood.Server{engine})
 	go gw.Run(t.Context())
 	host := httptest.NewServer(&NetHTTP{Handler: gw, Log: log})
 	defer host.Close()
@@ -104,7 +104,7 @@
 	if left, err := strconv.ParseFloat(h.Get(headerRemaining), 64); err != nil || left > 4.8 || left < 4 {
 		t.Errorf("sent %q s of 5, although reading the clock took at least 0.2", h.Get(headerRemaining))
 	}
-	if a := <-answer; a.Status != ashwood.Parsed {
+	if a := <-answer; a.Status != ashwood.StatusPrefilled {
 		t.Errorf("status %v, error %v", a.Status, a.Err)
 	}
 }
