--- a/admission_test.go
+++ b/admission_test.go
@@ -7,11 +7,11 @@
 )
 
 // In overload what would come too late is refused at once, the cheaper sooner.
-func TestHopelessIsRefusedEarly(t *testing.T) {
-	set := settings()
-	set.Classes = append(set.Classes, Class{Name: "cheap", Aim: time.Second, Deadline: 5 * time.Second, Worth: 0.1,
+func TestAdmission_ExpectedWait(t *testing.T) {
+	settings := testSettings()
+	settings.Classes = append(settings.Classes, Class{Name: "cheap", Aim: time.Second, Deadline: 5 * time.Second, Worth: 0.1,
 		Effect: Pure})
-	set.Reports = ReportNone
+	settings.Reports = ReportNone
 	tests := []struct {
 		class   string
 		wait    time.Duration
@@ -22,13 +22,13 @@
 		{"chat", 1500 * ms, true},
 	}
 	for _, tt := range tests {
-		n := newNode(t, set, reader("r1"), writer("w1", 0))
-		n.s.servers["r1"].queue = 1000
+		gateway := newGateway(t, settings, prefillServer("r1"), decodeServer("w1", 0))
+		gateway.scheduler.servers["r1"].queue = 1000
 		for i := 0; i < 10; i++ {
-			n.s.pace[reading].Observe(0, tt.wait, 1000)
+			gateway.scheduler.pace[reading].Observe(0, tt.wait, 1000)
 		}
-		n.do(Request{ID: "a", Class: tt.class, Session: 1, PromptTokens: 16, TimeLeft: 5 * time.Second})
-		if _, got := pick[Refuse](n); got != tt.refused {
+		gateway.handle(Request{ID: "a", Class: tt.class, Session: 1, PromptTokens: 16, TimeLeft: 5 * time.Second})
+		if _, got := firstAction[Refuse](gateway); got != tt.refused {
 			t.Errorf("%s at %v: refused %v, want %v", tt.class, tt.wait, got, tt.refused)
 		}
 	}
@@ -36,99 +36,99 @@
 
 // Clients that leave long before their time shorten the wait that is worth
 // queueing for; served answers restore it.
-func TestLeavingClientsShortenTheLimit(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
+func TestAdmission_ClientsLeaveEarly(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 	for i := 0; i < 10; i++ {
 		id := fmt.Sprint("q", i)
-		n.ask(id, uint64(i), 0)
-		n.now += 100 * ms
-		n.do(Gone{RequestID(id)})
+		gateway.requestChat(id, uint64(i), 0)
+		gateway.now += 100 * ms
+		gateway.handle(Gone{RequestID(id)})
 	}
-	if p := time.Second - time.Duration(n.s.impatience[""]); p > 300*ms {
-		t.Errorf("patience still %v after ten clients left at 100ms", p)
+	if patience := time.Second - time.Duration(gateway.scheduler.impatience[""]); patience > 300*ms {
+		t.Errorf("patience still %v after ten clients left at 100ms", patience)
 	}
 	for i := 0; i < 20; i++ {
-		n.s.reqs["x"] = &request{attempts: []*attempt{{srv: n.s.servers["w1"], write: true, out: true}},
-			class: n.s.classes["chat"]}
-		n.do(First{ID: "x", Server: "w1", Latency: 10 * ms})
+		gateway.scheduler.reqs["x"] = &request{attempts: []*attempt{{srv: gateway.scheduler.servers["w1"], write: true, out: true}},
+			class: gateway.scheduler.classes["chat"]}
+		gateway.handle(First{ID: "x", Server: "w1", Latency: 10 * ms})
 	}
-	if p := time.Second - time.Duration(n.s.impatience[""]); p < 900*ms {
-		t.Errorf("patience only %v after twenty answers", p)
+	if patience := time.Second - time.Duration(gateway.scheduler.impatience[""]); patience < 900*ms {
+		t.Errorf("patience only %v after twenty answers", patience)
 	}
 }
 
 // One tenant's clients that leave early and repeat at once must not shorten the wait of the others.
-func TestHasteIsOfTheTenantAlone(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
+func TestAdmission_OneTenantsClientsLeaveEarly(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 	for i := 0; i < 20; i++ {
 		id := RequestID(fmt.Sprint("q", i))
-		n.do(Request{ID: id, Class: "chat", Tenant: "hasty", Session: 1, PromptTokens: 16, TimeLeft: 5 * time.Second})
-		n.now += 10 * ms
-		n.do(Gone{id})
+		gateway.handle(Request{ID: id, Class: "chat", Tenant: "hasty", Session: 1, PromptTokens: 16, TimeLeft: 5 * time.Second})
+		gateway.now += 10 * ms
+		gateway.handle(Gone{id})
 	}
-	n.s.servers["r1"].queue = 1000
+	gateway.scheduler.servers["r1"].queue = 1000
 	for i := 0; i < 10; i++ {
-		n.s.pace[reading].Observe(n.now, 500*ms, 1000)
+		gateway.scheduler.pace[reading].Observe(gateway.now, 500*ms, 1000)
 	}
 	for tenant, want := range map[string]bool{"hasty": true, "calm": false} {
-		n.do(Request{ID: RequestID(tenant), Class: "chat", Tenant: tenant, Session: 1, PromptTokens: 16,
+		gateway.handle(Request{ID: RequestID(tenant), Class: "chat", Tenant: tenant, Session: 1, PromptTokens: 16,
 			TimeLeft: 5 * time.Second})
-		if _, got := pick[Refuse](n); got != want {
+		if _, got := firstAction[Refuse](gateway); got != want {
 			t.Errorf("%s: refused %v, want %v", tenant, got, want)
 		}
 	}
 }
 
-func TestOverShareTenantIsRefusedSooner(t *testing.T) {
-	set := settings()
-	set.Tenants, set.OverShareWorth = []Tenant{{"big", 0.5, 1}, {"small", 0.5, 100}}, 0.1
-	n := newNode(t, set, reader("r1"), writer("w1", 0))
-	n.s.servers["r1"].queue = 1000
+func TestAdmission_TenantOverItsShare(t *testing.T) {
+	settings := testSettings()
+	settings.Tenants, settings.OverShareWorth = []Tenant{{"big", 0.5, 1}, {"small", 0.5, 100}}, 0.1
+	gateway := newGateway(t, settings, prefillServer("r1"), decodeServer("w1", 0))
+	gateway.scheduler.servers["r1"].queue = 1000
 	for i := 0; i < 10; i++ {
-		n.s.pace[reading].Observe(0, 800*ms, 1000)
-		n.s.asked["big"].Add(n.now, time.Second, 5)
+		gateway.scheduler.pace[reading].Observe(0, 800*ms, 1000)
+		gateway.scheduler.asked["big"].Add(gateway.now, time.Second, 5)
 	}
 	for tenant, want := range map[string]bool{"big": true, "small": false} {
-		n.do(Request{ID: RequestID(tenant), Class: "chat", Tenant: tenant, Session: 1, PromptTokens: 16,
+		gateway.handle(Request{ID: RequestID(tenant), Class: "chat", Tenant: tenant, Session: 1, PromptTokens: 16,
 			TimeLeft: 5 * time.Second})
-		if _, got := pick[Refuse](n); got != want {
+		if _, got := firstAction[Refuse](gateway); got != want {
 			t.Errorf("%s: refused %v, want %v", tenant, got, want)
 		}
 	}
 }
 
 // A full writer throws answers back; where memory is reported, no more is taken on than fits.
-func TestFullWritersMeanRefusal(t *testing.T) {
+func TestAdmission_DecodeMemoryFull(t *testing.T) {
 	for _, used := range []float64{0.5, 1} {
-		n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-		n.s.servers["w1"].report = Report{ReportMemory: used}
-		n.ask("a", 1, 0)
-		if _, got := pick[Refuse](n); got != (used == 1) {
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+		gateway.scheduler.servers["w1"].report = Report{ReportMemory: used}
+		gateway.requestChat("a", 1, 0)
+		if _, got := firstAction[Refuse](gateway); got != (used == 1) {
 			t.Errorf("memory %v held: refused %v", used, got)
 		}
 	}
 }
 
 // A refused client hears when to come back, but only where the site allows it.
-func TestRefusalNamesAPause(t *testing.T) {
+func TestRefusal_RetryAfter(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
-		set := settings()
-		set.Limits.RetryAfter, set.Limits.MaxRetryAfter = allowed, 500*ms
-		n := newNode(t, set)
-		n.ask("a", 1, 0)
-		n.now += 5 * time.Second
-		x, _ := pick[SetTimer](n) // its deadline
-		n.do(Timer{x.Token})
+		settings := testSettings()
+		settings.Limits.RetryAfter, settings.Limits.MaxRetryAfter = allowed, 500*ms
+		gateway := newGateway(t, settings)
+		gateway.requestChat("a", 1, 0)
+		gateway.now += 5 * time.Second
+		timer, _ := firstAction[SetTimer](gateway) // its deadline
+		gateway.handle(Timer{timer.Token})
 		want := map[bool]time.Duration{true: 500 * ms}[allowed]
-		if r, ok := pick[Refuse](n); !ok || r.RetryAfter != want {
-			t.Errorf("allowed %v: %v", allowed, n.out)
+		if refusal, ok := firstAction[Refuse](gateway); !ok || refusal.RetryAfter != want {
+			t.Errorf("allowed %v: %v", allowed, gateway.actions)
 		}
 	}
 }
 
 // A prompt that fits into no server's memory is refused at once: nothing is read, and no place is
 // asked for. Where a kind does not tell its memory, nobody knows.
-func TestPromptLongerThanAnyMemory_IsRefused(t *testing.T) {
+func TestAdmission_PromptLongerThanAnyMemory(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
 		read, write  float64 // memory of the kinds
@@ -143,25 +143,25 @@
 		{"nobody tells", 0, 0, 1e9, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			set := settings()
-			set.Kinds = []Kind{{"reader", RoleRead, tt.read}, {"writer", RoleWrite, tt.write}}
-			n := newNode(t, set, reader("r1"), writer("w1", 0))
-			n.do(Request{ID: "a", Class: "chat", Session: 1, PromptTokens: tt.prompt, TimeLeft: 5 * time.Second})
+			settings := testSettings()
+			settings.Kinds = []Kind{{"reader", RoleRead, tt.read}, {"writer", RoleWrite, tt.write}}
+			gateway := newGateway(t, settings, prefillServer("r1"), decodeServer("w1", 0))
+			gateway.handle(Request{ID: "a", Class: "chat", Session: 1, PromptTokens: tt.prompt, TimeLeft: 5 * time.Second})
 			if !tt.wantsRefusal {
-				n.sentTo("r1")
+				gateway.expectSentTo("r1")
 				return
 			}
-			lacks[Attempt](n)
-			lacks[Ahead](n)
-			if refusal, ok := pick[Refuse](n); !ok || refusal.Why != WhyTooLong {
-				t.Errorf("actions %v", n.out)
+			expectNoAction[Attempt](gateway)
+			expectNoAction[Ahead](gateway)
+			if refusal, ok := firstAction[Refuse](gateway); !ok || refusal.Why != WhyTooLong {
+				t.Errorf("actions %v", gateway.actions)
 			}
 		})
 	}
 }
 
 // Where the settings allow long prompts more time, what is too late grows with the prompt.
-func TestTooLate_LongPromptsHaveTheirAim(t *testing.T) {
+func TestAdmission_AimGrowsWithPrompt(t *testing.T) {
 	for _, tt := range []struct {
 		per1K   time.Duration
 		wait    time.Duration
@@ -170,16 +170,16 @@
 		{0, 900 * ms, false}, {0, 1200 * ms, true},
 		{100 * ms, 1200 * ms, false}, {100 * ms, 1700 * ms, true}, // a second and five times 100 ms
 	} {
-		set := settings()
-		set.Reports = ReportNone
-		set.Classes[0].AimPer1K = tt.per1K
-		n := newNode(t, set, reader("r1"), writer("w1", 0))
-		n.s.servers["r1"].queue = 1000
+		settings := testSettings()
+		settings.Reports = ReportNone
+		settings.Classes[0].AimPer1K = tt.per1K
+		gateway := newGateway(t, settings, prefillServer("r1"), decodeServer("w1", 0))
+		gateway.scheduler.servers["r1"].queue = 1000
 		for range 10 {
-			n.s.pace[reading].Observe(0, tt.wait, 6000)
+			gateway.scheduler.pace[reading].Observe(0, tt.wait, 6000)
 		}
-		n.do(Request{ID: "a", Class: "chat", Session: 1, PromptTokens: 5000, TimeLeft: 5 * time.Second})
-		if _, got := pick[Refuse](n); got != tt.refused {
+		gateway.handle(Request{ID: "a", Class: "chat", Session: 1, PromptTokens: 5000, TimeLeft: 5 * time.Second})
+		if _, got := firstAction[Refuse](gateway); got != tt.refused {
 			t.Errorf("%v for 1,000 tokens, %v to wait: refused %v, want %v", tt.per1K, tt.wait, got, tt.refused)
 		}
 	}
--- a/cold_test.go
+++ b/cold_test.go
@@ -29,23 +29,23 @@
 			}
 			t.Run(fmt.Sprintf("%d gateways, %d starts, %v a second", nodes, starts, perSecond), func(t *testing.T) {
 				t.Parallel()
-				set := nodesOf(nodes)
-				set.Rules = Rules{FallMultiple: 2.5, FallWindow: time.Second, ColdFrom: 0.31, ColdTime: 12 * time.Second, Release: time.Second}
-				n := set.Rules.FallMultiple * set.Rules.ColdFrom * perSecond / readers / load * spare * set.Rules.FallWindow.Seconds()
-				worst, total := 0, 0
+				settings := settingsForGateways(nodes)
+				settings.Rules = Rules{FallMultiple: 2.5, FallWindow: time.Second, ColdFrom: 0.31, ColdTime: 12 * time.Second, Release: time.Second}
+				allowed := settings.Rules.FallMultiple * settings.Rules.ColdFrom * perSecond / readers / load * spare * settings.Rules.FallWindow.Seconds()
+				maxInWindow, total := 0, 0
 				for seed := range seeds {
-					for id, sent := range slowStartSends(t, set, int64(seed), perSecond, readers, starts) {
-						in := mostWithin(sent, set.Rules.FallWindow)
-						worst, total = max(worst, in), total+len(sent)
-						if float64(in) > slowStartLimit(n) {
-							t.Errorf("seed %d, %s: %d sends in a window, at most %.1f", seed, id, in, slowStartLimit(n))
+					for id, sent := range simulateSlowStart(t, settings, int64(seed), perSecond, readers, starts) {
+						inWindow := maxWithinWindow(sent, settings.Rules.FallWindow)
+						maxInWindow, total = max(maxInWindow, inWindow), total+len(sent)
+						if float64(inWindow) > slowStartLimit(allowed) {
+							t.Errorf("seed %d, %s: %d sends in a window, at most %.1f", seed, id, inWindow, slowStartLimit(allowed))
 						}
 					}
 				}
-				each := float64(total) / float64(seeds*starts)
-				t.Logf("%d seeds: at most %d sends in a window of %.1f allowed, %.0f a start", seeds, worst, slowStartLimit(n), each)
-				if least := set.Rules.ColdTime.Seconds() / 2; each < least {
-					t.Errorf("%.1f sends to a server in slow start, at least %.1f wanted", each, least)
+				sendsPerStart := float64(total) / float64(seeds*starts)
+				t.Logf("%d seeds: at most %d sends in a window of %.1f allowed, %.0f a start", seeds, maxInWindow, slowStartLimit(allowed), sendsPerStart)
+				if minSends := settings.Rules.ColdTime.Seconds() / 2; sendsPerStart < minSends {
+					t.Errorf("%.1f sends to a server in slow start, at least %.1f wanted", sendsPerStart, minSends)
 				}
 			})
 		}
@@ -54,84 +54,84 @@
 
 // slowStartSends plays a fleet through the slow start of some readers, half a second apart: when
 // gateways that had been notified sent to each.
-func slowStartSends(t *testing.T, set Settings, seed int64, perSecond float64, readers, starts int) map[ServerID][]time.Duration {
-	const warm = 10 * time.Second
-	r := rand.New(rand.NewSource(seed))
-	gateways := make([]*node, set.Nodes)
-	share, total := make([]float64, set.Nodes), 0.0
+func simulateSlowStart(t *testing.T, settings Settings, seed int64, perSecond float64, readers, starts int) map[ServerID][]time.Duration {
+	const warmPeriod = 10 * time.Second
+	rng := rand.New(rand.NewSource(seed))
+	gateways := make([]*testGateway, settings.Nodes)
+	cumulativeShare, total := make([]float64, settings.Nodes), 0.0
 	for i := range gateways {
-		gateways[i] = newNode(t, set, evenFleet(readers)...)
-		gateways[i].s.rng.Seed(seed*1000 + int64(i))
-		total += 0.3 + r.ExpFloat64() // some get several times the mean
-		share[i] = total
+		gateways[i] = newGateway(t, settings, balancedFleet(readers)...)
+		gateways[i].scheduler.rng.Seed(seed*1000 + int64(i))
+		total += 0.3 + rng.ExpFloat64() // some get several times the mean
+		cumulativeShare[i] = total
 	}
-	begun := time.Hour + warm
+	firstStart := time.Hour + warmPeriod
 	type notice struct {
 		at     time.Duration
 		server Server
 	}
-	notices := make([][]notice, set.Nodes) // not notified yet, by gateway
+	notices := make([][]notice, settings.Nodes) // not notified yet, by gateway
 	for k := range starts {
-		server := reader(fmt.Sprint("r", k))
-		server.Started = begun + time.Duration(k)*500*time.Millisecond
+		server := prefillServer(fmt.Sprint("r", k))
+		server.Started = firstStart + time.Duration(k)*500*time.Millisecond
 		for i := range notices {
-			late := time.Duration(r.Float64() * float64(2*time.Second))
-			notices[i] = append(notices[i], notice{server.Started + late, server})
+			delay := time.Duration(rng.Float64() * float64(2*time.Second))
+			notices[i] = append(notices[i], notice{server.Started + delay, server})
 		}
 	}
-	prefixes := []uint64{r.Uint64(), r.Uint64(), r.Uint64()}
+	prefixes := []uint64{rng.Uint64(), rng.Uint64(), rng.Uint64()}
 	sent := map[ServerID][]time.Duration{}
 	now := time.Hour
-	for k := 0; now < begun+set.Rules.ColdTime; k++ {
-		now += time.Duration(r.ExpFloat64() / perSecond * float64(time.Second))
+	for k := 0; now < firstStart+settings.Rules.ColdTime; k++ {
+		now += time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))
 		for i, gateway := range gateways {
 			gateway.now = now
-			notices[i] = slices.DeleteFunc(notices[i], func(n notice) bool {
-				if now >= n.at {
-					gateway.do(Members{Form: ListPatch, Entries: []Server{n.server}})
+			notices[i] = slices.DeleteFunc(notices[i], func(pending notice) bool {
+				if now >= pending.at {
+					gateway.handle(Members{Form: ListPatch, Entries: []Server{pending.server}})
 				}
-				return now >= n.at
+				return now >= pending.at
 			})
 		}
-		gateway := gateways[sort.SearchFloat64s(share, r.Float64()*total)]
+		gateway := gateways[sort.SearchFloat64s(cumulativeShare, rng.Float64()*total)]
 		id := fmt.Sprint("q", k)
-		key := prefixes[r.Intn(len(prefixes))]
+		key := prefixes[rng.Intn(len(prefixes))]
 		if starts > 1 && k%4 == 0 { // of a beginning of its own: something hashes to every reader
-			key = r.Uint64()
+			key = rng.Uint64()
 		}
-		gateway.ask(id, key, 0)
-		read, ok := pick[Attempt](gateway)
+		gateway.requestChat(id, key, 0)
+		prefillAttempt, ok := firstAction[Attempt](gateway)
 		if !ok {
 			continue
 		}
-		if gateway.s.servers[read.Server].Started > 0 {
-			sent[read.Server] = append(sent[read.Server], now)
+		if gateway.scheduler.servers[prefillAttempt.Server].Started > 0 {
+			sent[prefillAttempt.Server] = append(sent[prefillAttempt.Server], now)
 		}
-		gateway.end(id, 0, string(read.Server), Parsed)
-		if write, ok := pick[Attempt](gateway); ok {
-			gateway.do(Outcome{ID: RequestID(id), Attempt: 1, Server: write.Server, Status: Served, Done: true, Latency: 9 * ms})
+		gateway.endAttempt(id, 0, string(prefillAttempt.Server), Parsed)
+		if decodeAttempt, ok := firstAction[Attempt](gateway); ok {
+			gateway.handle(Outcome{ID: RequestID(id), Attempt: 1, Server: decodeAttempt.Server, Status: Served, Done: true, Latency: 9 * ms})
 		}
 	}
 	return sent
 }
 
 // mostWithin gives the most times, in order, that lie within one window.
-func mostWithin(times []time.Duration, window time.Duration) (most int) {
+func maxWithinWindow(times []time.Duration, window time.Duration) (maxCount int) {
 	for i := range times {
-		in := 0
+		count := 0
 		for _, at := range times[i:] {
 			if at-times[i] < window {
-				in++
+				count++
 			}
 		}
-		most = max(most, in)
+		maxCount = max(maxCount, count)
 	}
-	return most
+	return maxCount
 }
 
 // evenFleet has so many readers and as many writers, in cells of both: readers bear the same load.
-func evenFleet(readers int) []Server {
-	fleet := fleetOf(readers, readers)
+func balancedFleet(readers int) []Server {
+	fleet := newFleet(readers, readers)
 	for i := range readers {
 		fleet[i].Cell = fleet[readers+i].Cell
 	}
@@ -140,55 +140,55 @@
 
 // Rule 4 is about the sum: what all nodes send a cold server in any window
 // stays under what it can then do times the multiple.
-func TestColdBudgetHoldsForTheSumOfNodes(t *testing.T) {
+func TestSlowStartBudget_EvenTraffic(t *testing.T) {
 	for _, nodes := range []int{2, 40, 300} {
-		set := nodesOf(nodes)
+		settings := settingsForGateways(nodes)
 		perSecond := 60.0 // of the whole fleet, six readers: ten a second each, as each cell has its writers
-		fleet := evenFleet(6)
-		var all []*node
+		fleet := balancedFleet(6)
+		var gateways []*testGateway
 		for i := 0; i < nodes; i++ {
-			n := newNode(t, set, fleet...)
-			n.s.rng.Seed(int64(i))
-			all = append(all, n)
+			gateway := newGateway(t, settings, fleet...)
+			gateway.scheduler.rng.Seed(int64(i))
+			gateways = append(gateways, gateway)
 		}
 		var sent []time.Duration
-		count := 0
+		restarts := 0
 		now := time.Hour
 		for k := 0; now < time.Hour+30*time.Second; k++ {
 			now += time.Duration(float64(time.Second) / perSecond)
-			n := all[k%nodes]
-			n.now = now
-			if now >= time.Hour+20*time.Second && count == 0 {
-				count = 1
-				for _, o := range all {
-					v := reader("r0")
-					v.Started = now
-					o.now = now
-					o.do(Members{Form: ListPatch, Entries: []Server{v}})
+			gateway := gateways[k%nodes]
+			gateway.now = now
+			if now >= time.Hour+20*time.Second && restarts == 0 {
+				restarts = 1
+				for _, peer := range gateways {
+					restarted := prefillServer("r0")
+					restarted.Started = now
+					peer.now = now
+					peer.handle(Members{Form: ListPatch, Entries: []Server{restarted}})
 				}
 			}
 			id := fmt.Sprint("q", k)
-			n.ask(id, uint64(k), 0)
-			a, ok := pick[Attempt](n)
+			gateway.requestChat(id, uint64(k), 0)
+			prefillAttempt, ok := firstAction[Attempt](gateway)
 			if !ok {
 				continue
 			}
-			if count > 0 && a.Server == "r0" {
+			if restarts > 0 && prefillAttempt.Server == "r0" {
 				sent = append(sent, now)
 			}
-			n.end(id, 0, string(a.Server), Parsed)
-			if b, ok := pick[Attempt](n); ok {
-				n.do(Outcome{ID: RequestID(id), Attempt: 1, Server: b.Server, Status: Served, Done: true, Latency: 9 * ms})
+			gateway.endAttempt(id, 0, string(prefillAttempt.Server), Parsed)
+			if decodeAttempt, ok := firstAction[Attempt](gateway); ok {
+				gateway.handle(Outcome{ID: RequestID(id), Attempt: 1, Server: decodeAttempt.Server, Status: Served, Done: true, Latency: 9 * ms})
 			}
 		}
-		worst := mostWithin(sent, set.Rules.FallWindow)
-		limit := set.Rules.FallMultiple * set.Rules.ColdFrom * perSecond / 6
+		maxInWindow := maxWithinWindow(sent, settings.Rules.FallWindow)
+		limit := settings.Rules.FallMultiple * settings.Rules.ColdFrom * perSecond / 6
 		if nodes > manyNodes { // and what the rule grants to chance
-			n := limit * 6 / 5 // which peers finish beside one that gets less
-			limit = n + 2*math.Sqrt(n) + 2
+			allowed := limit * 6 / 5 // which peers finish beside one that gets less
+			limit = allowed + 2*math.Sqrt(allowed) + 2
 		}
-		if float64(worst) > limit {
-			t.Errorf("%d nodes: %d of %d sends in a window, at most %v: %v", nodes, worst, len(sent), limit, sent)
+		if float64(maxInWindow) > limit {
+			t.Errorf("%d nodes: %d of %d sends in a window, at most %v: %v", nodes, maxInWindow, len(sent), limit, sent)
 		}
 		if len(sent) == 0 {
 			t.Errorf("%d nodes: the cold server got nothing", nodes)
@@ -198,9 +198,9 @@
 
 // slowStartLimit is what all gateways together may send a server in slow start within a
 // window in which the settings allow n requests: n, and so many more for chance.
-func slowStartLimit(n float64) float64 {
-	if n < 30 {
-		return n + 3*math.Sqrt(n) + 3
+func slowStartLimit(allowed float64) float64 {
+	if allowed < 30 {
+		return allowed + 3*math.Sqrt(allowed) + 3
 	}
-	return n + 2*math.Sqrt(n) + 2
+	return allowed + 2*math.Sqrt(allowed) + 2
 }
--- a/ending_test.go
+++ b/ending_test.go
@@ -6,43 +6,43 @@
 )
 
 // class asks for a request of a class.
-func (n *node) askClass(id, class string) {
-	n.t.Helper()
-	n.do(Request{ID: RequestID(id), Class: class, Session: 1, PromptTokens: 320, TimeLeft: 5 * time.Second})
+func (g *testGateway) requestClass(id, class string) {
+	g.t.Helper()
+	g.handle(Request{ID: RequestID(id), Class: class, Session: 1, PromptTokens: 320, TimeLeft: 5 * time.Second})
 }
 
 // A node that ends gives no attempt more time than it has, and begins none behind its end.
-func TestEnding_AttemptsHaveNoLongerThanTheNode(t *testing.T) {
-	n := newNode(t, settings(), reader("r"), writer("w", 0))
-	n.askClass("early", "pay")
-	n.now += 100 * ms
-	n.do(Ending{At: n.now + 3*time.Second})
-	n.do(Ending{At: n.now + 4*time.Second}) // told again
-	n.askClass("late", "chat")
-	if a, ok := pick[Attempt](n); !ok || a.Timeout != 3*time.Second {
-		t.Errorf("a request that comes after: %v", n.out)
+func TestShutdown_AttemptTimeouts(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r"), decodeServer("w", 0))
+	gateway.requestClass("early", "pay")
+	gateway.now += 100 * ms
+	gateway.handle(Ending{At: gateway.now + 3*time.Second})
+	gateway.handle(Ending{At: gateway.now + 4*time.Second}) // told again
+	gateway.requestClass("late", "chat")
+	if a, ok := firstAction[Attempt](gateway); !ok || a.Timeout != 3*time.Second {
+		t.Errorf("a request that comes after: %v", gateway.actions)
 	}
-	n.now += time.Second
-	n.end("early", 0, "r", Parsed)
-	if a, ok := pick[Attempt](n); !ok || a.Timeout != 2*time.Second {
-		t.Errorf("a further attempt of one that was there: %v", n.out)
+	gateway.now += time.Second
+	gateway.endAttempt("early", 0, "r", Parsed)
+	if a, ok := firstAction[Attempt](gateway); !ok || a.Timeout != 2*time.Second {
+		t.Errorf("a further attempt of one that was there: %v", gateway.actions)
 	}
-	n.now += 2 * time.Second
-	n.end("late", 0, "r", Parsed)
-	lacks[Attempt](n)
-	wants[Refuse](n)
-	wants[Release](n)
-	n.askClass("later", "chat")
-	lacks[Attempt](n)
-	wants[Refuse](n)
+	gateway.now += 2 * time.Second
+	gateway.endAttempt("late", 0, "r", Parsed)
+	expectNoAction[Attempt](gateway)
+	expectAction[Refuse](gateway)
+	expectAction[Release](gateway)
+	gateway.requestClass("later", "chat")
+	expectNoAction[Attempt](gateway)
+	expectAction[Refuse](gateway)
 }
 
 // At the end, what waits is answered with its attempts out: refused where nothing may have
 // run or a repeat is harmless, failed otherwise. What is held for it is released.
-func TestEnding_WhatWaitsIsAnswered(t *testing.T) {
+func TestShutdown_PendingRequests(t *testing.T) {
 	for _, tt := range []struct {
 		name, class string
-		writing     bool
+		decoding    bool
 		refused     bool
 	}{
 		{"an order that is being read", "pay", false, true},
@@ -50,28 +50,28 @@
 		{"one that may be repeated at a writer", "chat", true, true},
 		{"one that may be repeated in a cell at a writer", "order", true, false},
 	} {
-		n := newNode(t, settings(), reader("r"), writer("w", 0))
-		n.askClass("a", tt.class)
-		if tt.writing {
-			n.end("a", 0, "r", Parsed)
-			n.sentTo("w")
+		gateway := newGateway(t, testSettings(), prefillServer("r"), decodeServer("w", 0))
+		gateway.requestClass("a", tt.class)
+		if tt.decoding {
+			gateway.endAttempt("a", 0, "r", Parsed)
+			gateway.expectSentTo("w")
 		}
-		n.do(Ending{At: n.now + 3*time.Second})
-		set, ok := pick[SetTimer](n)
+		gateway.handle(Ending{At: gateway.now + 3*time.Second})
+		timer, ok := firstAction[SetTimer](gateway)
 		if !ok {
-			t.Fatalf("%s: no timer in %v", tt.name, n.out)
+			t.Fatalf("%s: no timer in %v", tt.name, gateway.actions)
 		}
-		n.now = set.At
-		n.do(Timer{Token: set.Token})
-		if _, refused := pick[Refuse](n); refused != tt.refused {
-			t.Errorf("%s: %v", tt.name, n.out)
+		gateway.now = timer.At
+		gateway.handle(Timer{Token: timer.Token})
+		if _, refused := firstAction[Refuse](gateway); refused != tt.refused {
+			t.Errorf("%s: %v", tt.name, gateway.actions)
 		}
-		if _, failed := pick[Fail](n); failed == tt.refused {
-			t.Errorf("%s: %v", tt.name, n.out)
+		if _, failed := firstAction[Fail](gateway); failed == tt.refused {
+			t.Errorf("%s: %v", tt.name, gateway.actions)
 		}
-		wants[Cancel](n)
-		wants[Release](n)
-		n.do(Timer{Token: set.Token})
-		lacks[Refuse](n)
+		expectAction[Cancel](gateway)
+		expectAction[Release](gateway)
+		gateway.handle(Timer{Token: timer.Token})
+		expectNoAction[Refuse](gateway)
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -9,7 +9,7 @@
 
 // A node is told the server list and a request, and asks for what is to be done.
 func Example() {
-	s, err := ashwood.New(ashwood.Settings{
+	scheduler, err := ashwood.New(ashwood.Settings{
 		Nodes:   1,
 		Kinds:   []ashwood.Kind{{Name: "prefill", Role: ashwood.RoleRead}, {Name: "decode", Role: ashwood.RoleWrite}},
 		Classes: []ashwood.Class{{Name: "chat", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: ashwood.Pure}},
@@ -18,22 +18,22 @@
 		panic(err)
 	}
 	now := time.Duration(0)
-	s.Handle(now, ashwood.Members{Form: ashwood.ListWhole, Entries: []ashwood.Server{
+	scheduler.Handle(now, ashwood.Members{Form: ashwood.ListWhole, Entries: []ashwood.Server{
 		{ID: "reader-1", Kind: "prefill", State: ashwood.StateOn},
 		{ID: "writer-1", Kind: "decode", State: ashwood.StateOn},
 	}}, nil)
-	show := func(out []ashwood.Action) {
-		for _, a := range out {
+	printAttempts := func(actions []ashwood.Action) {
+		for _, a := range actions {
 			if a, ok := a.(ashwood.Attempt); ok {
 				fmt.Println("send", a.ID, "to", a.Server)
 			}
 		}
 	}
-	show(s.Handle(now, ashwood.Request{
+	printAttempts(scheduler.Handle(now, ashwood.Request{
 		ID: "a", Class: "chat", Session: 7, PromptTokens: 900, TimeLeft: 5 * time.Second,
 	}, nil))
 	now += 80 * time.Millisecond
-	show(s.Handle(now, ashwood.Outcome{ID: "a", Server: "reader-1", Status: ashwood.Parsed}, nil))
+	printAttempts(scheduler.Handle(now, ashwood.Outcome{ID: "a", Server: "reader-1", Status: ashwood.Parsed}, nil))
 	// Output:
 	// send a to reader-1
 	// send a to writer-1
--- a/facade_test.go
+++ b/facade_test.go
@@ -11,119 +11,119 @@
 )
 
 // stopped is a clock that tests set.
-type stopped struct{ now float64 }
+type manualClock struct{ now float64 }
 
-func (c *stopped) Now() float64 { return c.now }
+func (clock *manualClock) Now() float64 { return clock.now }
 
-func newRouter(t *testing.T, set Settings, list ...Server) (*Router, *stopped) {
+func newTestRouter(t *testing.T, settings Settings, servers ...Server) (*Router, *manualClock) {
 	t.Helper()
-	c := &stopped{1e12}
-	r, err := NewRouter(set, 1, c, func(Server) {})
+	clock := &manualClock{1e12}
+	router, err := NewRouter(settings, 1, clock, func(Server) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Update(ListWhole, list)
-	return r, c
+	router.Update(ListWhole, servers)
+	return router, clock
 }
 
-func call(id, class string) Call {
+func testCall(id, class string) Call {
 	return Call{ID: RequestID(id), Class: class, Session: 1, PromptTokens: 320, Remaining: 3000}
 }
 
 // same compares steps, their contexts aside.
-func same(t *testing.T, want, got Step) {
+func expectStep(t *testing.T, want, got Step) {
 	t.Helper()
 	if diff := cmp.Diff(want, got, cmpopts.IgnoreFields(Step{}, "Context")); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-func TestRouterTakesARequestThroughItsLife(t *testing.T) {
-	r, c := newRouter(t, settings(), reader("r1"), writer("w1", 0))
-	step, err := r.Pick(context.Background(), call("a", "chat"))
+func TestRouter_RequestLifecycle(t *testing.T) {
+	router, clock := newTestRouter(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	step, err := router.Pick(context.Background(), testCall("a", "chat"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	same(t, Step{Kind: StepSend, Engine: reader("r1"), Reads: true, Timeout: 3000, Place: writer("w1", 0)}, step)
-	if _, err := r.Pick(context.Background(), call("a", "chat")); !errors.Is(err, ErrDuplicate) {
+	expectStep(t, Step{Kind: StepSend, Engine: prefillServer("r1"), Reads: true, Timeout: 3000, Place: decodeServer("w1", 0)}, step)
+	if _, err := router.Pick(context.Background(), testCall("a", "chat")); !errors.Is(err, ErrDuplicate) {
 		t.Error(err)
 	}
-	if next, ok := r.Place("a", 0, "w1", true); ok {
+	if next, ok := router.Place("a", 0, "w1", true); ok {
 		t.Errorf("another place at %s", next.ID)
 	}
-	c.now += 80.25
-	same(t, Step{Kind: StepSend, Attempt: 1, Engine: writer("w1", 0), Timeout: 2919.75},
-		r.Report("a", 0, Result{Status: Parsed}))
-	if !r.Begun("a", 1) || r.Begun("a", 1) {
+	clock.now += 80.25
+	expectStep(t, Step{Kind: StepSend, Attempt: 1, Engine: decodeServer("w1", 0), Timeout: 2919.75},
+		router.Report("a", 0, Result{Status: Parsed}))
+	if !router.Begun("a", 1) || router.Begun("a", 1) {
 		t.Error("an answer begins once")
 	}
-	same(t, Step{Kind: StepOver}, r.Report("a", 1, Result{Status: Served}))
-	if len(r.flights) != 0 || len(r.sched.reqs) != 0 {
-		t.Errorf("left: %v, %v", r.flights, r.sched.reqs)
+	expectStep(t, Step{Kind: StepOver}, router.Report("a", 1, Result{Status: Served}))
+	if len(router.flights) != 0 || len(router.sched.reqs) != 0 {
+		t.Errorf("left: %v, %v", router.flights, router.sched.reqs)
 	}
 }
 
 // Timers end a request that nobody takes: Pick blocks until Tick runs them.
-func TestTickRefusesInTime(t *testing.T) {
-	set := settings()
-	set.Limits.RetryAfter, set.Limits.MaxRetryAfter = true, 400*ms
-	r, c := newRouter(t, set)
+func TestRouterTick_NoPrefillServer(t *testing.T) {
+	settings := testSettings()
+	settings.Limits.RetryAfter, settings.Limits.MaxRetryAfter = true, 400*ms
+	router, clock := newTestRouter(t, settings)
 	steps := make(chan Step)
 	go func() {
-		step, _ := r.Pick(context.Background(), call("a", "chat"))
+		step, _ := router.Pick(context.Background(), testCall("a", "chat"))
 		steps <- step
 	}()
-	<-r.Wake()
-	for wait := r.Tick(); wait < 1e9; wait = r.Tick() {
-		c.now += wait
+	<-router.Wake()
+	for wait := router.Tick(); wait < 1e9; wait = router.Tick() {
+		clock.now += wait
 	}
-	same(t, Step{Kind: StepRefuse, Release: true, RetryAfter: 400, Why: WhyNoReader}, <-steps)
-	if c.now > 1e12+3000 {
-		t.Errorf("refused after %v ms", c.now-1e12)
+	expectStep(t, Step{Kind: StepRefuse, Release: true, RetryAfter: 400, Why: WhyNoReader}, <-steps)
+	if clock.now > 1e12+3000 {
+		t.Errorf("refused after %v ms", clock.now-1e12)
 	}
 }
 
 // A call-off reaches a running attempt as a cancelled context, and a client
 // that has left is owed no more sends, whenever it leaves.
-func TestClientLeaves(t *testing.T) {
+func TestRouter_ClientLeaves(t *testing.T) {
 	ctx, leave := context.WithCancel(context.Background())
-	r, _ := newRouter(t, settings(), reader("r1"), writer("w1", 0))
-	step, _ := r.Pick(ctx, call("a", "pay"))
+	router, _ := newTestRouter(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	step, _ := router.Pick(ctx, testCall("a", "pay"))
 	leave()
 	<-step.Context.Done()
-	if r.Begun("a", 0) {
+	if router.Begun("a", 0) {
 		t.Error("an answer begins for nobody")
 	}
-	same(t, Step{Kind: StepOver, Release: true}, r.Report("a", 0, Result{Status: CalledOff}))
-	step, _ = r.Pick(ctx, call("b", "pay")) // it had left before
-	same(t, Step{Kind: StepOver, Release: true}, step)
-	if len(r.flights) != 0 || len(r.sched.reqs) != 0 {
-		t.Errorf("left: %v, %v", r.flights, r.sched.reqs)
+	expectStep(t, Step{Kind: StepOver, Release: true}, router.Report("a", 0, Result{Status: CalledOff}))
+	step, _ = router.Pick(ctx, testCall("b", "pay")) // it had left before
+	expectStep(t, Step{Kind: StepOver, Release: true}, step)
+	if len(router.flights) != 0 || len(router.sched.reqs) != 0 {
+		t.Errorf("left: %v, %v", router.flights, router.sched.reqs)
 	}
 }
 
 // The module calls off a read that is far overdue at a silent server.
-func TestOverdueReadIsCalledOff(t *testing.T) {
-	r, c := newRouter(t, settings(), reader("r1"), reader("r2"), writer("w1", 0))
-	step, _ := r.Pick(context.Background(), call("a", "chat"))
-	for step.Context.Err() == nil && c.now < 1e12+2900 {
-		c.now += r.Tick()
+func TestRouter_OverduePrefill(t *testing.T) {
+	router, clock := newTestRouter(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
+	step, _ := router.Pick(context.Background(), testCall("a", "chat"))
+	for step.Context.Err() == nil && clock.now < 1e12+2900 {
+		clock.now += router.Tick()
 	}
-	next := r.Report("a", 0, Result{Status: CalledOff})
+	next := router.Report("a", 0, Result{Status: CalledOff})
 	if step.Context.Err() == nil || next.Kind != StepSend || next.Engine.ID == step.Engine.ID {
 		t.Errorf("after %s: %+v", step.Engine.ID, next)
 	}
 }
 
 // Stray reports must neither panic nor act.
-func TestStrayReports(t *testing.T) {
-	r, _ := newRouter(t, settings(), reader("r1"), writer("w1", 0))
-	same(t, Step{Kind: StepOver}, r.Report("none", 0, Result{Status: Parsed}))
-	same(t, Step{Kind: StepOver}, r.Next("none"))
-	if _, ok := r.Place("none", 0, "w1", true); ok || r.Begun("none", 0) || r.Accepts("none") {
+func TestRouter_StrayReports(t *testing.T) {
+	router, _ := newTestRouter(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	expectStep(t, Step{Kind: StepOver}, router.Report("none", 0, Result{Status: Parsed}))
+	expectStep(t, Step{Kind: StepOver}, router.Next("none"))
+	if _, ok := router.Place("none", 0, "w1", true); ok || router.Begun("none", 0) || router.Accepts("none") {
 		t.Error("acted for a request or a server that is not known")
 	}
-	if _, err := r.Pick(context.Background(), call("a", "nosuch")); !errors.Is(err, ErrUnknownClass) {
+	if _, err := router.Pick(context.Background(), testCall("a", "nosuch")); !errors.Is(err, ErrUnknownClass) {
 		t.Error(err)
 	}
 	if got := duration(0.0004); got != 0 || duration(1.5) != 1500*time.Microsecond {
--- a/fairness_test.go
+++ b/fairness_test.go
@@ -10,92 +10,94 @@
 )
 
 // occasion is something that happens at a time in a simulated fleet.
-type occasion struct {
-	at time.Duration
-	do func()
+type scheduledEvent struct {
+	at  time.Duration
+	run func()
 }
 
 // agenda is a heap of occasions, the earliest first.
-type agenda []occasion
+type eventQueue []scheduledEvent
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(occasion)) }
-func (a *agenda) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(event any)    { *q = append(*q, event.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
 // simulation plays gateways against readers that read one prompt after the other, and writers
 // that answer at once. Time is simulated.
-type simulation struct {
-	agenda   agenda
-	now      time.Duration
-	gateways []*node
-	free     map[ServerID]time.Duration // when a reader has read all that it has
-	waiting  map[ServerID]float64       // tokens there
-	speed    float64                    // tokens a second
-	called   map[string]bool            // attempts called off
-	refused  map[RequestID]bool
+type fleetSimulation struct {
+	queue           eventQueue
+	now             time.Duration
+	gateways        []*testGateway
+	idleAt          map[ServerID]time.Duration // when a reader has read all that it has
+	waitingTokens   map[ServerID]float64       // tokens there
+	tokensPerSecond float64                    // tokens a second
+	cancelled       map[string]bool            // attempts called off
+	refused         map[RequestID]bool
 }
 
-func (s *simulation) after(d time.Duration, do func()) {
-	heap.Push(&s.agenda, occasion{s.now + d, do})
+func (s *fleetSimulation) after(d time.Duration, do func()) {
+	heap.Push(&s.queue, scheduledEvent{s.now + d, do})
 }
 
-func (s *simulation) report(v ServerID) Report { return Report{ReportWaiting: s.waiting[v] / 1000} }
+func (s *fleetSimulation) loadReport(v ServerID) Report {
+	return Report{ReportWaiting: s.waitingTokens[v] / 1000}
+}
 
 // tell puts an event to a gateway and carries out what it wants done.
-func (s *simulation) tell(gateway *node, e Event) {
+func (s *fleetSimulation) deliver(gateway *testGateway, e Event) {
 	gateway.now = s.now
-	for _, action := range gateway.do(e) {
+	for _, action := range gateway.handle(e) {
 		switch a := action.(type) {
 		case Attempt:
-			s.attempt(gateway, a, len(gateway.s.reqs[a.ID].attempts)-1)
+			s.runAttempt(gateway, a, len(gateway.scheduler.reqs[a.ID].attempts)-1)
 		case Ahead:
-			s.after(ms, func() { s.tell(gateway, PlaceNote{ID: a.ID, Server: a.Server, Held: true}) })
+			s.after(ms, func() { s.deliver(gateway, PlaceNote{ID: a.ID, Server: a.Server, Held: true}) })
 		case Probe:
 			s.after(2*ms, func() {
-				s.tell(gateway, Probed{Server: a.Server, Status: Served, Report: s.report(a.Server)})
+				s.deliver(gateway, Probed{Server: a.Server, Status: Served, Report: s.loadReport(a.Server)})
 			})
 		case SetTimer:
-			heap.Push(&s.agenda, occasion{a.At, func() { s.tell(gateway, Timer{a.Token}) }})
+			heap.Push(&s.queue, scheduledEvent{a.At, func() { s.deliver(gateway, Timer{a.Token}) }})
 		case Cancel:
-			s.called[fmt.Sprint(a.ID, a.Attempt)] = true
+			s.cancelled[fmt.Sprint(a.ID, a.Attempt)] = true
 		case Refuse:
 			s.refused[a.ID] = true
 		}
 	}
 }
 
-func (s *simulation) attempt(gateway *node, a Attempt, number int) {
-	request := gateway.s.reqs[a.ID]
-	if gateway.s.servers[a.Server].role != RoleRead {
+func (s *fleetSimulation) runAttempt(gateway *testGateway, a Attempt, number int) {
+	request := gateway.scheduler.reqs[a.ID]
+	if gateway.scheduler.servers[a.Server].role != RoleRead {
 		s.after(5*ms, func() {
-			s.tell(gateway, Outcome{ID: a.ID, Attempt: number, Server: a.Server, Status: Served, Done: true, Latency: 5 * ms})
+			s.deliver(gateway, Outcome{ID: a.ID, Attempt: number, Server: a.Server, Status: Served, Done: true, Latency: 5 * ms})
 		})
 		return
 	}
 	begun, tokens := s.now, request.PromptTokens
-	s.waiting[a.Server] += tokens
-	s.free[a.Server] = max(s.free[a.Server], s.now) + time.Duration(tokens/s.speed*float64(time.Second))
-	heap.Push(&s.agenda, occasion{s.free[a.Server], func() {
-		s.waiting[a.Server] -= tokens
+	s.waitingTokens[a.Server] += tokens
+	s.idleAt[a.Server] = max(s.idleAt[a.Server], s.now) + time.Duration(tokens/s.tokensPerSecond*float64(time.Second))
+	heap.Push(&s.queue, scheduledEvent{s.idleAt[a.Server], func() {
+		s.waitingTokens[a.Server] -= tokens
 		status := Parsed
-		if s.called[fmt.Sprint(a.ID, number)] {
+		if s.cancelled[fmt.Sprint(a.ID, number)] {
 			status = CalledOff
 		}
-		s.tell(gateway, Outcome{
-			ID: a.ID, Attempt: number, Server: a.Server, Status: status, Latency: s.now - begun, Report: s.report(a.Server),
+		s.deliver(gateway, Outcome{
+			ID: a.ID, Attempt: number, Server: a.Server, Status: status, Latency: s.now - begun, Report: s.loadReport(a.Server),
 		})
 	}})
 }
 
 // Under more than the fleet can do, refusals fall on requests, not on sessions: those of which
 // every turn is refused are few more than chance makes them.
-func TestRefusals_SingleOutNoSession(t *testing.T) {
+func TestRefusals_SpreadOverSessions(t *testing.T) {
 	const (
 		readers, sessions, turns = 8, 150, 5
 		tokens, speed            = 1000.0, 10000.0
@@ -104,16 +106,16 @@
 	)
 	for _, nodes := range []int{4, 40} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
-			set := nodesOf(nodes)
-			set.Reports, set.Limits.Probes = ReportInline, true
+			settings := settingsForGateways(nodes)
+			settings.Reports, settings.Limits.Probes = ReportInline, true
 			rng := rand.New(rand.NewSource(1))
-			sim := &simulation{
-				now: time.Hour, free: map[ServerID]time.Duration{}, waiting: map[ServerID]float64{}, speed: speed,
-				called: map[string]bool{}, refused: map[RequestID]bool{},
+			sim := &fleetSimulation{
+				now: time.Hour, idleAt: map[ServerID]time.Duration{}, waitingTokens: map[ServerID]float64{}, tokensPerSecond: speed,
+				cancelled: map[string]bool{}, refused: map[RequestID]bool{},
 			}
 			for i := range nodes {
-				gateway := newNode(t, set, fleetOf(readers, 8)...)
-				gateway.s.rng.Seed(int64(i))
+				gateway := newGateway(t, settings, newFleet(readers, 8)...)
+				gateway.scheduler.rng.Seed(int64(i))
 				sim.gateways = append(sim.gateways, gateway)
 			}
 			perSecond := load * readers * speed / tokens
@@ -124,15 +126,15 @@
 				asked[session] = append(asked[session], id)
 				at := sim.now + time.Duration(float64(k)/perSecond*float64(time.Second))
 				gateway := sim.gateways[rng.Intn(nodes)]
-				heap.Push(&sim.agenda, occasion{at, func() {
-					sim.tell(gateway, Request{ID: id, Class: "chat", Session: uint64(session) + 1, Prefix: uint64(session%10) + 1,
+				heap.Push(&sim.queue, scheduledEvent{at, func() {
+					sim.deliver(gateway, Request{ID: id, Class: "chat", Session: uint64(session) + 1, Prefix: uint64(session%10) + 1,
 						PrefixTokens: tokens / 2, PromptTokens: tokens, TimeLeft: 5 * time.Second})
 				}})
 			}
-			for sim.agenda.Len() > 0 {
-				next := heap.Pop(&sim.agenda).(occasion)
+			for sim.queue.Len() > 0 {
+				next := heap.Pop(&sim.queue).(scheduledEvent)
 				sim.now = max(sim.now, next.at)
-				next.do()
+				next.run()
 			}
 			share := float64(len(sim.refused)) / (sessions * turns)
 			if share < 0.05 || share > 0.9 {
--- a/harness_test.go
+++ b/harness_test.go
@@ -6,7 +6,7 @@
 )
 
 // settings are those of a small two-stage fleet.
-func settings() Settings {
+func testSettings() Settings {
 	return Settings{
 		Nodes: 1, Zone: "a", Ahead: true, Reports: ReportInline,
 		Kinds: []Kind{{"reader", RoleRead, 100000}, {"writer", RoleWrite, 100000}, {"mixed", RoleBoth, 100000}},
@@ -23,78 +23,78 @@
 }
 
 // node drives a scheduler and keeps what it asked for last.
-type node struct {
-	t   *testing.T
-	s   *Scheduler
-	now time.Duration
-	out []Action
-	set []SetTimer // all that it has asked for
+type testGateway struct {
+	t         *testing.T
+	scheduler *Scheduler
+	now       time.Duration
+	actions   []Action
+	timers    []SetTimer // all that it has asked for
 }
 
-func newNode(t *testing.T, set Settings, list ...Server) *node {
+func newGateway(t *testing.T, settings Settings, servers ...Server) *testGateway {
 	t.Helper()
-	s, err := New(set, 1)
+	s, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &node{t: t, s: s, now: time.Hour}
-	n.do(Members{Form: ListStale, Entries: list})
-	return n
+	gateway := &testGateway{t: t, scheduler: s, now: time.Hour}
+	gateway.handle(Members{Form: ListStale, Entries: servers})
+	return gateway
 }
 
-func (n *node) do(e Event) []Action {
-	n.out = n.s.Handle(n.now, e, nil)
-	for _, x := range n.out {
-		if a, ok := x.(SetTimer); ok {
-			n.set = append(n.set, a)
+func (g *testGateway) handle(e Event) []Action {
+	g.actions = g.scheduler.Handle(g.now, e, nil)
+	for _, action := range g.actions {
+		if timer, ok := action.(SetTimer); ok {
+			g.timers = append(g.timers, timer)
 		}
 	}
-	return n.out
+	return g.actions
 }
 
-func reader(id string) Server {
+func prefillServer(id string) Server {
 	return Server{ID: ServerID(id), Zone: "a", Kind: "reader", State: StateOn}
 }
-func writer(id string, cell int) Server {
+func decodeServer(id string, cell int) Server {
 	return Server{ID: ServerID(id), Zone: "a", Cell: cell, Kind: "writer", State: StateOn}
 }
 
-func (n *node) ask(id string, session, prefix uint64) []Action {
-	return n.do(Request{ID: RequestID(id), Class: "chat", Session: session, Prefix: prefix,
+func (g *testGateway) requestChat(id string, session, prefix uint64) []Action {
+	return g.handle(Request{ID: RequestID(id), Class: "chat", Session: session, Prefix: prefix,
 		PrefixTokens: 160, PromptTokens: 320, TimeLeft: 5 * time.Second})
 }
 
-func (n *node) end(id string, attempt int, v string, st Status) []Action {
-	return n.do(Outcome{ID: RequestID(id), Attempt: attempt, Server: ServerID(v), Status: st, Latency: 50 * ms})
+func (g *testGateway) endAttempt(id string, attempt int, server string, status Status) []Action {
+	return g.handle(Outcome{ID: RequestID(id), Attempt: attempt, Server: ServerID(server), Status: status, Latency: 50 * ms})
 }
 
 // pick gives the first action of a type in the last answer.
-func pick[A Action](n *node) (a A, ok bool) {
-	for _, x := range n.out {
-		if a, ok := x.(A); ok {
+func firstAction[A Action](gateway *testGateway) (a A, ok bool) {
+	for _, action := range gateway.actions {
+		if a, ok := action.(A); ok {
 			return a, true
 		}
 	}
 	return a, false
 }
 
-func (n *node) sentTo(want string) {
-	n.t.Helper()
-	if a, ok := pick[Attempt](n); string(a.Server) != want || ok != (want != "") {
-		n.t.Fatalf("sent to %q, want %q; actions %v", a.Server, want, n.out)
+func (g *testGateway) expectSentTo(want string) {
+	g.t.Helper()
+	if a, ok := firstAction[Attempt](g); string(a.Server) != want || ok != (want != "") {
+		g.t.Fatalf("sent to %q, want %q; actions %v", a.Server, want, g.actions)
 	}
 }
 
-func wants[A Action](n *node) {
-	n.t.Helper()
-	if _, ok := pick[A](n); !ok {
-		n.t.Fatalf("no %T in %v", *new(A), n.out)
+func expectAction[A Action](gateway *testGateway) {
+	gateway.t.Helper()
+	if _, ok := firstAction[A](gateway); !ok {
+		gateway.t.Fatalf("no %T in %v", *new(A), gateway.actions)
 	}
 }
 
-func lacks[A Action](n *node) {
-	n.t.Helper()
-	if a, ok := pick[A](n); ok {
-		n.t.Fatalf("unwanted %T: %v", a, n.out)
+func expectNoAction[A Action](gateway *testGateway) {
+	gateway.t.Helper()
+	if a, ok := firstAction[A](gateway); ok {
+		gateway.t.Fatalf("unwanted %T: %v", a, gateway.actions)
 	}
 }
--- a/health_test.go
+++ b/health_test.go
@@ -8,179 +8,179 @@
 
 // A full or dead server answers at once; without a growing pause requests
 // burn all their attempts on it.
-func TestRefusingServerIsShunned(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-	last := time.Duration(0)
+func TestPause_RepeatedRefusals(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	lastPause := time.Duration(0)
 	for i := 0; i < 4; i++ {
-		n.now = max(n.now, n.s.servers["r1"].pausedUntil)
-		n.s.now = n.now
-		n.s.pauseSends(n.s.servers["r1"])
-		pause := n.s.servers["r1"].pausedUntil - n.now
-		if pause <= last {
-			t.Fatalf("pause %v after %v", pause, last)
+		gateway.now = max(gateway.now, gateway.scheduler.servers["r1"].pausedUntil)
+		gateway.scheduler.now = gateway.now
+		gateway.scheduler.pauseSends(gateway.scheduler.servers["r1"])
+		pause := gateway.scheduler.servers["r1"].pausedUntil - gateway.now
+		if pause <= lastPause {
+			t.Fatalf("pause %v after %v", pause, lastPause)
 		}
-		last = pause
+		lastPause = pause
 	}
-	n.ask("a", 1, 0)
-	n.sentTo("")
-	n.now += last
-	x, _ := pick[SetTimer](n)
-	_ = x
-	n.ask("b", 2, 0)
-	n.sentTo("r1")
+	gateway.requestChat("a", 1, 0)
+	gateway.expectSentTo("")
+	gateway.now += lastPause
+	timer, _ := firstAction[SetTimer](gateway)
+	_ = timer
+	gateway.requestChat("b", 2, 0)
+	gateway.expectSentTo("r1")
 }
 
 // Refusals of what was sent before the first of them came, as in a burst, are
 // one sign and not many: seven at once used to close a writer for two seconds,
 // longer than a read state may wait for it.
-func TestABurstOfRefusalsIsOnePause(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
+func TestPause_BurstOfRefusals(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 	pauses := map[time.Duration]bool{}
 	for i := range 7 {
-		n.ask(fmt.Sprint(i), uint64(i), 0)
-		n.sentTo("r1")
+		gateway.requestChat(fmt.Sprint(i), uint64(i), 0)
+		gateway.expectSentTo("r1")
 	}
 	for i := range 7 {
-		n.end(fmt.Sprint(i), 0, "r1", TurnedAway)
-		pauses[n.s.servers["r1"].pausedUntil-n.now] = true
+		gateway.endAttempt(fmt.Sprint(i), 0, "r1", TurnedAway)
+		pauses[gateway.scheduler.servers["r1"].pausedUntil-gateway.now] = true
 	}
 	if len(pauses) != 1 || pauses[0] {
 		t.Errorf("pauses %v, want the first alone", pauses)
 	}
 }
 
-func fail(n *node, v string, times int) {
+func failRequests(gateway *testGateway, server string, times int) {
 	for i := 0; i < times; i++ {
-		n.s.now = n.now
-		n.s.judge(n.s.servers[ServerID(v)], &request{Request: Request{ID: "x"}}, false)
+		gateway.scheduler.now = gateway.now
+		gateway.scheduler.judge(gateway.scheduler.servers[ServerID(server)], &request{Request: Request{ID: "x"}}, false)
 	}
 }
 
 // A server that fails fast looks idle; two failures in a row eject it, where
 // three cost far more, and it comes back by a single trial.
-func TestFailingServerIsEjectedAndTried(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), reader("r2"), reader("r3"), writer("w1", 0))
-	fail(n, "r1", 2)
-	if !n.s.servers["r1"].ejected {
+func TestEjection_FailingServer(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), decodeServer("w1", 0))
+	failRequests(gateway, "r1", 2)
+	if !gateway.scheduler.servers["r1"].ejected {
 		t.Fatal("not ejected after two failures")
 	}
 	for i := uint64(0); i < 20; i++ {
-		n.ask(fmt.Sprint(i), i, 0)
-		if a, _ := pick[Attempt](n); a.Server == "r1" {
+		gateway.requestChat(fmt.Sprint(i), i, 0)
+		if a, _ := firstAction[Attempt](gateway); a.Server == "r1" {
 			t.Fatal("an ejected server was sent a request")
 		}
 	}
-	n.now += backoffFirst
-	n.ask("trial", 100, 0)
-	n.sentTo("r1")
-	n.ask("next", 101, 0)
-	if a, _ := pick[Attempt](n); a.Server == "r1" {
+	gateway.now += backoffFirst
+	gateway.requestChat("trial", 100, 0)
+	gateway.expectSentTo("r1")
+	gateway.requestChat("next", 101, 0)
+	if a, _ := firstAction[Attempt](gateway); a.Server == "r1" {
 		t.Fatal("more than a single trial")
 	}
-	n.end("trial", 0, "r1", Parsed)
-	if n.s.servers["r1"].ejected {
+	gateway.endAttempt("trial", 0, "r1", Parsed)
+	if gateway.scheduler.servers["r1"].ejected {
 		t.Error("not readmitted after its trial")
 	}
 }
 
-func TestTroubleOfAllEjectsAtMostHalf(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), reader("r2"), reader("r3"), reader("r4"), writer("w1", 0))
+func TestEjection_AllServersFail(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), prefillServer("r4"), decodeServer("w1", 0))
 	for i := 0; i < 20; i++ {
 		for _, v := range []string{"r1", "r2", "r3", "r4"} {
-			fail(n, v, 1)
+			failRequests(gateway, v, 1)
 		}
 	}
-	gone := 0
-	for _, v := range n.s.order {
+	ejected := 0
+	for _, v := range gateway.scheduler.order {
 		if v.ejected {
-			gone++
+			ejected++
 		}
 	}
-	if gone > 2 {
-		t.Errorf("%d of 4 readers ejected", gone)
+	if ejected > 2 {
+		t.Errorf("%d of 4 readers ejected", ejected)
 	}
 }
 
 // A zone that fails as a whole while the own zone is well is a bad path.
-func TestBadPathIsLeftAsAWhole(t *testing.T) {
-	list := []Server{reader("r1"), reader("r2"), reader("r3"), writer("w1", 0)}
+func TestEjection_ZoneUnreachable(t *testing.T) {
+	servers := []Server{prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), decodeServer("w1", 0)}
 	for _, id := range []string{"f1", "f2"} {
-		v := reader(id)
-		v.Zone = "b"
-		list = append(list, v)
+		remote := prefillServer(id)
+		remote.Zone = "b"
+		servers = append(servers, remote)
 	}
-	n := newNode(t, settings(), list...)
+	gateway := newGateway(t, testSettings(), servers...)
 	for i := 0; i < 6; i++ {
-		fail(n, "f1", 1)
-		fail(n, "f2", 1)
+		failRequests(gateway, "f1", 1)
+		failRequests(gateway, "f2", 1)
 	}
-	if !n.s.zones["b"].ejected {
+	if !gateway.scheduler.zones["b"].ejected {
 		t.Error("the path to a lost zone is still trusted")
 	}
-	n = newNode(t, settings(), list...)
-	fail(n, "f1", 12)
-	if n.s.zones["b"].ejected {
+	gateway = newGateway(t, testSettings(), servers...)
+	failRequests(gateway, "f1", 12)
+	if gateway.scheduler.zones["b"].ejected {
 		t.Error("one bad server condemns its zone")
 	}
 }
 
 // Of many nodes, each meets few engines of a zone that is cut off: a request that met a silent
 // connect there goes on in its own zone, and one that met a refused connect goes where it would.
-func TestRequestLeavesASilentZone(t *testing.T) {
+func TestRetry_ConnectTimeoutInOtherZone(t *testing.T) {
 	for _, tt := range []struct {
-		nodes   int
-		latency time.Duration
-		home    bool
+		nodes      int
+		latency    time.Duration
+		leavesZone bool
 	}{{300, 100 * ms, true}, {300, ms, false}, {4, 100 * ms, false}} {
-		home := 0
+		inOwnZone := 0
 		for key := range uint64(20) {
-			set, list := settings(), []Server{reader("own")}
-			set.Nodes, set.Ahead = tt.nodes, false
+			settings, servers := testSettings(), []Server{prefillServer("own")}
+			settings.Nodes, settings.Ahead = tt.nodes, false
 			for i := range 20 {
-				far := reader(fmt.Sprint("far", i))
-				far.Zone = "b"
-				list = append(list, far)
+				remote := prefillServer(fmt.Sprint("far", i))
+				remote.Zone = "b"
+				servers = append(servers, remote)
 			}
-			n := newNode(t, set, list...)
-			for _, v := range n.s.order { // its own zone's is busy, so that it goes to another first
-				v.report, v.reportAt = Report{ReportInFlight: 0}, n.now
+			gateway := newGateway(t, settings, servers...)
+			for _, v := range gateway.scheduler.order { // its own zone's is busy, so that it goes to another first
+				v.report, v.reportAt = Report{ReportInFlight: 0}, gateway.now
 			}
-			n.s.servers["own"].report = Report{ReportInFlight: 10}
-			n.ask("q", key+1, key+1)
-			a, _ := pick[Attempt](n)
+			gateway.scheduler.servers["own"].report = Report{ReportInFlight: 10}
+			gateway.requestChat("q", key+1, key+1)
+			a, _ := firstAction[Attempt](gateway)
 			if a.Server == "own" {
 				t.Errorf("%d nodes: sent to the busy reader", tt.nodes)
 			}
-			n.do(Outcome{ID: "q", Server: a.Server, Status: NoConnection, Latency: tt.latency})
-			if a, _ := pick[Attempt](n); a.Server == "own" {
-				home++
+			gateway.handle(Outcome{ID: "q", Server: a.Server, Status: NoConnection, Latency: tt.latency})
+			if a, _ := firstAction[Attempt](gateway); a.Server == "own" {
+				inOwnZone++
 			}
 		}
-		if tt.home != (home >= 15) {
-			t.Errorf("%d nodes, after %v: %d of 20 went on in their own zone", tt.nodes, tt.latency, home)
+		if tt.leavesZone != (inOwnZone >= 15) {
+			t.Errorf("%d nodes, after %v: %d of 20 went on in their own zone", tt.nodes, tt.latency, inOwnZone)
 		}
 	}
 }
 
 // An overdue attempt costs a silent server trust and, later, the attempt; a
 // server that finishes other work keeps both.
-func TestOverdueAttempts(t *testing.T) {
+func TestOverdueAttempt_SilentOrBusyServer(t *testing.T) {
 	for _, busy := range []bool{false, true} {
-		n := newNode(t, settings(), reader("r1"), reader("r2"), writer("w1", 0))
-		n.ask("a", 1, 0)
-		a, _ := pick[Attempt](n)
-		v := n.s.servers[a.Server]
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
+		gateway.requestChat("a", 1, 0)
+		attempt, _ := firstAction[Attempt](gateway)
+		server := gateway.scheduler.servers[attempt.Server]
 		for i := 0; i < 2; i++ {
-			n.now += 500 * ms
+			gateway.now += 500 * ms
 			if busy {
-				v.alive = n.now
+				server.alive = gateway.now
 			}
-			n.s.now, n.s.out = n.now, nil
-			n.s.overdue(n.s.reqs["a"], 0)
-			n.out = n.s.out
+			gateway.scheduler.now, gateway.scheduler.out = gateway.now, nil
+			gateway.scheduler.overdue(gateway.scheduler.reqs["a"], 0)
+			gateway.actions = gateway.scheduler.out
 		}
-		if _, cancelled := pick[Cancel](n); cancelled == busy || (v.fail > 0) == busy {
-			t.Errorf("busy %v: cancelled %v, fail %v", busy, cancelled, v.fail)
+		if _, cancelled := firstAction[Cancel](gateway); cancelled == busy || (server.fail > 0) == busy {
+			t.Errorf("busy %v: cancelled %v, fail %v", busy, cancelled, server.fail)
 		}
 	}
 }
@@ -188,96 +188,96 @@
 // A connection may fall silent while its engine works on. What it has begun that
 // was sent later tells; the attempt is called off without harm to the engine, but
 // for an order that may have run.
-func TestOvertakenAttempts(t *testing.T) {
+func TestOverdueAttempt_LaterSendAnsweredFirst(t *testing.T) {
 	for _, tt := range []struct {
-		name          string
-		class         string
-		writes, later bool
-		cancelled     bool
+		name                string
+		class               string
+		decoding, sentLater bool
+		cancelled           bool
 	}{
 		{"read", "pay", false, true, true},
 		{"read, the other was sent before", "pay", false, false, false},
 		{"order written", "pay", true, true, false},
 		{"written", "chat", true, true, true},
 	} {
-		n := newNode(t, settings(), reader("r1"), writer("w1", 0))
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 		send := func(id string) {
-			n.do(Request{ID: RequestID(id), Class: tt.class, PromptTokens: 320, TimeLeft: 5 * time.Second})
-			n.sentTo("r1")
-			if tt.writes {
-				n.end(id, 0, "r1", Parsed)
-				n.sentTo("w1")
+			gateway.handle(Request{ID: RequestID(id), Class: tt.class, PromptTokens: 320, TimeLeft: 5 * time.Second})
+			gateway.expectSentTo("r1")
+			if tt.decoding {
+				gateway.endAttempt(id, 0, "r1", Parsed)
+				gateway.expectSentTo("w1")
 			}
-			n.now += ms
+			gateway.now += ms
 		}
 		answer := func(id string) {
-			if tt.writes {
-				n.do(First{ID: RequestID(id), Attempt: 1, Server: "w1", Latency: 50 * ms})
+			if tt.decoding {
+				gateway.handle(First{ID: RequestID(id), Attempt: 1, Server: "w1", Latency: 50 * ms})
 			} else {
-				n.end(id, 0, "r1", Parsed)
+				gateway.endAttempt(id, 0, "r1", Parsed)
 			}
 		}
-		if !tt.later {
+		if !tt.sentLater {
 			send("other")
 		}
 		send("lost")
-		if tt.later {
+		if tt.sentLater {
 			send("other")
 		}
 		answer("other")
-		attempt := len(n.s.reqs["lost"].attempts) - 1
-		v := n.s.reqs["lost"].attempts[attempt].srv
-		n.now += 600 * ms
-		n.s.now, n.s.out = n.now, nil
-		n.s.overdue(n.s.reqs["lost"], attempt)
-		n.out = n.s.out
-		if _, got := pick[Cancel](n); got != tt.cancelled || v.fail > 0 {
-			t.Errorf("%s: cancelled %v, trust lost %v", tt.name, got, v.fail)
+		number := len(gateway.scheduler.reqs["lost"].attempts) - 1
+		server := gateway.scheduler.reqs["lost"].attempts[number].srv
+		gateway.now += 600 * ms
+		gateway.scheduler.now, gateway.scheduler.out = gateway.now, nil
+		gateway.scheduler.overdue(gateway.scheduler.reqs["lost"], number)
+		gateway.actions = gateway.scheduler.out
+		if _, got := firstAction[Cancel](gateway); got != tt.cancelled || server.fail > 0 {
+			t.Errorf("%s: cancelled %v, trust lost %v", tt.name, got, server.fail)
 		}
 	}
 }
 
 // All writers may be slow at once, behind a link that clogs. Calling attempts off
 // would only begin anew elsewhere, and close engines that are at work.
-func TestSharedSlownessIsNoFaultOfOne(t *testing.T) {
+func TestOverdueAttempt_AllServersSlow(t *testing.T) {
 	for _, shared := range []bool{true, false} {
-		n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 0), writer("w3", 0))
-		n.s.pace[writing].Observe(n.now, 50*ms, 320)
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0), decodeServer("w3", 0))
+		gateway.scheduler.pace[writing].Observe(gateway.now, 50*ms, 320)
 		for i, id := range []string{"a", "b", "c"} {
-			n.ask(id, uint64(i), 0)
-			n.end(id, 0, "r1", Parsed)
+			gateway.requestChat(id, uint64(i), 0)
+			gateway.endAttempt(id, 0, "r1", Parsed)
 		}
-		out := func(id string) *attempt { return n.s.reqs[RequestID(id)].attempts[1] }
-		if out("a").srv == out("b").srv || out("b").srv == out("c").srv || out("a").srv == out("c").srv {
+		attemptOf := func(id string) *attempt { return gateway.scheduler.reqs[RequestID(id)].attempts[1] }
+		if attemptOf("a").srv == attemptOf("b").srv || attemptOf("b").srv == attemptOf("c").srv || attemptOf("a").srv == attemptOf("c").srv {
 			t.Fatal("not one attempt at each writer")
 		}
-		n.now += 600 * ms
+		gateway.now += 600 * ms
 		if !shared {
-			out("b").srv.alive, out("c").srv.alive = n.now-ms, n.now-ms
+			attemptOf("b").srv.alive, attemptOf("c").srv.alive = gateway.now-ms, gateway.now-ms
 		}
-		n.s.now, n.s.out = n.now, nil
-		n.s.overdue(n.s.reqs["a"], 1)
-		n.out = n.s.out
-		if _, left := pick[Cancel](n); left == shared || out("a").srv.fail > 0 {
-			t.Errorf("shared %v: called off %v, trust lost %v", shared, left, out("a").srv.fail)
+		gateway.scheduler.now, gateway.scheduler.out = gateway.now, nil
+		gateway.scheduler.overdue(gateway.scheduler.reqs["a"], 1)
+		gateway.actions = gateway.scheduler.out
+		if _, cancelled := firstAction[Cancel](gateway); cancelled == shared || attemptOf("a").srv.fail > 0 {
+			t.Errorf("shared %v: called off %v, trust lost %v", shared, cancelled, attemptOf("a").srv.fail)
 		}
 	}
 }
 
 // What is overdue follows the pace as it is, not as it was at the send.
-func TestOverdueFollowsThePace(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), reader("r2"), writer("w1", 0))
-	n.ask("a", 1, 0)
+func TestOverdueAttempt_LatencyRisesAfterSend(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
+	gateway.requestChat("a", 1, 0)
 	for range 30 {
-		n.s.pace[reading].Observe(n.now, 2*time.Second, 320)
+		gateway.scheduler.pace[reading].Observe(gateway.now, 2*time.Second, 320)
 	}
-	n.now += 1500 * ms
-	n.s.now, n.s.out = n.now, nil
-	n.s.overdue(n.s.reqs["a"], 0)
-	n.out = n.s.out
-	lacks[Cancel](n)
-	wants[SetTimer](n)
-	if r := n.s.servers["r1"].fail + n.s.servers["r2"].fail; r > 0 {
-		t.Errorf("trust lost: %v", r)
+	gateway.now += 1500 * ms
+	gateway.scheduler.now, gateway.scheduler.out = gateway.now, nil
+	gateway.scheduler.overdue(gateway.scheduler.reqs["a"], 0)
+	gateway.actions = gateway.scheduler.out
+	expectNoAction[Cancel](gateway)
+	expectAction[SetTimer](gateway)
+	if trustLost := gateway.scheduler.servers["r1"].fail + gateway.scheduler.servers["r2"].fail; trustLost > 0 {
+		t.Errorf("trust lost: %v", trustLost)
 	}
 }
--- a/outcomes_test.go
+++ b/outcomes_test.go
@@ -6,11 +6,11 @@
 )
 
 // The path of a request after each outcome of its writing attempt.
-func TestWriterOutcomes(t *testing.T) {
+func TestRetry_AfterDecodeOutcome(t *testing.T) {
 	tests := []struct {
 		status Status
 		note   float64
-		to     string // "" = final answer
+		next   string // "" = final answer
 	}{
 		{TurnedAway, 0, "w2"},
 		{TurnedAway, 1, "r1"}, // no state: read again
@@ -18,76 +18,76 @@
 		{CalledOff, 0, "w2"},
 	}
 	for _, tt := range tests {
-		n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 1))
-		n.ask("a", 1, 0)
-		n.end("a", 0, "r1", Parsed)
-		n.sentTo("w1")
-		n.do(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: tt.status, Note: tt.note})
-		n.sentTo(tt.to)
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 1))
+		gateway.requestChat("a", 1, 0)
+		gateway.endAttempt("a", 0, "r1", Parsed)
+		gateway.expectSentTo("w1")
+		gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: tt.status, Note: tt.note})
+		gateway.expectSentTo(tt.next)
 	}
 }
 
-func TestReaderOutcomes(t *testing.T) {
-	for _, st := range []Status{TurnedAway, ServerError, NoAnswer, NoConnection, ConnectionLost} {
-		n := newNode(t, settings(), reader("r1"), reader("r2"), writer("w1", 0))
-		n.ask("a", 1, 0)
-		a, _ := pick[Attempt](n)
-		n.end("a", 0, string(a.Server), st)
-		if b, _ := pick[Attempt](n); b.Server == a.Server || b.Server == "" {
-			t.Errorf("status %v: %s, then %q", st, a.Server, b.Server)
+func TestRetry_AfterPrefillOutcome(t *testing.T) {
+	for _, status := range []Status{TurnedAway, ServerError, NoAnswer, NoConnection, ConnectionLost} {
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
+		gateway.requestChat("a", 1, 0)
+		first, _ := firstAction[Attempt](gateway)
+		gateway.endAttempt("a", 0, string(first.Server), status)
+		if second, _ := firstAction[Attempt](gateway); second.Server == first.Server || second.Server == "" {
+			t.Errorf("status %v: %s, then %q", status, first.Server, second.Server)
 		}
 	}
 }
 
-func TestServedRequestIsForgotten(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-	n.ask("a", 1, 0)
-	n.end("a", 0, "r1", Parsed)
-	n.do(First{ID: "a", Attempt: 1, Server: "w1", Latency: 10 * ms})
-	n.do(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: Served, Done: true})
-	lacks[Refuse](n)
-	if len(n.s.reqs) != 0 || n.s.servers["w1"].held != 0 || n.s.servers["w1"].queue != 0 {
-		t.Errorf("left: %v, %+v", n.s.reqs, n.s.servers["w1"])
+func TestRequest_StateDroppedWhenServed(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	gateway.requestChat("a", 1, 0)
+	gateway.endAttempt("a", 0, "r1", Parsed)
+	gateway.handle(First{ID: "a", Attempt: 1, Server: "w1", Latency: 10 * ms})
+	gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: Served, Done: true})
+	expectNoAction[Refuse](gateway)
+	if len(gateway.scheduler.reqs) != 0 || gateway.scheduler.servers["w1"].held != 0 || gateway.scheduler.servers["w1"].queue != 0 {
+		t.Errorf("left: %v, %+v", gateway.scheduler.reqs, gateway.scheduler.servers["w1"])
 	}
 }
 
-func TestOneStageFleets(t *testing.T) {
-	set := settings()
-	n := newNode(t, set, Server{ID: "m1", Zone: "a", Kind: "mixed", State: StateOn})
-	n.ask("a", 1, 0)
-	n.sentTo("m1")
-	n = newNode(t, set, writer("w1", 0))
-	n.ask("a", 1, 0)
-	n.sentTo("") // a writer that may not read
-	set.WritersRead = true
-	n = newNode(t, set, writer("w1", 0))
-	n.ask("a", 1, 0)
-	n.sentTo("w1")
+func TestRequest_OneStageFleet(t *testing.T) {
+	settings := testSettings()
+	gateway := newGateway(t, settings, Server{ID: "m1", Zone: "a", Kind: "mixed", State: StateOn})
+	gateway.requestChat("a", 1, 0)
+	gateway.expectSentTo("m1")
+	gateway = newGateway(t, settings, decodeServer("w1", 0))
+	gateway.requestChat("a", 1, 0)
+	gateway.expectSentTo("") // a writer that may not read
+	settings.WritersRead = true
+	gateway = newGateway(t, settings, decodeServer("w1", 0))
+	gateway.requestChat("a", 1, 0)
+	gateway.expectSentTo("w1")
 }
 
-func TestTimeLeftGovernsNotTheClass(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-	n.do(Request{ID: "a", Class: "chat", Session: 1, PromptTokens: 100, TimeLeft: 300 * ms})
-	if a, _ := pick[Attempt](n); a.Timeout != 300*ms {
+func TestDeadline_TimeLeftBelowClassDeadline(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	gateway.handle(Request{ID: "a", Class: "chat", Session: 1, PromptTokens: 100, TimeLeft: 300 * ms})
+	if a, _ := firstAction[Attempt](gateway); a.Timeout != 300*ms {
 		t.Errorf("time-out %v, want the 300ms left", a.Timeout)
 	}
-	n.now += 300 * ms
-	n.end("a", 0, "r1", NoAnswer)
-	wants[Refuse](n)
-	n.now += ms
-	n.end("a", 0, "r1", Parsed)
-	lacks[Attempt](n)
+	gateway.now += 300 * ms
+	gateway.endAttempt("a", 0, "r1", NoAnswer)
+	expectAction[Refuse](gateway)
+	gateway.now += ms
+	gateway.endAttempt("a", 0, "r1", Parsed)
+	expectNoAction[Attempt](gateway)
 }
 
 // A client that leaves in mid-answer must not teach the pace of first tokens.
-func TestLeavingABegunAnswerTeachesNoPace(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-	n.ask("a", 1, 0)
-	n.end("a", 0, "r1", Parsed)
-	n.do(First{ID: "a", Attempt: 1, Server: "w1", Latency: 10 * ms})
-	before := n.s.pace[writing]
-	n.do(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: CalledOff, Done: true, Latency: time.Minute})
-	if n.s.pace[writing] != before || len(n.s.reqs) != 0 {
-		t.Errorf("pace %+v, was %+v; left %v", n.s.pace[writing], before, n.s.reqs)
+func TestLatencyEstimate_ClientLeavesDuringAnswer(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	gateway.requestChat("a", 1, 0)
+	gateway.endAttempt("a", 0, "r1", Parsed)
+	gateway.handle(First{ID: "a", Attempt: 1, Server: "w1", Latency: 10 * ms})
+	before := gateway.scheduler.pace[writing]
+	gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: CalledOff, Done: true, Latency: time.Minute})
+	if gateway.scheduler.pace[writing] != before || len(gateway.scheduler.reqs) != 0 {
+		t.Errorf("pace %+v, was %+v; left %v", gateway.scheduler.pace[writing], before, gateway.scheduler.reqs)
 	}
 }
--- a/placement_test.go
+++ b/placement_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-func TestReaderPick(t *testing.T) {
+func TestPrefillChoice_PrefixAgainstLoad(t *testing.T) {
 	tests := []struct {
-		name  string
-		reads map[string]int // unfinished
-		holds map[string]int // prompts of the prefix read before
-		want  string
+		name       string
+		unfinished map[string]int // unfinished
+		prefilled  map[string]int // prompts of the prefix read before
+		want       string
 	}{
 		{"match beats an idle reader", map[string]int{"r1": 1}, map[string]int{"r1": 1}, "r1"},
 		{"equal matches go by count", map[string]int{"r1": 3, "r2": 1}, map[string]int{"r1": 1, "r2": 1}, "r2"},
@@ -21,19 +21,19 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			list := []Server{reader("r1"), reader("r2")}
+			servers := []Server{prefillServer("r1"), prefillServer("r2")}
 			if strings.HasPrefix(tt.name, "above") { // one of six stands out by more than two deviations
-				list = append(list, reader("r3"), reader("r4"), reader("r5"), reader("r6"))
+				servers = append(servers, prefillServer("r3"), prefillServer("r4"), prefillServer("r5"), prefillServer("r6"))
 			}
-			n := newNode(t, settings(), list...)
-			r := &request{Request: Request{Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}}
-			for _, v := range n.s.order {
-				v.reads = tt.reads[string(v.ID)]
-				if tt.holds[string(v.ID)] > 0 {
-					n.s.table.Record(n.now, v.runs, r.parts(), true)
+			gateway := newGateway(t, testSettings(), servers...)
+			req := &request{Request: Request{Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}}
+			for _, v := range gateway.scheduler.order {
+				v.reads = tt.unfinished[string(v.ID)]
+				if tt.prefilled[string(v.ID)] > 0 {
+					gateway.scheduler.table.Record(gateway.now, v.runs, req.parts(), true)
 				}
 			}
-			got := n.s.byPrefix(r, n.s.order)
+			got := gateway.scheduler.byPrefix(req, gateway.scheduler.order)
 			if string(got.ID) != tt.want && (tt.want != "not r1" || got.ID == "r1") {
 				t.Errorf("picked %s, want %s", got.ID, tt.want)
 			}
@@ -43,24 +43,24 @@
 
 // A prefix has two homes, the session tells which: alike at all nodes, so that
 // a session's next turn finds its texts although another node decides.
-func TestUnknownPrefixIsHashedAlikeAtAllNodes(t *testing.T) {
-	list := []Server{reader("r1"), reader("r2"), reader("r3"), writer("w1", 0)}
+func TestAffinityTargets_SameAtAllGateways(t *testing.T) {
+	servers := []Server{prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), decodeServer("w1", 0)}
 	seen := map[ServerID]bool{}
-	for p := uint64(1); p < 30; p++ {
-		homes := map[ServerID]bool{}
+	for prefix := uint64(1); prefix < 30; prefix++ {
+		targets := map[ServerID]bool{}
 		for session := uint64(1); session < 10; session++ {
-			a, b := newNode(t, settings(), list...), newNode(t, settings(), list[2], list[0], list[1], list[3])
-			a.ask("x", session, p)
-			b.ask("y", session, p)
-			x, _ := pick[Attempt](a)
-			y, _ := pick[Attempt](b)
-			if x.Server != y.Server {
-				t.Fatalf("prefix %d, session %d: %s and %s", p, session, x.Server, y.Server)
+			first, second := newGateway(t, testSettings(), servers...), newGateway(t, testSettings(), servers[2], servers[0], servers[1], servers[3])
+			first.requestChat("x", session, prefix)
+			second.requestChat("y", session, prefix)
+			firstSent, _ := firstAction[Attempt](first)
+			secondSent, _ := firstAction[Attempt](second)
+			if firstSent.Server != secondSent.Server {
+				t.Fatalf("prefix %d, session %d: %s and %s", prefix, session, firstSent.Server, secondSent.Server)
 			}
-			seen[x.Server], homes[x.Server] = true, true
+			seen[firstSent.Server], targets[firstSent.Server] = true, true
 		}
-		if len(homes) > 2 {
-			t.Errorf("prefix %d has %d homes", p, len(homes))
+		if len(targets) > 2 {
+			t.Errorf("prefix %d has %d homes", prefix, len(targets))
 		}
 	}
 	if len(seen) != 3 {
@@ -70,88 +70,88 @@
 
 // A prefix that only an ejected reader holds is not unknown: it goes to the
 // fewest-running reader, not to a hash that may be busy.
-func TestPrefixHeldByAnEjectedReaderIsKnown(t *testing.T) {
-	for p := uint64(1); p < 20; p++ {
-		n := newNode(t, settings(), reader("r1"), reader("r2"), reader("r3"), writer("w1", 0))
-		r := &request{Request: Request{Session: 1, Prefix: p, PrefixTokens: 160, PromptTokens: 320}}
-		n.s.table.Record(n.now, n.s.servers["r1"].runs, r.parts(), true)
-		n.s.servers["r1"].ejected, n.s.servers["r1"].until = true, n.now+time.Hour
-		n.s.servers["r2"].reads = 1
-		n.ask("x", 1, p)
-		n.sentTo("r3")
+func TestPrefillChoice_PrefixAtEjectedServer(t *testing.T) {
+	for prefix := uint64(1); prefix < 20; prefix++ {
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), decodeServer("w1", 0))
+		req := &request{Request: Request{Session: 1, Prefix: prefix, PrefixTokens: 160, PromptTokens: 320}}
+		gateway.scheduler.table.Record(gateway.now, gateway.scheduler.servers["r1"].runs, req.parts(), true)
+		gateway.scheduler.servers["r1"].ejected, gateway.scheduler.servers["r1"].until = true, gateway.now+time.Hour
+		gateway.scheduler.servers["r2"].reads = 1
+		gateway.requestChat("x", 1, prefix)
+		gateway.expectSentTo("r3")
 	}
 }
 
-func TestBlocksExpireAndAreCapped(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"))
-	v := n.s.servers["r1"]
-	r := &request{Request: Request{Session: 1, PromptTokens: 320}}
-	n.s.now = n.now
-	n.s.table.Record(n.now, v.runs, r.parts(), true)
-	if got, _ := n.s.match(r, v); got != 320 {
+func TestPrefixTable_ExpiryAndCap(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"))
+	server := gateway.scheduler.servers["r1"]
+	req := &request{Request: Request{Session: 1, PromptTokens: 320}}
+	gateway.scheduler.now = gateway.now
+	gateway.scheduler.table.Record(gateway.now, server.runs, req.parts(), true)
+	if got, _ := gateway.scheduler.match(req, server); got != 320 {
 		t.Fatalf("holds %v tokens, want 320", got)
 	}
-	n.s.now += blockExpiry
-	if got, _ := n.s.match(r, v); got != 0 {
+	gateway.scheduler.now += blockExpiry
+	if got, _ := gateway.scheduler.match(req, server); got != 0 {
 		t.Errorf("holds %v tokens after the expiry", got)
 	}
 	for i := uint64(2); i < 30; i++ {
-		n.s.table.Record(n.now, v.runs, (&request{Request: Request{Session: i, PromptTokens: 10000 * blockTokens}}).parts(), false)
+		gateway.scheduler.table.Record(gateway.now, server.runs, (&request{Request: Request{Session: i, PromptTokens: 10000 * blockTokens}}).parts(), false)
 	}
-	if n.s.table.Blocks() != maxBlocks || n.s.table.Len() != len(v.runs) || len(v.runs) != 20 {
-		t.Errorf("table holds %d blocks in %d and %d runs, want %d", n.s.table.Blocks(), n.s.table.Len(), len(v.runs), maxBlocks)
+	if gateway.scheduler.table.Blocks() != maxBlocks || gateway.scheduler.table.Len() != len(server.runs) || len(server.runs) != 20 {
+		t.Errorf("table holds %d blocks in %d and %d runs, want %d", gateway.scheduler.table.Blocks(), gateway.scheduler.table.Len(), len(server.runs), maxBlocks)
 	}
 }
 
 // A reader that kept under half of what it surely held has forgotten the rest:
 // the other prefixes aimed at it must not follow.
-func TestFlushVoidsAReadersBlocks(t *testing.T) {
+func TestPrefixTable_ServerFlushedItsCache(t *testing.T) {
 	for _, tt := range []struct{ kept, want float64 }{{0, 0}, {320, 320}} {
-		n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-		n.ask("other", 2, 0)
-		n.end("other", 0, "r1", Parsed)
-		n.ask("a", 1, 0)
-		n.end("a", 0, "r1", Parsed)
-		n.now += 100 * ms
-		n.ask("b", 1, 0)
-		n.now += 50 * ms
-		n.do(Outcome{ID: "b", Server: "r1", Status: Parsed, Note: tt.kept, Latency: 50 * ms})
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+		gateway.requestChat("other", 2, 0)
+		gateway.endAttempt("other", 0, "r1", Parsed)
+		gateway.requestChat("a", 1, 0)
+		gateway.endAttempt("a", 0, "r1", Parsed)
+		gateway.now += 100 * ms
+		gateway.requestChat("b", 1, 0)
+		gateway.now += 50 * ms
+		gateway.handle(Outcome{ID: "b", Server: "r1", Status: Parsed, Note: tt.kept, Latency: 50 * ms})
 		other := &request{Request: Request{Session: 2, PromptTokens: 320}}
-		if got, _ := n.s.match(other, n.s.servers["r1"]); got != tt.want {
+		if got, _ := gateway.scheduler.match(other, gateway.scheduler.servers["r1"]); got != tt.want {
 			t.Errorf("kept %v: the other session's match is %v, want %v", tt.kept, got, tt.want)
 		}
 	}
 }
 
-func TestNewStartTimeEmptiesBlocks(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-	n.ask("a", 1, 0)
-	v := reader("r1")
-	v.Started = n.now
-	n.do(Members{Form: ListPatch, Entries: []Server{v}})
-	if got := len(n.s.servers["r1"].runs); got != 0 {
+func TestPrefixTable_ServerRestarted(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	gateway.requestChat("a", 1, 0)
+	restarted := prefillServer("r1")
+	restarted.Started = gateway.now
+	gateway.handle(Members{Form: ListPatch, Entries: []Server{restarted}})
+	if got := len(gateway.scheduler.servers["r1"].runs); got != 0 {
 		t.Errorf("%d blocks left after a restart", got)
 	}
 }
 
 // Counts of this node alone would set off the gap test against reports of all nodes.
-func TestCountsAreOnTheFleetsScale(t *testing.T) {
-	set := settings()
-	set.Nodes = 3
-	n := newNode(t, set, reader("r1"))
-	v := n.s.servers["r1"]
-	v.reads = 2
-	count, _ := n.s.counts(RoleRead)
-	if got := count(v); got != 6 {
+func TestLoadEstimate_OwnCountsAndReports(t *testing.T) {
+	settings := testSettings()
+	settings.Nodes = 3
+	gateway := newGateway(t, settings, prefillServer("r1"))
+	server := gateway.scheduler.servers["r1"]
+	server.reads = 2
+	count, _ := gateway.scheduler.counts(RoleRead)
+	if got := count(server); got != 6 {
 		t.Errorf("count is %v, want 6", got)
 	}
-	n.do(Probed{Server: "r1", Status: Served, Report: Report{ReportInFlight: 9}})
-	if got := count(v); got != 9 {
+	gateway.handle(Probed{Server: "r1", Status: Served, Report: Report{ReportInFlight: 9}})
+	if got := count(server); got != 9 {
 		t.Errorf("count is %v, want the reported 9", got)
 	}
 }
 
-func TestWriterPick(t *testing.T) {
+func TestDecodeChoice_FreeMemory(t *testing.T) {
 	tests := []struct {
 		name string
 		used map[string]float64 // reported share of memory
@@ -169,19 +169,19 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			n := newNode(t, settings(), reader("r1"), writer("near", 0), writer("mid", 1), writer("far", 2))
+			gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("near", 0), decodeServer("mid", 1), decodeServer("far", 2))
 			for id, x := range tt.used {
-				v := n.s.servers[ServerID(id)]
-				v.report, v.reportAt = Report{ReportMemory: x}, n.s.now
+				v := gateway.scheduler.servers[ServerID(id)]
+				v.report, v.reportAt = Report{ReportMemory: x}, gateway.scheduler.now
 			}
 			for id, x := range tt.held {
-				n.s.servers[ServerID(id)].held = x
+				gateway.scheduler.servers[ServerID(id)].held = x
 			}
-			pool := []*server{n.s.servers["near"], n.s.servers["mid"], n.s.servers["far"]}
+			pool := []*server{gateway.scheduler.servers["near"], gateway.scheduler.servers["mid"], gateway.scheduler.servers["far"]}
 			if tt.want != "mid" {
 				pool = []*server{pool[0], pool[2]}
 			}
-			if got := n.s.roomiest(pool, n.s.servers["r1"]); string(got.ID) != tt.want {
+			if got := gateway.scheduler.roomiest(pool, gateway.scheduler.servers["r1"]); string(got.ID) != tt.want {
 				t.Errorf("picked %s, want %s", got.ID, tt.want)
 			}
 		})
@@ -190,13 +190,13 @@
 
 // With age a report counts less, and what all tell counts instead: a writer that told an hour ago that it is nearly full is
 // taken as one with the average room.
-func TestWriterPick_OldReport(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("near", 0), writer("far", 2))
-	near, far := n.s.servers["near"], n.s.servers["far"]
+func TestDecodeChoice_OldReport(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("near", 0), decodeServer("far", 2))
+	near, far := gateway.scheduler.servers["near"], gateway.scheduler.servers["far"]
 	for age, want := range map[time.Duration]*server{0: far, time.Hour: near} {
-		near.report, near.reportAt = Report{ReportMemory: 0.9}, n.s.now-age
-		far.report, far.reportAt = Report{ReportMemory: 0.1}, n.s.now-age
-		if got := n.s.roomiest([]*server{near, far}, n.s.servers["r1"]); got != want {
+		near.report, near.reportAt = Report{ReportMemory: 0.9}, gateway.scheduler.now-age
+		far.report, far.reportAt = Report{ReportMemory: 0.1}, gateway.scheduler.now-age
+		if got := gateway.scheduler.roomiest([]*server{near, far}, gateway.scheduler.servers["r1"]); got != want {
 			t.Errorf("reports %v old: picked %s, want %s", age, got.ID, want.ID)
 		}
 	}
@@ -204,88 +204,88 @@
 
 // A connection may fail while the writer that holds the place, and the state that
 // has moved there, is well: it is tried once more before the others, which lack it.
-func TestHolderIsTriedOnceMore(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 0))
-	n.ask("a", 1, 0)
-	place, _ := pick[Ahead](n)
-	n.do(PlaceNote{ID: "a", Server: place.Server, Held: true})
-	n.end("a", 0, "r1", Parsed)
-	n.sentTo(string(place.Server))
-	n.end("a", 1, string(place.Server), NoConnection)
-	n.sentTo(string(place.Server))
-	n.end("a", 2, string(place.Server), NoConnection)
-	if b, _ := pick[Attempt](n); b.Server == place.Server || b.Server == "" {
-		t.Errorf("then sent to %q", b.Server)
+func TestReservation_ConnectionFails(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0))
+	gateway.requestChat("a", 1, 0)
+	reservation, _ := firstAction[Ahead](gateway)
+	gateway.handle(PlaceNote{ID: "a", Server: reservation.Server, Held: true})
+	gateway.endAttempt("a", 0, "r1", Parsed)
+	gateway.expectSentTo(string(reservation.Server))
+	gateway.endAttempt("a", 1, string(reservation.Server), NoConnection)
+	gateway.expectSentTo(string(reservation.Server))
+	gateway.endAttempt("a", 2, string(reservation.Server), NoConnection)
+	if next, _ := firstAction[Attempt](gateway); next.Server == reservation.Server || next.Server == "" {
+		t.Errorf("then sent to %q", next.Server)
 	}
 }
 
 // A refused place leads to the next roomiest writer, once.
-func TestRefusedPlaceTriesTheNextOnce(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 0), writer("w3", 0))
-	n.ask("a", 1, 0)
-	first, _ := pick[Ahead](n)
-	n.do(PlaceNote{ID: "a", Server: first.Server})
-	second, ok := pick[Ahead](n)
+func TestReservation_Refused(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0), decodeServer("w3", 0))
+	gateway.requestChat("a", 1, 0)
+	first, _ := firstAction[Ahead](gateway)
+	gateway.handle(PlaceNote{ID: "a", Server: first.Server})
+	second, ok := firstAction[Ahead](gateway)
 	if !ok || second.Server == first.Server {
-		t.Fatalf("after %s was refused: %v", first.Server, n.out)
+		t.Fatalf("after %s was refused: %v", first.Server, gateway.actions)
 	}
-	n.do(PlaceNote{ID: "a", Server: second.Server})
-	lacks[Ahead](n)
+	gateway.handle(PlaceNote{ID: "a", Server: second.Server})
+	expectNoAction[Ahead](gateway)
 }
 
-func TestHolderGetsTheRead(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 0))
-	n.ask("a", 1, 0)
-	p, _ := pick[Ahead](n)
-	n.do(PlaceNote{ID: "a", Server: p.Server, Held: true})
-	n.s.servers[p.Server].held = 90000 // no longer the roomiest
-	n.end("a", 0, "r1", Parsed)
-	n.sentTo(string(p.Server))
+func TestReservation_Granted(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0))
+	gateway.requestChat("a", 1, 0)
+	reservation, _ := firstAction[Ahead](gateway)
+	gateway.handle(PlaceNote{ID: "a", Server: reservation.Server, Held: true})
+	gateway.scheduler.servers[reservation.Server].held = 90000 // no longer the roomiest
+	gateway.endAttempt("a", 0, "r1", Parsed)
+	gateway.expectSentTo(string(reservation.Server))
 }
 
-func TestNoPlaceAskedWhereNotAllowed(t *testing.T) {
-	set := settings()
-	set.Ahead = false
-	n := newNode(t, set, reader("r1"), writer("w1", 0))
-	n.ask("a", 1, 0)
-	n.sentTo("r1")
-	lacks[Ahead](n)
+func TestReservation_Disabled(t *testing.T) {
+	settings := testSettings()
+	settings.Ahead = false
+	gateway := newGateway(t, settings, prefillServer("r1"), decodeServer("w1", 0))
+	gateway.requestChat("a", 1, 0)
+	gateway.expectSentTo("r1")
+	expectNoAction[Ahead](gateway)
 }
 
 // While states are slow to leave a cell, reads go where a writer of the cell has
 // room; else a prefix stays where it is known.
-func TestReadsStayNearWritersWhileMovesAreSlow(t *testing.T) {
+func TestPrefillChoice_SlowTransfers(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		far  time.Duration
-		age  time.Duration
-		used map[ServerID]float64
-		want string
+		name       string
+		farLatency time.Duration
+		age        time.Duration
+		used       map[ServerID]float64
+		want       string
 	}{
 		{"moves are fast", 60 * ms, 0, nil, "r1"},
 		{"moves are slow", 2 * time.Second, 0, nil, "r2"},
 		{"moves were slow long ago", 2 * time.Second, time.Minute, nil, "r1"},
 		{"its writer is full", 2 * time.Second, 0, map[ServerID]float64{"w2": 0.9, "w3": 0.1}, "r3"},
 	} {
-		list := []Server{reader("r1"), reader("r2"), reader("r3"), writer("w2", 2), writer("w3", 3)}
+		servers := []Server{prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), decodeServer("w2", 2), decodeServer("w3", 3)}
 		for i := range 3 {
-			list[i].Cell = i + 1 // r1 has no writer beside it
+			servers[i].Cell = i + 1 // r1 has no writer beside it
 		}
-		n := newNode(t, settings(), list...)
+		gateway := newGateway(t, testSettings(), servers...)
 		known := &request{Request: Request{Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}}
-		n.s.pace[writing].Observe(n.now, 50*ms, 320)
-		n.s.pace[writingFar].Observe(n.now, tt.far, 320)
-		n.now += tt.age
+		gateway.scheduler.pace[writing].Observe(gateway.now, 50*ms, 320)
+		gateway.scheduler.pace[writingFar].Observe(gateway.now, tt.farLatency, 320)
+		gateway.now += tt.age
 		if tt.used == nil {
 			tt.used = map[ServerID]float64{"w2": 0.1, "w3": 0.9}
 		}
 		for id, x := range tt.used {
-			n.s.servers[id].report, n.s.servers[id].reportAt = Report{ReportMemory: x}, n.now
+			gateway.scheduler.servers[id].report, gateway.scheduler.servers[id].reportAt = Report{ReportMemory: x}, gateway.now
 		}
-		n.s.now = n.now
-		n.s.table.Record(n.now, n.s.servers["r1"].runs, known.parts(), true)
-		n.ask("a", 1, 7)
-		if a, _ := pick[Attempt](n); string(a.Server) != tt.want {
+		gateway.scheduler.now = gateway.now
+		gateway.scheduler.table.Record(gateway.now, gateway.scheduler.servers["r1"].runs, known.parts(), true)
+		gateway.requestChat("a", 1, 7)
+		if a, _ := firstAction[Attempt](gateway); string(a.Server) != tt.want {
 			t.Errorf("%s: sent to %q, want %s", tt.name, a.Server, tt.want)
 		}
 	}
--- a/readme_test.go
+++ b/readme_test.go
@@ -7,7 +7,7 @@
 )
 
 // The README's examples are the programs under examples, which CI builds.
-func TestReadmeShowsTheExamples(t *testing.T) {
+func TestReadme_Examples(t *testing.T) {
 	readme, err := os.ReadFile("README.md")
 	if err != nil {
 		t.Fatal(err)
--- a/rules_test.go
+++ b/rules_test.go
@@ -7,52 +7,52 @@
 )
 
 // Rule 1: with nobody to send to, one refusal comes in time.
-func TestRule1AnswerInTime(t *testing.T) {
-	for _, list := range [][]Server{nil, {reader("r1")}, {writer("w1", 0)}} {
-		n := newNode(t, settings(), list...)
-		n.ask("a", 1, 0)
-		answers := run(n, 5*time.Second)
+func TestFinalAnswer_NoServer(t *testing.T) {
+	for _, servers := range [][]Server{nil, {prefillServer("r1")}, {decodeServer("w1", 0)}} {
+		gateway := newGateway(t, testSettings(), servers...)
+		gateway.requestChat("a", 1, 0)
+		answers := runUntilIdle(gateway, 5*time.Second)
 		if answers != 1 {
-			t.Errorf("list %v: %d final answers in time, want 1", list, answers)
+			t.Errorf("list %v: %d final answers in time, want 1", servers, answers)
 		}
 	}
 }
 
 // run lets timers fire and reads end for a while and counts final answers.
-func run(n *node, d time.Duration) (answers int) {
+func runUntilIdle(gateway *testGateway, d time.Duration) (answers int) {
 	var timers []SetTimer
-	for end := n.now + d; ; {
-		for _, a := range n.out {
+	for end := gateway.now + d; ; {
+		for _, a := range gateway.actions {
 			switch a := a.(type) {
 			case SetTimer:
 				timers = append(timers, a)
 			case Refuse, Fail:
 				answers++
 			case Attempt:
-				timers = append(timers, SetTimer{At: n.now + ms})
+				timers = append(timers, SetTimer{At: gateway.now + ms})
 			}
 		}
-		next := -1
-		for i, x := range timers {
-			if x.At <= end && (next < 0 || x.At < timers[next].At) {
-				next = i
+		nextIndex := -1
+		for i, timer := range timers {
+			if timer.At <= end && (nextIndex < 0 || timer.At < timers[nextIndex].At) {
+				nextIndex = i
 			}
 		}
-		if next < 0 {
+		if nextIndex < 0 {
 			return answers
 		}
-		x := timers[next]
-		timers = append(timers[:next], timers[next+1:]...)
-		n.now = max(n.now, x.At)
-		if x.Token == 0 {
-			n.end("a", 0, "r1", Parsed)
+		timer := timers[nextIndex]
+		timers = append(timers[:nextIndex], timers[nextIndex+1:]...)
+		gateway.now = max(gateway.now, timer.At)
+		if timer.Token == 0 {
+			gateway.endAttempt("a", 0, "r1", Parsed)
 		} else {
-			n.do(Timer{x.Token})
+			gateway.handle(Timer{timer.Token})
 		}
 	}
 }
 
-func TestRule2Effects(t *testing.T) {
+func TestRetry_ClassEffects(t *testing.T) {
 	tests := []struct {
 		class  string
 		status Status
@@ -65,134 +65,134 @@
 		{"order", NoConnection, "w2"},
 	}
 	for _, tt := range tests {
-		n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 1))
-		n.do(Request{ID: "a", Class: tt.class, Session: 1, PromptTokens: 100, TimeLeft: 700 * ms})
-		n.end("a", 0, "r1", Parsed)
-		n.sentTo("w1")
-		n.end("a", 1, "w1", tt.status)
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 1))
+		gateway.handle(Request{ID: "a", Class: tt.class, Session: 1, PromptTokens: 100, TimeLeft: 700 * ms})
+		gateway.endAttempt("a", 0, "r1", Parsed)
+		gateway.expectSentTo("w1")
+		gateway.endAttempt("a", 1, "w1", tt.status)
 		if tt.want == "w2" {
-			n.sentTo("w2")
+			gateway.expectSentTo("w2")
 			continue
 		}
-		lacks[Attempt](n)
-		for i := 0; i < 40 && len(n.s.reqs) > 0; i++ { // it may look for a server of the group for a while
-			n.now += 50 * ms
-			if x, ok := pick[SetTimer](n); ok {
-				n.do(Timer{x.Token})
+		expectNoAction[Attempt](gateway)
+		for i := 0; i < 40 && len(gateway.scheduler.reqs) > 0; i++ { // it may look for a server of the group for a while
+			gateway.now += 50 * ms
+			if timer, ok := firstAction[SetTimer](gateway); ok {
+				gateway.handle(Timer{timer.Token})
 			}
 		}
-		wants[Fail](n)
-		lacks[Refuse](n)
+		expectAction[Fail](gateway)
+		expectNoAction[Refuse](gateway)
 	}
 }
 
-func TestTokenRepeatsStayInGroupAndWindow(t *testing.T) {
-	r := &request{class: &Class{Effect: Token, Group: ScopeZone, Window: time.Second}}
-	r.ran = &attempt{srv: &server{Server: Server{Zone: "a", Cell: 1}}}
+func TestRetry_TokenGroupAndWindow(t *testing.T) {
+	req := &request{class: &Class{Effect: Token, Group: ScopeZone, Window: time.Second}}
+	req.ran = &attempt{srv: &server{Server: Server{Zone: "a", Cell: 1}}}
 	same, other := &server{Server: Server{Zone: "a", Cell: 2}}, &server{Server: Server{Zone: "b", Cell: 1}}
-	if !r.mayRunOn(same, 999*ms) || r.mayRunOn(same, time.Second) || r.mayRunOn(other, 0) {
+	if !req.mayRunOn(same, 999*ms) || req.mayRunOn(same, time.Second) || req.mayRunOn(other, 0) {
 		t.Error("zone group or window not kept")
 	}
-	r.class.Group = ScopeCell
-	if r.mayRunOn(same, 0) || !r.mayRunOn(other, 0) {
+	req.class.Group = ScopeCell
+	if req.mayRunOn(same, 0) || !req.mayRunOn(other, 0) {
 		t.Error("cell group not kept")
 	}
 }
 
-func TestAttemptCap(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), reader("r2"), reader("r3"), reader("r4"), reader("r5"), writer("w1", 0))
-	n.ask("a", 1, 0)
+func TestRetry_AttemptLimit(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), prefillServer("r4"), prefillServer("r5"), decodeServer("w1", 0))
+	gateway.requestChat("a", 1, 0)
 	for i := 0; i < 4; i++ {
-		a, ok := pick[Attempt](n)
+		a, ok := firstAction[Attempt](gateway)
 		if !ok {
 			t.Fatalf("attempt %d missing", i)
 		}
-		n.end("a", i, string(a.Server), ServerError)
+		gateway.endAttempt("a", i, string(a.Server), ServerError)
 	}
-	wants[Refuse](n)
-	lacks[Attempt](n)
+	expectAction[Refuse](gateway)
+	expectNoAction[Attempt](gateway)
 }
 
-func TestRule3NothingToADrainingServer(t *testing.T) {
+func TestDrain_NoNewWork(t *testing.T) {
 	for _, state := range []ServerState{StateFading, StateOff} {
-		n := newNode(t, settings(), reader("r1"), reader("r2"), writer("w1", 0))
-		v := reader("r1")
-		v.State = state
-		n.do(Members{Form: ListPatch, Entries: []Server{v}})
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
+		draining := prefillServer("r1")
+		draining.State = state
+		gateway.handle(Members{Form: ListPatch, Entries: []Server{draining}})
 		for i := uint64(0); i < 20; i++ {
-			n.ask(fmt.Sprint(i), i, i)
-			n.sentTo("r2")
-			a := n.s.servers["r2"]
-			a.reads = 0
+			gateway.requestChat(fmt.Sprint(i), i, i)
+			gateway.expectSentTo("r2")
+			server := gateway.scheduler.servers["r2"]
+			server.reads = 0
 		}
 	}
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-	n.do(Members{Form: ListWhole, Entries: []Server{writer("w1", 0)}}) // absent = gone
-	n.ask("a", 1, 0)
-	n.sentTo("")
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	gateway.handle(Members{Form: ListWhole, Entries: []Server{decodeServer("w1", 0)}}) // absent = gone
+	gateway.requestChat("a", 1, 0)
+	gateway.expectSentTo("")
 }
 
 // A draining holder of a place gets nothing, though its place was held.
-func TestRule3HolderDrains(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 0))
-	n.ask("a", 1, 0)
-	p, _ := pick[Ahead](n)
-	n.do(PlaceNote{ID: "a", Server: p.Server, Held: true})
-	v := writer(string(p.Server), 0)
-	v.State = StateFading
-	n.do(Members{Form: ListPatch, Entries: []Server{v}})
-	n.end("a", 0, "r1", Parsed)
-	if a, _ := pick[Attempt](n); a.Server == p.Server || a.Server == "" {
+func TestDrain_ReservationHolder(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0))
+	gateway.requestChat("a", 1, 0)
+	reservation, _ := firstAction[Ahead](gateway)
+	gateway.handle(PlaceNote{ID: "a", Server: reservation.Server, Held: true})
+	draining := decodeServer(string(reservation.Server), 0)
+	draining.State = StateFading
+	gateway.handle(Members{Form: ListPatch, Entries: []Server{draining}})
+	gateway.endAttempt("a", 0, "r1", Parsed)
+	if a, _ := firstAction[Attempt](gateway); a.Server == reservation.Server || a.Server == "" {
 		t.Errorf("sent to %q", a.Server)
 	}
 }
 
 // Rule 4, and what broke it first: rejected sends swelled the learned rate,
 // and with it the budget, until cold servers were pushed over.
-func TestRule4ColdBudget(t *testing.T) {
-	cold := reader("r1")
+func TestSlowStartBudget_RefusedSends(t *testing.T) {
+	cold := prefillServer("r1")
 	cold.Started = time.Hour
-	set := settings()
-	set.Limits.MaxAttempts = 0
-	n := newNode(t, set, cold, writer("w1", 0))
+	settings := testSettings()
+	settings.Limits.MaxAttempts = 0
+	gateway := newGateway(t, settings, cold, decodeServer("w1", 0))
 	sends := 0
 	for i := uint64(0); i < 50; i++ {
-		n.ask(fmt.Sprint(i), i, 0)
-		if a, ok := pick[Attempt](n); ok {
+		gateway.requestChat(fmt.Sprint(i), i, 0)
+		if a, ok := firstAction[Attempt](gateway); ok {
 			sends++
-			n.end(fmt.Sprint(i), 0, string(a.Server), TurnedAway)
-			n.s.servers["r1"].pausedUntil = 0
+			gateway.endAttempt(fmt.Sprint(i), 0, string(a.Server), TurnedAway)
+			gateway.scheduler.servers["r1"].pausedUntil = 0
 		}
-		n.now += 10 * ms
+		gateway.now += 10 * ms
 	}
 	if sends != 1 {
 		t.Errorf("%d sends to a cold server in half a window without any known capacity, want 1", sends)
 	}
-	n.now += set.Rules.ColdTime
-	n.ask("late", 1, 0)
-	n.sentTo("r1")
+	gateway.now += settings.Rules.ColdTime
+	gateway.requestChat("late", 1, 0)
+	gateway.expectSentTo("r1")
 }
 
 // In a rolling deploy few warm servers are left; what all did before must not
 // be taken for what each of these few can do.
-func TestRule4BudgetInARollingDeploy(t *testing.T) {
+func TestSlowStartBudget_RollingDeploy(t *testing.T) {
 	budget := func(warm int) (sends int) {
-		var list []Server
+		var servers []Server
 		for i := 0; i < 5; i++ {
-			v := reader(fmt.Sprint("r", i))
+			peer := prefillServer(fmt.Sprint("r", i))
 			if i >= warm {
-				v.Started = time.Hour
+				peer.Started = time.Hour
 			}
-			list = append(list, v)
+			servers = append(servers, peer)
 		}
-		n := newNode(t, settings(), list...)
-		v, r := n.s.servers["r4"], &request{class: n.s.classes["chat"]}
-		n.s.now, n.s.cost[r.class] = n.now, 1
-		for _, o := range n.s.order {
-			o.done.Add(n.now, time.Second, 200)
+		gateway := newGateway(t, testSettings(), servers...)
+		restarted, req := gateway.scheduler.servers["r4"], &request{class: gateway.scheduler.classes["chat"]}
+		gateway.scheduler.now, gateway.scheduler.cost[req.class] = gateway.now, 1
+		for _, peer := range gateway.scheduler.order {
+			peer.done.Add(gateway.now, time.Second, 200)
 		}
-		for ; sends < 1000 && n.s.slowStartAllows(v, r); sends++ {
-			v.sends.Add(n.now, 1)
+		for ; sends < 1000 && gateway.scheduler.slowStartAllows(restarted, req); sends++ {
+			restarted.sends.Add(gateway.now, 1)
 		}
 		return sends
 	}
@@ -202,36 +202,36 @@
 }
 
 // Rule 5: each way to an end lets go of what is held.
-func TestRule5Released(t *testing.T) {
-	begin := func() *node {
-		n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-		n.ask("a", 1, 0)
-		return n
+func TestRelease_RequestEnds(t *testing.T) {
+	begin := func() *testGateway {
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+		gateway.requestChat("a", 1, 0)
+		return gateway
 	}
-	n := begin() // the client leaves during the read, whose state comes in later
-	n.do(Gone{"a"})
-	wants[Release](n)
-	n.end("a", 0, "r1", Parsed)
-	wants[Release](n)
-	n = begin() // all writers are gone when the read ends
-	n.do(Members{Form: ListWhole, Entries: []Server{reader("r1")}})
-	n.end("a", 0, "r1", Parsed)
-	if run(n, 900*ms) != 1 {
+	gateway := begin() // the client leaves during the read, whose state comes in later
+	gateway.handle(Gone{"a"})
+	expectAction[Release](gateway)
+	gateway.endAttempt("a", 0, "r1", Parsed)
+	expectAction[Release](gateway)
+	gateway = begin() // all writers are gone when the read ends
+	gateway.handle(Members{Form: ListWhole, Entries: []Server{prefillServer("r1")}})
+	gateway.endAttempt("a", 0, "r1", Parsed)
+	if runUntilIdle(gateway, 900*ms) != 1 {
 		t.Error("no final answer within the release time")
 	}
-	wants[Release](n)
-	n = begin() // the writer fails for good
-	n.end("a", 0, "r1", Parsed)
-	n.do(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: NoAnswer, Done: true})
-	wants[Release](n)
-	n = begin() // the reader turns the request away while a place is held, and no other is there
-	p := n.s.reqs["a"].ahead
-	n.do(PlaceNote{ID: "a", Server: p.ID, Held: true})
-	n.end("a", 0, "r1", TurnedAway)
-	wants[Release](n)
-	n = begin() // the time is over
-	n.now += 5 * time.Second
-	n.end("a", 0, "r1", NoAnswer)
-	wants[Refuse](n)
-	wants[Release](n)
+	expectAction[Release](gateway)
+	gateway = begin() // the writer fails for good
+	gateway.endAttempt("a", 0, "r1", Parsed)
+	gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: NoAnswer, Done: true})
+	expectAction[Release](gateway)
+	gateway = begin() // the reader turns the request away while a place is held, and no other is there
+	holder := gateway.scheduler.reqs["a"].ahead
+	gateway.handle(PlaceNote{ID: "a", Server: holder.ID, Held: true})
+	gateway.endAttempt("a", 0, "r1", TurnedAway)
+	expectAction[Release](gateway)
+	gateway = begin() // the time is over
+	gateway.now += 5 * time.Second
+	gateway.endAttempt("a", 0, "r1", NoAnswer)
+	expectAction[Refuse](gateway)
+	expectAction[Release](gateway)
 }
--- a/scheduler_test.go
+++ b/scheduler_test.go
@@ -11,36 +11,36 @@
 
 const ms = time.Millisecond
 
-func TestDiscovery(t *testing.T) {
-	set := settings()
-	set.Subscribe = true
-	n := newNode(t, set)
-	wants[Watch](n)
-	n.do(Members{Form: ListBroken})
-	x, _ := pick[SetTimer](n)
-	n.now = x.At
-	n.do(Timer{x.Token})
-	wants[Watch](n)
+func TestDiscovery_WatchFails(t *testing.T) {
+	settings := testSettings()
+	settings.Subscribe = true
+	gateway := newGateway(t, settings)
+	expectAction[Watch](gateway)
+	gateway.handle(Members{Form: ListBroken})
+	timer, _ := firstAction[SetTimer](gateway)
+	gateway.now = timer.At
+	gateway.handle(Timer{timer.Token})
+	expectAction[Watch](gateway)
 }
 
 // Probes are tied to own reads and only ask where load is told on probes alone.
-func TestProbesWhereLoadIsToldOnProbesAlone(t *testing.T) {
+func TestProbe_ReportModes(t *testing.T) {
 	for mode, want := range map[ReportMode]bool{ReportNone: false, ReportInline: false, ReportProbe: true} {
-		set := settings()
-		set.Reports, set.Limits.Probes = mode, true
-		n := newNode(t, set, reader("r1"), writer("w1", 0))
-		lacks[Probe](n)
-		n.ask("a", 1, 0)
-		if _, got := pick[Probe](n); got != want {
+		settings := testSettings()
+		settings.Reports, settings.Limits.Probes = mode, true
+		gateway := newGateway(t, settings, prefillServer("r1"), decodeServer("w1", 0))
+		expectNoAction[Probe](gateway)
+		gateway.requestChat("a", 1, 0)
+		if _, got := firstAction[Probe](gateway); got != want {
 			t.Errorf("mode %v: probes %v", mode, got)
 		}
-		n.ask("b", 1, 0)
-		lacks[Probe](n) // asked a moment ago
+		gateway.requestChat("b", 1, 0)
+		expectNoAction[Probe](gateway) // asked a moment ago
 	}
 }
 
-func TestImpossibleSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+func TestNew_InvalidSettings(t *testing.T) {
+	for name, invalidate := range map[string]func(*Settings){
 		"no kinds":     func(s *Settings) { s.Kinds = nil },
 		"no classes":   func(s *Settings) { s.Classes = nil },
 		"no role":      func(s *Settings) { s.Kinds[0].Role = 0 },
@@ -53,35 +53,35 @@
 		"cold share":   func(s *Settings) { s.Rules.ColdFrom = -1 },
 		"fall windows": func(s *Settings) { s.Rules.FallWindow = -1 },
 	} {
-		set := settings()
-		spoil(&set)
-		if _, err := New(set, 1); err == nil {
+		settings := testSettings()
+		invalidate(&settings)
+		if _, err := New(settings, 1); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
 }
 
-func TestStrayEventsAreIgnored(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-	n.ask("a", 1, 0)
-	for _, e := range []Event{
+func TestHandle_StrayEvents(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	gateway.requestChat("a", 1, 0)
+	for _, event := range []Event{
 		Gone{"z"}, Timer{9999}, First{ID: "a", Attempt: 7}, First{ID: "a", Server: "r1"}, Outcome{ID: "z"},
 		Outcome{ID: "a", Attempt: -1}, Outcome{ID: "a", Server: "w1"}, PlaceNote{ID: "z"}, Probed{Server: "z"},
 	} {
-		if out := n.do(e); len(out) != 0 {
-			t.Errorf("%#v: %v", e, out)
+		if out := gateway.handle(event); len(out) != 0 {
+			t.Errorf("%#v: %v", event, out)
 		}
 	}
-	n.end("a", 0, "r1", Parsed)
-	n.sentTo("w1")
-	if out := n.end("a", 0, "r1", Parsed); len(out) != 0 {
+	gateway.endAttempt("a", 0, "r1", Parsed)
+	gateway.expectSentTo("w1")
+	if out := gateway.endAttempt("a", 0, "r1", Parsed); len(out) != 0 {
 		t.Errorf("repeated outcome: %v", out)
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
-	a, b := storm(t, 5, settings()), storm(t, 5, settings())
-	if !reflect.DeepEqual(a, b) {
+func TestHandle_Deterministic(t *testing.T) {
+	first, second := runRandomEvents(t, 5, testSettings()), runRandomEvents(t, 5, testSettings())
+	if !reflect.DeepEqual(first, second) {
 		t.Error("the same events led to other actions")
 	}
 }
--- a/share_test.go
+++ b/share_test.go
@@ -8,34 +8,34 @@
 
 // Two processes that count as one node send a cold server together no more than the one
 // alone would, and an engine that the list has lost or drains counts as it should.
-func TestProcessesShareTheColdBudget(t *testing.T) {
-	sends := func(processes int) (n int) {
-		set := settings()
-		set.Nodes = 3
-		set.Rules = Rules{FallMultiple: 2.5, FallWindow: time.Second, ColdFrom: 0.31, ColdTime: 12 * time.Second, Release: time.Second}
+func TestSlowStartBudget_TwoProcesses(t *testing.T) {
+	sends := func(processes int) (total int) {
+		settings := testSettings()
+		settings.Nodes = 3
+		settings.Rules = Rules{FallMultiple: 2.5, FallWindow: time.Second, ColdFrom: 0.31, ColdTime: 12 * time.Second, Release: time.Second}
 		for range processes {
-			r := newNode(t, set, reader("warm"), reader("cold"))
-			r.s.copies = float64(processes)
-			cold := r.s.servers["cold"]
+			gateway := newGateway(t, settings, prefillServer("warm"), prefillServer("cold"))
+			gateway.scheduler.copies = float64(processes)
+			cold := gateway.scheduler.servers["cold"]
 			for i := range 200 { // what a warm reader is seen to do
-				r.s.servers["warm"].done.Add(r.now+time.Duration(i)*10*time.Millisecond, time.Second, 1000)
+				gateway.scheduler.servers["warm"].done.Add(gateway.now+time.Duration(i)*10*time.Millisecond, time.Second, 1000)
 			}
-			r.now += 2 * time.Second
-			cold.Started, cold.since = r.now, r.now-time.Second
+			gateway.now += 2 * time.Second
+			cold.Started, cold.since = gateway.now, gateway.now-time.Second
 			for range 100 {
-				q := &request{Request: Request{ID: RequestID(fmt.Sprint(n)), Class: "chat", PromptTokens: 1000}, class: r.s.classes["chat"]}
-				r.s.now = r.now
-				if q.class == nil {
+				req := &request{Request: Request{ID: RequestID(fmt.Sprint(total)), Class: "chat", PromptTokens: 1000}, class: gateway.scheduler.classes["chat"]}
+				gateway.scheduler.now = gateway.now
+				if req.class == nil {
 					t.Fatal("no such class")
 				}
-				r.s.cost[q.class] = 1000
-				if r.s.slowStartAllows(cold, q) {
-					cold.sends.Add(r.now, 1000)
-					n++
+				gateway.scheduler.cost[req.class] = 1000
+				if gateway.scheduler.slowStartAllows(cold, req) {
+					cold.sends.Add(gateway.now, 1000)
+					total++
 				}
 			}
 		}
-		return n
+		return total
 	}
 	one, two := sends(1), sends(2)
 	if one < 4 || two > one || two < one/2 {
@@ -43,31 +43,31 @@
 	}
 }
 
-func TestEnginesListedAndAvoided(t *testing.T) {
-	var now stubClock
-	r, err := NewRouter(settings(), 1, &now, func(Server) {})
+func TestRouterEngines_ListedAndAvoided(t *testing.T) {
+	var clock stubClock
+	router, err := NewRouter(testSettings(), 1, &clock, func(Server) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := func(listed, avoided int) {
+	expect := func(listed, avoided int) {
 		t.Helper()
-		if l, a := r.Engines(); l != listed || a != avoided {
+		if l, a := router.Engines(); l != listed || a != avoided {
 			t.Errorf("%d listed, %d avoided, want %d and %d", l, a, listed, avoided)
 		}
 	}
-	want(0, 0)
-	draining := reader("c")
+	expect(0, 0)
+	draining := prefillServer("c")
 	draining.State = StateFading
-	r.Update(ListWhole, []Server{reader("a"), reader("b"), draining})
-	want(3, 1)
-	r.sched.servers["a"].ejected = true
-	want(3, 2)
-	gone := reader("b")
+	router.Update(ListWhole, []Server{prefillServer("a"), prefillServer("b"), draining})
+	expect(3, 1)
+	router.sched.servers["a"].ejected = true
+	expect(3, 2)
+	gone := prefillServer("b")
 	gone.State = StateOff
-	r.Update(ListPatch, []Server{gone})
-	want(2, 2)
-	r.Update(ListWhole, []Server{reader("b")})
-	want(1, 0)
+	router.Update(ListPatch, []Server{gone})
+	expect(2, 2)
+	router.Update(ListWhole, []Server{prefillServer("b")})
+	expect(1, 0)
 }
 
 type stubClock float64
--- a/size_test.go
+++ b/size_test.go
@@ -12,72 +12,72 @@
 
 // This file holds what must be so with many nodes, each seeing little.
 
-func nodesOf(nodes int) Settings {
-	set := settings()
-	set.Nodes, set.Reports = nodes, ReportNone
-	return set
+func settingsForGateways(nodes int) Settings {
+	settings := testSettings()
+	settings.Nodes, settings.Reports = nodes, ReportNone
+	return settings
 }
 
 // fleetOf is readers and writers in cells of five.
-func fleetOf(readers, writers int) (list []Server) {
+func newFleet(readers, writers int) (servers []Server) {
 	for i := 0; i < readers; i++ {
-		v := reader(fmt.Sprint("r", i))
-		v.Cell = i / 2
-		list = append(list, v)
+		server := prefillServer(fmt.Sprint("r", i))
+		server.Cell = i / 2
+		servers = append(servers, server)
 	}
 	for i := 0; i < writers; i++ {
-		list = append(list, writer(fmt.Sprint("w", i), i/3))
+		servers = append(servers, decodeServer(fmt.Sprint("w", i), i/3))
 	}
-	return list
+	return servers
 }
 
 // One own read in flight, times the nodes, passed the gap and the cap: with
 // many nodes it must not drive a prompt from the reader that holds its prefix.
-func TestPrefixPickDecidesWithManyNodes(t *testing.T) {
+func TestPrefillChoice_ManyGateways(t *testing.T) {
 	for _, nodes := range []int{50, 300} {
-		n := newNode(t, nodesOf(nodes), fleetOf(30, 30)...)
-		n.ask("a", 1, 7)
-		first, _ := pick[Attempt](n)
-		n.ask("b", 1, 7)
-		n.sentTo(string(first.Server))
+		gateway := newGateway(t, settingsForGateways(nodes), newFleet(30, 30)...)
+		gateway.requestChat("a", 1, 7)
+		first, _ := firstAction[Attempt](gateway)
+		gateway.requestChat("b", 1, 7)
+		gateway.expectSentTo(string(first.Server))
 	}
 }
 
 // Many nodes know of most readers nothing new: one that is unheard is like the mean, not
 // idle, or all would prefer it to a home that they have heard from, and find it overloaded.
-func TestUnheardReaderIsNotTakenForIdle(t *testing.T) {
+func TestPrefillChoice_ServerWithoutReport(t *testing.T) {
 	for _, nodes := range []int{50, 300} {
-		set := nodesOf(nodes)
-		set.Reports = ReportInline
-		n := newNode(t, set, fleetOf(30, 0)...)
-		n.ask("a", 1, 7)
-		first, _ := pick[Attempt](n)
-		for _, v := range n.s.order {
+		settings := settingsForGateways(nodes)
+		settings.Reports = ReportInline
+		gateway := newGateway(t, settings, newFleet(30, 0)...)
+		gateway.requestChat("a", 1, 7)
+		first, _ := firstAction[Attempt](gateway)
+		for _, v := range gateway.scheduler.order {
 			switch v.ID {
 			case first.Server: // it holds the prefix and is at work
-				v.report, v.reportAt = Report{ReportInFlight: 2}, n.now
+				v.report, v.reportAt = Report{ReportInFlight: 2}, gateway.now
 			case "r1", "r2", "r3":
-				v.report, v.reportAt = Report{ReportInFlight: 3}, n.now
+				v.report, v.reportAt = Report{ReportInFlight: 3}, gateway.now
 			}
 		}
-		n.s.servers[first.Server].reads = 0 // what is in flight here tells nothing
-		for key := uint64(2); ; key++ {     // a session that would come here too
-			other := newNode(t, set, fleetOf(30, 0)...)
-			other.ask("b", key, 7)
-			if a, _ := pick[Attempt](other); a.Server == first.Server {
-				n.ask("b", key, 7)
-				n.sentTo(string(first.Server))
+		gateway.scheduler.servers[first.Server].reads = 0 // what is in flight here tells nothing
+		for key := uint64(2); ; key++ {                   // a session that would come here too
+			otherGateway := newGateway(t, settings, newFleet(30, 0)...)
+			otherGateway.requestChat("b", key, 7)
+			if a, _ := firstAction[Attempt](otherGateway); a.Server == first.Server {
+				gateway.requestChat("b", key, 7)
+				gateway.expectSentTo(string(first.Server))
 				break
 			}
 		}
-		n.s.servers[first.Server].report = Report{ReportInFlight: 30}
-		if n.ask("c", 1, 7); slices.Contains(n.out, Action(Attempt{ID: "c", Server: first.Server, Timeout: 5 * time.Second})) {
+		gateway.scheduler.servers[first.Server].report = Report{ReportInFlight: 30}
+		if gateway.requestChat("c", 1, 7); slices.Contains(gateway.actions, Action(Attempt{ID: "c", Server: first.Server, Timeout: 5 * time.Second})) {
 			t.Errorf("%d nodes: a overloaded home is taken", nodes)
 		}
 	}
 }
 
-func TestFleetEstimateAllowsForChance(t *testing.T) {
+func TestFleetEstimate_ManyGateways(t *testing.T) {
 	for _, tt := range []struct {
 		nodes     int
 		own, mean float64
@@ -96,37 +96,37 @@
 
 // A node that hears of a server every many seconds must not take silence for
 // death: an attempt past its limit keeps its place until its aim has passed.
-func TestSilenceIsNoSignWithManyNodes(t *testing.T) {
+func TestOverdueAttempt_ManyGateways(t *testing.T) {
 	for nodes, want := range map[int]bool{1: true, 100: false} {
-		n := newNode(t, nodesOf(nodes), fleetOf(20, 20)...)
+		gateway := newGateway(t, settingsForGateways(nodes), newFleet(20, 20)...)
 		for i := 0; i < 30; i++ {
-			n.now += time.Second
-			n.s.pace[reading].Observe(n.now, 50*ms, 320)
+			gateway.now += time.Second
+			gateway.scheduler.pace[reading].Observe(gateway.now, 50*ms, 320)
 		}
-		n.ask("a", 1, 0)
-		a, _ := pick[Attempt](n)
-		n.now += 600 * ms
-		n.s.now, n.s.out = n.now, nil
-		n.s.overdue(n.s.reqs["a"], 0)
-		n.out = n.s.out
-		if _, got := pick[Cancel](n); got != want {
+		gateway.requestChat("a", 1, 0)
+		first, _ := firstAction[Attempt](gateway)
+		gateway.now += 600 * ms
+		gateway.scheduler.now, gateway.scheduler.out = gateway.now, nil
+		gateway.scheduler.overdue(gateway.scheduler.reqs["a"], 0)
+		gateway.actions = gateway.scheduler.out
+		if _, got := firstAction[Cancel](gateway); got != want {
 			t.Errorf("%d nodes: called off %v, want %v", nodes, got, want)
 		}
-		n.now += time.Second
-		n.s.now, n.s.out = n.now, nil
-		n.s.overdue(n.s.reqs["a"], 0)
-		n.out = n.s.out
-		wants[Cancel](n) // an answer that never comes, though the server may serve others
-		n.end("a", 0, string(a.Server), CalledOff)
-		if b, _ := pick[Attempt](n); b.Server == a.Server || b.Server == "" {
-			t.Errorf("%d nodes: after %s to %q", nodes, a.Server, b.Server)
+		gateway.now += time.Second
+		gateway.scheduler.now, gateway.scheduler.out = gateway.now, nil
+		gateway.scheduler.overdue(gateway.scheduler.reqs["a"], 0)
+		gateway.actions = gateway.scheduler.out
+		expectAction[Cancel](gateway) // an answer that never comes, though the server may serve others
+		gateway.endAttempt("a", 0, string(first.Server), CalledOff)
+		if second, _ := firstAction[Attempt](gateway); second.Server == first.Server || second.Server == "" {
+			t.Errorf("%d nodes: after %s to %q", nodes, first.Server, second.Server)
 		}
 	}
 }
 
 // Where nothing of this node waits, the other nodes' may: late latencies refuse,
 // until they have aged, so that a node that refuses tries again.
-func TestLatenciesOfTheFleetRefuseAndAge(t *testing.T) {
+func TestAdmission_FleetLatencies(t *testing.T) {
 	for _, tt := range []struct {
 		nodes   int
 		latency time.Duration
@@ -136,13 +136,13 @@
 		{2, 3 * time.Second, 0, false}, {300, 3 * time.Second, 0, true},
 		{300, 3 * time.Second, 5 * time.Second, false}, {300, 100 * ms, 0, false},
 	} {
-		n := newNode(t, nodesOf(tt.nodes), fleetOf(20, 20)...)
+		gateway := newGateway(t, settingsForGateways(tt.nodes), newFleet(20, 20)...)
 		for i := 0; i < 30; i++ {
-			n.s.pace[reading].Observe(n.now, tt.latency, 320)
+			gateway.scheduler.pace[reading].Observe(gateway.now, tt.latency, 320)
 		}
-		n.now += tt.age
-		n.ask("a", 1, 0)
-		if _, got := pick[Refuse](n); got != tt.refused {
+		gateway.now += tt.age
+		gateway.requestChat("a", 1, 0)
+		if _, got := firstAction[Refuse](gateway); got != tt.refused {
 			t.Errorf("%d nodes, %v ago %v: refused %v, want %v", tt.nodes, tt.age, tt.latency, got, tt.refused)
 		}
 	}
@@ -150,23 +150,23 @@
 
 // A server that takes its time to say "full" has room and refuses one class or
 // tenant: others still go there, this one only where nothing else is left.
-func TestSlowRefusalIsOfItsKindAlone(t *testing.T) {
-	for latency, other := range map[time.Duration]bool{2 * ms: false, 300 * ms: true} {
-		n := newNode(t, settings(), reader("r1"), reader("r2"), writer("w1", 0))
-		n.ask("a", 1, 7)
-		a, _ := pick[Attempt](n)
-		n.do(Outcome{ID: "a", Server: a.Server, Status: TurnedAway, Latency: latency})
-		b, _ := pick[Attempt](n)
-		if b.Server == a.Server {
-			t.Fatalf("%v: back to %s", latency, a.Server)
+func TestPause_SlowRefusal(t *testing.T) {
+	for latency, usableForOthers := range map[time.Duration]bool{2 * ms: false, 300 * ms: true} {
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
+		gateway.requestChat("a", 1, 7)
+		first, _ := firstAction[Attempt](gateway)
+		gateway.handle(Outcome{ID: "a", Server: first.Server, Status: TurnedAway, Latency: latency})
+		second, _ := firstAction[Attempt](gateway)
+		if second.Server == first.Server {
+			t.Fatalf("%v: back to %s", latency, first.Server)
 		}
-		n.ask("same", 1, 7)
-		n.sentTo(string(b.Server))
-		n.do(Request{ID: "other", Class: "pay", Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 160,
+		gateway.requestChat("same", 1, 7)
+		gateway.expectSentTo(string(second.Server))
+		gateway.handle(Request{ID: "other", Class: "pay", Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 160,
 			TimeLeft: 5 * time.Second})
-		x, _ := pick[Attempt](n)
-		if got := n.s.usable(&request{class: n.s.classes["pay"]}, n.s.servers[a.Server]); got != other {
-			t.Errorf("%v: usable for others %v, want %v; sent to %s", latency, got, other, x.Server)
+		third, _ := firstAction[Attempt](gateway)
+		if got := gateway.scheduler.usable(&request{class: gateway.scheduler.classes["pay"]}, gateway.scheduler.servers[first.Server]); got != usableForOthers {
+			t.Errorf("%v: usable for others %v, want %v; sent to %s", latency, got, usableForOthers, third.Server)
 		}
 	}
 }
@@ -174,93 +174,93 @@
 // Six in ten engines are replaced at once, seen by eighty gateways that each send
 // an engine something every many seconds. The new ones get their part of the load,
 // none more than what it can do while cold allows, whoever finds it the roomiest.
-func TestNewServersGetTheirPartFromManyNodes(t *testing.T) {
+func TestSlowStartBudget_MostServersReplaced(t *testing.T) {
 	const nodes, perSecond, seconds = 80, 90, 12
-	set := nodesOf(nodes)
-	set.Rules.FallMultiple, set.Rules.ColdFrom, set.Rules.ColdTime = 2.5, 0.31, 12*time.Second
-	old := fleetOf(24, 36)
+	settings := settingsForGateways(nodes)
+	settings.Rules.FallMultiple, settings.Rules.ColdFrom, settings.Rules.ColdTime = 2.5, 0.31, 12*time.Second
+	old := newFleet(24, 36)
 	patch := []Server{}
 	for i, v := range old {
 		if i%5 < 3 {
-			gone := v
-			gone.State = StateOff
-			next := v
-			next.ID, next.Started = "new-"+v.ID, time.Hour
-			patch = append(patch, gone, next)
+			removed := v
+			removed.State = StateOff
+			replacement := v
+			replacement.ID, replacement.Started = "new-"+v.ID, time.Hour
+			patch = append(patch, removed, replacement)
 		}
 	}
-	var all []*node
+	var gateways []*testGateway
 	for i := range nodes {
-		n := newNode(t, set, old...)
-		n.s.rng.Seed(int64(i))
-		n.now = time.Hour
-		n.do(Members{Form: ListPatch, Entries: patch})
-		all = append(all, n)
+		gateway := newGateway(t, settings, old...)
+		gateway.scheduler.rng.Seed(int64(i))
+		gateway.now = time.Hour
+		gateway.handle(Members{Form: ListPatch, Entries: patch})
+		gateways = append(gateways, gateway)
 	}
 	sent := map[ServerID][]time.Duration{}
 	for k := range perSecond * seconds {
-		n := all[k%nodes]
-		n.now = time.Hour + time.Duration(k)*time.Second/perSecond
+		gateway := gateways[k%nodes]
+		gateway.now = time.Hour + time.Duration(k)*time.Second/perSecond
 		id := fmt.Sprint("q", k)
-		n.ask(id, uint64(k), uint64(k%40+1))
-		a, _ := pick[Attempt](n)
-		n.end(id, 0, string(a.Server), Parsed)
-		b, _ := pick[Attempt](n)
-		n.do(Outcome{ID: RequestID(id), Attempt: 1, Server: b.Server, Status: Served, Done: true, Latency: 9 * ms})
-		sent[a.Server], sent[b.Server] = append(sent[a.Server], n.now), append(sent[b.Server], n.now)
+		gateway.requestChat(id, uint64(k), uint64(k%40+1))
+		prefillAttempt, _ := firstAction[Attempt](gateway)
+		gateway.endAttempt(id, 0, string(prefillAttempt.Server), Parsed)
+		decodeAttempt, _ := firstAction[Attempt](gateway)
+		gateway.handle(Outcome{ID: RequestID(id), Attempt: 1, Server: decodeAttempt.Server, Status: Served, Done: true, Latency: 9 * ms})
+		sent[prefillAttempt.Server], sent[decodeAttempt.Server] = append(sent[prefillAttempt.Server], gateway.now), append(sent[decodeAttempt.Server], gateway.now)
 	}
-	share := set.Rules.FallMultiple * set.Rules.ColdFrom
+	slowStartShare := settings.Rules.FallMultiple * settings.Rules.ColdFrom
 	total := map[Role]int{}
-	for _, v := range all[0].s.order {
+	for _, v := range gateways[0].scheduler.order {
 		if v.Started == 0 {
 			continue
 		}
-		can := share * perSecond / 36
+		capacity := slowStartShare * perSecond / 36
 		if v.role == RoleRead {
-			can = share * perSecond / 24
+			capacity = slowStartShare * perSecond / 24
 		}
 		got := sent[v.ID]
 		total[v.role] += len(got)
-		if most := can*seconds + nodes*2/3; float64(len(got)) > most { // each node may hold a turn in hand
-			t.Errorf("%s got %d requests, of %.0f that it can do", v.ID, len(got), most)
+		if maxRequests := capacity*seconds + nodes*2/3; float64(len(got)) > maxRequests { // each node may hold a turn in hand
+			t.Errorf("%s got %d requests, of %.0f that it can do", v.ID, len(got), maxRequests)
 		}
-		if in := mostWithin(got, set.Rules.FallWindow); float64(in) > slowStartLimit(can) {
-			t.Errorf("%s got %d requests within a second, of %.1f that it can do", v.ID, in, can)
+		if inWindow := maxWithinWindow(got, settings.Rules.FallWindow); float64(inWindow) > slowStartLimit(capacity) {
+			t.Errorf("%s got %d requests within a second, of %.1f that it can do", v.ID, inWindow, capacity)
 		}
 	}
 	// Without it the few that stay would do what all did: new ones have six in ten places.
-	for role, n := range total {
-		if part := float64(n) / (perSecond * seconds); part < 0.3 || part > 0.75 {
-			t.Errorf("role %d: new servers got %.2f of the requests", role, part)
+	for role, count := range total {
+		if share := float64(count) / (perSecond * seconds); share < 0.3 || share > 0.75 {
+			t.Errorf("role %d: new servers got %.2f of the requests", role, share)
 		}
 	}
 }
 
 // Over eighty gateways and sixty engines, a request costs two probes at most, whatever
 // is known, and no gateway asks an engine again within the time for which news is fresh.
-func TestProbesOfManyNodes(t *testing.T) {
+func TestProbe_ManyGateways(t *testing.T) {
 	const nodes, rounds = 80, 200
-	set := settings()
-	set.Nodes, set.Limits.Probes = nodes, true
+	settings := testSettings()
+	settings.Nodes, settings.Limits.Probes = nodes, true
 	requests, probes := 0, 0
 	for i := range nodes {
-		n := newNode(t, set, fleetOf(30, 30)...)
-		last := map[ServerID]time.Duration{}
+		gateway := newGateway(t, settings, newFleet(30, 30)...)
+		lastProbe := map[ServerID]time.Duration{}
 		for k := range rounds {
-			n.now += 73 * ms
-			n.ask(fmt.Sprint(k), uint64(i*rounds+k), uint64(k%7))
+			gateway.now += 73 * ms
+			gateway.requestChat(fmt.Sprint(k), uint64(i*rounds+k), uint64(k%7))
 			requests++
-			for _, a := range n.out {
-				p, ok := a.(Probe)
+			for _, a := range gateway.actions {
+				probe, ok := a.(Probe)
 				if !ok {
 					continue
 				}
 				probes++
-				if at, before := last[p.Server]; before && n.now-at < probeEvery {
-					t.Errorf("%s is asked again after %v", p.Server, n.now-at)
+				if lastAt, probedBefore := lastProbe[probe.Server]; probedBefore && gateway.now-lastAt < probeEvery {
+					t.Errorf("%s is asked again after %v", probe.Server, gateway.now-lastAt)
 				}
-				last[p.Server] = n.now
-				n.do(Probed{Server: p.Server, Status: Served, Report: Report{ReportInFlight: 1}})
+				lastProbe[probe.Server] = gateway.now
+				gateway.handle(Probed{Server: probe.Server, Status: Served, Report: Report{ReportInFlight: 1}})
 			}
 		}
 	}
@@ -271,29 +271,29 @@
 
 // Eighty gateways that have heard of no writer must not all take the one with the
 // largest memory in the reader's cell: the answers there would come too slowly.
-func TestManyNodesSpreadOverWriters(t *testing.T) {
-	for nodes, least := range map[int]float64{3: 0, 80: 0.25} { // of the small writers' answers, by memory 0.33
-		set := nodesOf(nodes)
-		set.Kinds = []Kind{{Name: "reader", Role: RoleRead}, {Name: "writer", Role: RoleWrite, MemoryTokens: 200e3},
+func TestDecodeChoice_ManyGateways(t *testing.T) {
+	for nodes, minShare := range map[int]float64{3: 0, 80: 0.25} { // of the small writers' answers, by memory 0.33
+		settings := settingsForGateways(nodes)
+		settings.Kinds = []Kind{{Name: "reader", Role: RoleRead}, {Name: "writer", Role: RoleWrite, MemoryTokens: 200e3},
 			{Name: "small", Role: RoleWrite, MemoryTokens: 100e3}}
-		small, asked := 0, 0
+		small, answers := 0, 0
 		for seed := range int64(80) {
-			next := writer("small", 0)
-			next.Kind = "small"
-			n := newNode(t, set, reader("r1"), writer("large", 0), next)
-			n.s.rng.Seed(seed)
+			smallServer := decodeServer("small", 0)
+			smallServer.Kind = "small"
+			gateway := newGateway(t, settings, prefillServer("r1"), decodeServer("large", 0), smallServer)
+			gateway.scheduler.rng.Seed(seed)
 			for i := range 5 {
-				n.ask(fmt.Sprint(i), uint64(i), 0)
-				n.end(fmt.Sprint(i), 0, "r1", Parsed)
-				b, _ := pick[Attempt](n)
-				if asked++; b.Server == "small" {
+				gateway.requestChat(fmt.Sprint(i), uint64(i), 0)
+				gateway.endAttempt(fmt.Sprint(i), 0, "r1", Parsed)
+				decodeAttempt, _ := firstAction[Attempt](gateway)
+				if answers++; decodeAttempt.Server == "small" {
 					small++
 				}
-				n.do(Outcome{ID: RequestID(fmt.Sprint(i)), Attempt: 1, Server: b.Server, Status: Served, Done: true, Latency: 9 * ms})
+				gateway.handle(Outcome{ID: RequestID(fmt.Sprint(i)), Attempt: 1, Server: decodeAttempt.Server, Status: Served, Done: true, Latency: 9 * ms})
 			}
 		}
-		if part := float64(small) / float64(asked); part < least || part > 0.45 || nodes == 3 && part > 0 {
-			t.Errorf("%d nodes: %.2f of the answers at the small writer", nodes, part)
+		if share := float64(small) / float64(answers); share < minShare || share > 0.45 || nodes == 3 && share > 0 {
+			t.Errorf("%d nodes: %.2f of the answers at the small writer", nodes, share)
 		}
 	}
 }
@@ -301,63 +301,63 @@
 // A reader that hangs answers probes and says that it holds ever more. Many nodes
 // leave it alone at the first word, or its count would trip the gap test for every
 // request, or each of them would lose a request to it.
-func TestReaderThatIsSwampedIsLeftAloneByManyNodes(t *testing.T) {
+func TestPrefillChoice_OverloadedServer(t *testing.T) {
 	for _, tt := range []struct {
 		nodes    int
 		inflight float64
-		left     bool
+		excluded bool
 	}{{80, 60, true}, {80, 10, false}, {4, 60, false}} {
-		set := nodesOf(tt.nodes)
-		set.Reports, set.Limits.Probes = ReportInline, true
-		n := newNode(t, set, fleetOf(6, 6)...)
+		settings := settingsForGateways(tt.nodes)
+		settings.Reports, settings.Limits.Probes = ReportInline, true
+		gateway := newGateway(t, settings, newFleet(6, 6)...)
 		for i := range 6 {
-			n.do(Probed{Server: ServerID(fmt.Sprint("r", i)), Status: Served, Report: Report{ReportInFlight: 2}})
+			gateway.handle(Probed{Server: ServerID(fmt.Sprint("r", i)), Status: Served, Report: Report{ReportInFlight: 2}})
 		}
-		n.do(Probed{Server: "r3", Status: Served, Report: Report{ReportInFlight: tt.inflight}})
-		pool := n.s.pool(&request{class: n.s.classes["chat"]}, reads)
-		if left := len(pool) == 5; left != tt.left {
+		gateway.handle(Probed{Server: "r3", Status: Served, Report: Report{ReportInFlight: tt.inflight}})
+		pool := gateway.scheduler.pool(&request{class: gateway.scheduler.classes["chat"]}, reads)
+		if excluded := len(pool) == 5; excluded != tt.excluded {
 			t.Errorf("%+v: %d readers to choose from", tt, len(pool))
 		}
 	}
 }
 
-func TestMemoryDoesNotGrowWithTheDay(t *testing.T) {
-	n := newNode(t, nodesOf(2), fleetOf(4, 4)...)
+func TestScheduler_MemoryBounded(t *testing.T) {
+	gateway := newGateway(t, settingsForGateways(2), newFleet(4, 4)...)
 	for i := 0; i < 3000; i++ {
-		n.now += 200 * ms
+		gateway.now += 200 * ms
 		id := fmt.Sprint("q", i)
-		n.ask(id, uint64(i), uint64(i))
-		a, _ := pick[Attempt](n)
-		n.end(id, 0, string(a.Server), Parsed)
-		b, _ := pick[Attempt](n)
-		n.do(Outcome{ID: RequestID(id), Attempt: 1, Server: b.Server, Status: Served, Done: true, Latency: 9 * ms})
+		gateway.requestChat(id, uint64(i), uint64(i))
+		prefillAttempt, _ := firstAction[Attempt](gateway)
+		gateway.endAttempt(id, 0, string(prefillAttempt.Server), Parsed)
+		decodeAttempt, _ := firstAction[Attempt](gateway)
+		gateway.handle(Outcome{ID: RequestID(id), Attempt: 1, Server: decodeAttempt.Server, Status: Served, Done: true, Latency: 9 * ms})
 	}
-	if most := int(2 * 2 * blockExpiry / (200 * ms)); n.s.table.Len() > most || len(n.s.reqs) > 0 {
-		t.Errorf("%d runs and %d requests remembered, at most %d and none", n.s.table.Len(), len(n.s.reqs), most)
+	if maxRuns := int(2 * 2 * blockExpiry / (200 * ms)); gateway.scheduler.table.Len() > maxRuns || len(gateway.scheduler.reqs) > 0 {
+		t.Errorf("%d runs and %d requests remembered, at most %d and none", gateway.scheduler.table.Len(), len(gateway.scheduler.reqs), maxRuns)
 	}
-	if math.Abs(n.s.table.Uses()-float64(n.s.table.Len()/2)) > 1 {
-		t.Errorf("%v uses counted for %d runs", n.s.table.Uses(), n.s.table.Len())
+	if math.Abs(gateway.scheduler.table.Uses()-float64(gateway.scheduler.table.Len()/2)) > 1 {
+		t.Errorf("%v uses counted for %d runs", gateway.scheduler.table.Uses(), gateway.scheduler.table.Len())
 	}
 }
 
 // BenchmarkRequest is a request's whole life at a node with 100 servers.
 func BenchmarkRequest(b *testing.B) {
-	s, err := New(nodesOf(300), 1)
+	scheduler, err := New(settingsForGateways(300), 1)
 	if err != nil {
 		b.Fatal(err)
 	}
 	now := time.Hour
-	out := s.Handle(now, Members{Form: ListStale, Entries: fleetOf(40, 60)}, nil)
+	actions := scheduler.Handle(now, Members{Form: ListStale, Entries: newFleet(40, 60)}, nil)
 	for i := 0; b.Loop(); i++ {
 		now += 500 * ms
 		id := RequestID(fmt.Sprint("q", i))
-		out = s.Handle(now, Request{ID: id, Class: "chat", Session: uint64(i / 3), Prefix: uint64(i % 50), PrefixTokens: 3000,
-			PromptTokens: 4000, TimeLeft: 5 * time.Second}, out[:0])
-		for n := 0; n < 2; n++ {
-			for _, a := range out {
+		actions = scheduler.Handle(now, Request{ID: id, Class: "chat", Session: uint64(i / 3), Prefix: uint64(i % 50), PrefixTokens: 3000,
+			PromptTokens: 4000, TimeLeft: 5 * time.Second}, actions[:0])
+		for number := 0; number < 2; number++ {
+			for _, a := range actions {
 				if a, ok := a.(Attempt); ok {
-					st := []Status{Parsed, Served}[n]
-					out = s.Handle(now, Outcome{ID: id, Attempt: n, Server: a.Server, Status: st, Done: n == 1,
+					status := []Status{Parsed, Served}[number]
+					actions = scheduler.Handle(now, Outcome{ID: id, Attempt: number, Server: a.Server, Status: status, Done: number == 1,
 						Latency: 50 * ms}, nil)
 					break
 				}
--- a/storm_test.go
+++ b/storm_test.go
@@ -8,68 +8,68 @@
 )
 
 // world checks the rules on a scheduler's actions under seeded events.
-type world struct {
-	t       *testing.T
-	rng     *rand.Rand
-	n       *node
-	all     []Action
-	timers  []SetTimer
-	reqs    map[RequestID]*told
-	state   map[ServerID]ServerState
-	started int
+type ruleChecker struct {
+	t            *testing.T
+	rng          *rand.Rand
+	gateway      *testGateway
+	actions      []Action
+	timers       []SetTimer
+	requests     map[RequestID]*requestRecord
+	states       map[ServerID]ServerState
+	requestCount int
 }
 
-type told struct {
-	class    string
-	deadline time.Duration
-	attempts []ServerID
-	out      map[int]bool
-	ran      bool // a writer may have run it
-	begun    bool
-	final    int
-	over     bool
-	holds    bool // a state or a place
-	idle     time.Duration
+type requestRecord struct {
+	class        string
+	deadline     time.Duration
+	attempts     []ServerID
+	inFlight     map[int]bool
+	mayHaveRun   bool // a writer may have run it
+	answerBegun  bool
+	finalAnswers int
+	ended        bool
+	hasHolds     bool // a state or a place
+	lastOutcome  time.Duration
 }
 
-var stormServers = []Server{
-	reader("r1"), reader("r2"), reader("r3"), writer("w1", 0), writer("w2", 0), writer("w3", 1),
+var randomEventServers = []Server{
+	prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), decodeServer("w1", 0), decodeServer("w2", 0), decodeServer("w3", 1),
 	{ID: "m1", Zone: "b", Cell: 2, Kind: "mixed", State: StateOn},
 }
 
-func isReading(v ServerID) bool { return v[0] == 'r' }
+func isPrefillID(v ServerID) bool { return v[0] == 'r' }
 
-func storm(t *testing.T, seed int64, set Settings) []Action {
-	w := &world{t: t, rng: rand.New(rand.NewSource(seed)), n: newNode(t, set, stormServers...),
-		reqs: map[RequestID]*told{}, state: map[ServerID]ServerState{}}
-	for _, v := range stormServers {
-		w.state[v.ID] = StateOn
+func runRandomEvents(t *testing.T, seed int64, settings Settings) []Action {
+	checker := &ruleChecker{t: t, rng: rand.New(rand.NewSource(seed)), gateway: newGateway(t, settings, randomEventServers...),
+		requests: map[RequestID]*requestRecord{}, states: map[ServerID]ServerState{}}
+	for _, server := range randomEventServers {
+		checker.states[server.ID] = StateOn
 	}
-	w.take()
+	checker.checkActions()
 	for i := 0; i < 3000; i++ {
-		w.step(i < 2500)
+		checker.step(i < 2500)
 	}
-	for w.n.now += time.Minute; len(w.timers) > 0; {
-		w.fire(0)
-		w.finishAll()
+	for checker.gateway.now += time.Minute; len(checker.timers) > 0; {
+		checker.fireTimer(0)
+		checker.endAllAttempts()
 	}
-	w.finishAll()
-	for id, r := range w.reqs {
-		if !r.over && r.final != 1 {
-			t.Errorf("seed %d: rule 1: request %s has %d final answers", seed, id, r.final)
+	checker.endAllAttempts()
+	for id, record := range checker.requests {
+		if !record.ended && record.finalAnswers != 1 {
+			t.Errorf("seed %d: rule 1: request %s has %d final answers", seed, id, record.finalAnswers)
 		}
-		if r.holds {
+		if record.hasHolds {
 			t.Errorf("seed %d: rule 5: request %s still holds something", seed, id)
 		}
 	}
-	return w.all
+	return checker.actions
 }
 
 // TestStorm throws legal and stray events at the module and checks the rules, for one gateway
 // and for many, and with settings that are absurd but can be served.
 // One goroutine does it all, so that the race detector, which makes it ten
 // times slower, sees enough in a short run.
-func TestStorm(t *testing.T) {
+func TestHandle_RandomEvents(t *testing.T) {
 	const plain = "one gateway"
 	for name, change := range map[string]func(*Settings){
 		plain: func(*Settings) {},
@@ -104,217 +104,217 @@
 			if testing.Short() {
 				seeds = short
 			}
-			set := settings()
-			change(&set)
+			settings := testSettings()
+			change(&settings)
 			for seed := range seeds {
-				storm(t, seed+1, set)
+				runRandomEvents(t, seed+1, settings)
 			}
 		})
 	}
 }
 
-func (w *world) do(e Event) {
-	w.n.do(e)
-	w.take()
+func (c *ruleChecker) handle(e Event) {
+	c.gateway.handle(e)
+	c.checkActions()
 }
 
-func (w *world) step(open bool) {
-	w.n.now += time.Duration(w.rng.Intn(20)) * ms
-	for i := 0; i < len(w.timers); {
-		if w.timers[i].At <= w.n.now {
-			w.fire(i)
+func (c *ruleChecker) step(admitting bool) {
+	c.gateway.now += time.Duration(c.rng.Intn(20)) * ms
+	for i := 0; i < len(c.timers); {
+		if c.timers[i].At <= c.gateway.now {
+			c.fireTimer(i)
 		} else {
 			i++
 		}
 	}
-	w.overdue()
-	switch k := w.rng.Intn(20); {
-	case k < 5 && open:
-		w.started++
-		id := RequestID(fmt.Sprint("q", w.started))
-		class := []string{"chat", "order", "pay"}[w.rng.Intn(3)]
-		left := time.Duration(300+w.rng.Intn(4000)) * ms
-		w.reqs[id] = &told{class: class, deadline: w.n.now + left, out: map[int]bool{}, idle: w.n.now}
-		w.do(Request{ID: id, Class: class, Session: uint64(w.rng.Intn(9)), Prefix: uint64(w.rng.Intn(4)),
-			PrefixTokens: 200, PromptTokens: float64(w.rng.Intn(4000)), TimeLeft: left})
+	c.endAtDeadline()
+	switch k := c.rng.Intn(20); {
+	case k < 5 && admitting:
+		c.requestCount++
+		id := RequestID(fmt.Sprint("q", c.requestCount))
+		class := []string{"chat", "order", "pay"}[c.rng.Intn(3)]
+		timeLeft := time.Duration(300+c.rng.Intn(4000)) * ms
+		c.requests[id] = &requestRecord{class: class, deadline: c.gateway.now + timeLeft, inFlight: map[int]bool{}, lastOutcome: c.gateway.now}
+		c.handle(Request{ID: id, Class: class, Session: uint64(c.rng.Intn(9)), Prefix: uint64(c.rng.Intn(4)),
+			PrefixTokens: 200, PromptTokens: float64(c.rng.Intn(4000)), TimeLeft: timeLeft})
 	case k < 14:
-		if id, n, ok := w.anyOut(); ok {
-			w.finish(id, n)
+		if id, number, ok := c.randomInFlight(); ok {
+			c.endRandomly(id, number)
 		}
 	case k == 14:
-		v := stormServers[w.rng.Intn(len(stormServers))]
-		v.State = ServerState(1 + w.rng.Intn(3))
-		if w.rng.Intn(2) == 0 {
-			v.State = StateOn
-			v.Started = w.n.now
+		server := randomEventServers[c.rng.Intn(len(randomEventServers))]
+		server.State = ServerState(1 + c.rng.Intn(3))
+		if c.rng.Intn(2) == 0 {
+			server.State = StateOn
+			server.Started = c.gateway.now
 		}
-		w.state[v.ID] = v.State
-		w.do(Members{Form: ListPatch, Entries: []Server{v}})
+		c.states[server.ID] = server.State
+		c.handle(Members{Form: ListPatch, Entries: []Server{server}})
 	case k == 15:
-		w.do(Timer{w.rng.Uint64()})
-		w.do(Outcome{ID: "none", Server: "r1", Status: Parsed})
-		w.do(Probed{Server: "w1", Status: Served, Report: Report{ReportMemory: w.rng.Float64()}})
+		c.handle(Timer{c.rng.Uint64()})
+		c.handle(Outcome{ID: "none", Server: "r1", Status: Parsed})
+		c.handle(Probed{Server: "w1", Status: Served, Report: Report{ReportMemory: c.rng.Float64()}})
 	case k == 16:
-		if id, _, ok := w.anyOut(); ok && !w.reqs[id].over && !w.reqs[id].begun && w.reqs[id].final == 0 {
-			w.reqs[id].over = true
-			w.do(Gone{id})
+		if id, _, ok := c.randomInFlight(); ok && !c.requests[id].ended && !c.requests[id].answerBegun && c.requests[id].finalAnswers == 0 {
+			c.requests[id].ended = true
+			c.handle(Gone{id})
 		}
 	case k == 17:
-		if id, n, ok := w.anyOut(); ok && isReading(w.reqs[id].attempts[n]) {
-			w.do(PlaceNote{ID: id, Attempt: n, Server: "w1", Held: w.rng.Intn(2) == 0})
+		if id, number, ok := c.randomInFlight(); ok && isPrefillID(c.requests[id].attempts[number]) {
+			c.handle(PlaceNote{ID: id, Attempt: number, Server: "w1", Held: c.rng.Intn(2) == 0})
 		}
 	}
 }
 
 // overdue ends attempts at the client's deadline, as time-outs are cut to it.
-func (w *world) overdue() {
-	for i := 1; i <= w.started; i++ {
-		r := w.reqs[RequestID(fmt.Sprint("q", i))]
-		for n := range r.attempts {
-			if r.out[n] && !r.begun && w.n.now >= r.deadline {
-				w.finishAs(RequestID(fmt.Sprint("q", i)), n, NoAnswer)
+func (c *ruleChecker) endAtDeadline() {
+	for i := 1; i <= c.requestCount; i++ {
+		record := c.requests[RequestID(fmt.Sprint("q", i))]
+		for number := range record.attempts {
+			if record.inFlight[number] && !record.answerBegun && c.gateway.now >= record.deadline {
+				c.endAttempt(RequestID(fmt.Sprint("q", i)), number, NoAnswer)
 			}
 		}
-		if r.holds && len(r.out) == 0 && w.n.now-r.idle > w.n.s.set.Rules.Release+40*ms {
-			w.t.Errorf("rule 5: q%d held something %v after its last outcome", i, w.n.now-r.idle)
-			r.holds = false
+		if record.hasHolds && len(record.inFlight) == 0 && c.gateway.now-record.lastOutcome > c.gateway.scheduler.set.Rules.Release+40*ms {
+			c.t.Errorf("rule 5: q%d held something %v after its last outcome", i, c.gateway.now-record.lastOutcome)
+			record.hasHolds = false
 		}
 	}
 }
 
-func (w *world) anyOut() (RequestID, int, bool) {
-	for tries := 0; tries < 10 && w.started > 0; tries++ {
-		id := RequestID(fmt.Sprint("q", max(1, w.started-w.rng.Intn(30))))
-		r := w.reqs[id]
-		for n := range r.attempts {
-			if r.out[n] {
-				return id, n, true
+func (c *ruleChecker) randomInFlight() (RequestID, int, bool) {
+	for tries := 0; tries < 10 && c.requestCount > 0; tries++ {
+		id := RequestID(fmt.Sprint("q", max(1, c.requestCount-c.rng.Intn(30))))
+		record := c.requests[id]
+		for number := range record.attempts {
+			if record.inFlight[number] {
+				return id, number, true
 			}
 		}
 	}
 	return "", 0, false
 }
 
-func (w *world) finishAll() {
-	for i := 1; i <= w.started; i++ {
+func (c *ruleChecker) endAllAttempts() {
+	for i := 1; i <= c.requestCount; i++ {
 		id := RequestID(fmt.Sprint("q", i))
-		for n := 0; n < len(w.reqs[id].attempts); n++ {
-			if w.reqs[id].out[n] {
-				w.finishAs(id, n, NoAnswer)
+		for number := 0; number < len(c.requests[id].attempts); number++ {
+			if c.requests[id].inFlight[number] {
+				c.endAttempt(id, number, NoAnswer)
 			}
 		}
 	}
 }
 
-func (w *world) finish(id RequestID, n int) {
-	r := w.reqs[id]
-	st := []Status{ServerError, TurnedAway, NoConnection, ConnectionLost, Parsed, Served}[w.rng.Intn(6)]
-	reading := isReading(r.attempts[n])
-	if reading && (st == Served || w.rng.Intn(2) == 0) {
-		st = Parsed
+func (c *ruleChecker) endRandomly(id RequestID, number int) {
+	record := c.requests[id]
+	status := []Status{ServerError, TurnedAway, NoConnection, ConnectionLost, Parsed, Served}[c.rng.Intn(6)]
+	prefill := isPrefillID(record.attempts[number])
+	if prefill && (status == Served || c.rng.Intn(2) == 0) {
+		status = Parsed
 	}
-	if !reading && (st == Parsed || w.rng.Intn(2) == 0) {
-		st = Served
+	if !prefill && (status == Parsed || c.rng.Intn(2) == 0) {
+		status = Served
 	}
-	if st == Served && !r.begun && r.final == 0 && !r.over {
-		r.begun, r.over, r.holds = true, true, false
-		w.do(First{ID: id, Attempt: n, Server: r.attempts[n], Latency: 20 * ms})
+	if status == Served && !record.answerBegun && record.finalAnswers == 0 && !record.ended {
+		record.answerBegun, record.ended, record.hasHolds = true, true, false
+		c.handle(First{ID: id, Attempt: number, Server: record.attempts[number], Latency: 20 * ms})
 		return
 	}
-	w.finishAs(id, n, st)
+	c.endAttempt(id, number, status)
 }
 
-func (w *world) finishAs(id RequestID, n int, st Status) {
-	r := w.reqs[id]
-	delete(r.out, n)
-	r.idle = w.n.now
+func (c *ruleChecker) endAttempt(id RequestID, number int, status Status) {
+	record := c.requests[id]
+	delete(record.inFlight, number)
+	record.lastOutcome = c.gateway.now
 	switch {
-	case st == Parsed:
-		r.holds = true
-	case !isReading(r.attempts[n]) && st != TurnedAway && st != NoConnection && st != NotSent:
-		r.ran = true
+	case status == Parsed:
+		record.hasHolds = true
+	case !isPrefillID(record.attempts[number]) && status != TurnedAway && status != NoConnection && status != NotSent:
+		record.mayHaveRun = true
 	}
-	if st == Served {
-		r.over, r.holds = true, false
+	if status == Served {
+		record.ended, record.hasHolds = true, false
 	}
-	w.do(Outcome{ID: id, Attempt: n, Server: r.attempts[n], Status: st, Done: r.over || r.final > 0,
-		Latency: 30 * ms, Report: Report{ReportMemory: w.rng.Float64() / 2}})
+	c.handle(Outcome{ID: id, Attempt: number, Server: record.attempts[number], Status: status, Done: record.ended || record.finalAnswers > 0,
+		Latency: 30 * ms, Report: Report{ReportMemory: c.rng.Float64() / 2}})
 }
 
-func (w *world) fire(i int) {
-	x := w.timers[i]
-	w.timers = append(w.timers[:i], w.timers[i+1:]...)
-	w.do(Timer{x.Token})
+func (c *ruleChecker) fireTimer(i int) {
+	timer := c.timers[i]
+	c.timers = append(c.timers[:i], c.timers[i+1:]...)
+	c.handle(Timer{timer.Token})
 }
 
-func (w *world) take() {
-	out := w.n.out
-	w.all = append(w.all, out...)
-	for _, a := range out {
+func (c *ruleChecker) checkActions() {
+	actions := c.gateway.actions
+	c.actions = append(c.actions, actions...)
+	for _, a := range actions {
 		switch a := a.(type) {
 		case SetTimer:
-			if a.At <= w.n.now {
-				w.t.Errorf("a timer for the past: %v", a)
+			if a.At <= c.gateway.now {
+				c.t.Errorf("a timer for the past: %v", a)
 			}
-			if w.n.now < 2*time.Hour && len(w.timers) < 20000 {
-				w.timers = append(w.timers, a)
+			if c.gateway.now < 2*time.Hour && len(c.timers) < 20000 {
+				c.timers = append(c.timers, a)
 			}
 		case Attempt:
-			w.attempt(a)
+			c.checkAttempt(a)
 		case Ahead:
-			w.mustBeOn(a.Server)
-			w.reqs[a.ID].holds, w.reqs[a.ID].idle = true, w.n.now
+			c.expectActive(a.Server)
+			c.requests[a.ID].hasHolds, c.requests[a.ID].lastOutcome = true, c.gateway.now
 		case Release:
-			w.reqs[a.ID].holds = false
+			c.requests[a.ID].hasHolds = false
 		case Cancel:
-			if r := w.reqs[a.ID]; a.Attempt >= len(r.attempts) {
-				w.t.Errorf("cancel of attempt %d, never made", a.Attempt)
+			if record := c.requests[a.ID]; a.Attempt >= len(record.attempts) {
+				c.t.Errorf("cancel of attempt %d, never made", a.Attempt)
 			}
 		case Refuse:
-			w.final(a.ID)
-			if r := w.reqs[a.ID]; r.class != "chat" && r.ran {
-				w.t.Errorf("rule 2: refusal of %s, which may have run", a.ID)
+			c.checkFinalAnswer(a.ID)
+			if record := c.requests[a.ID]; record.class != "chat" && record.mayHaveRun {
+				c.t.Errorf("rule 2: refusal of %s, which may have run", a.ID)
 			}
 		case Fail:
-			w.final(a.ID)
+			c.checkFinalAnswer(a.ID)
 		}
 	}
 }
 
-func (w *world) mustBeOn(v ServerID) {
-	if w.state[v] != StateOn {
-		w.t.Errorf("rule 3: %s is %v", v, w.state[v])
+func (c *ruleChecker) expectActive(v ServerID) {
+	if c.states[v] != StateOn {
+		c.t.Errorf("rule 3: %s is %v", v, c.states[v])
 	}
 }
 
-func (w *world) attempt(a Attempt) {
-	r := w.reqs[a.ID]
-	w.mustBeOn(a.Server)
+func (c *ruleChecker) checkAttempt(a Attempt) {
+	record := c.requests[a.ID]
+	c.expectActive(a.Server)
 	switch {
-	case r.over || r.final > 0:
-		w.t.Errorf("rule 1: %s sent after its end", a.ID)
-	case len(r.out) > 0:
-		w.t.Errorf("rule 2: a second copy of %s", a.ID)
-	case r.ran && r.class == "pay":
-		w.t.Errorf("rule 2: %s may have run already", a.ID)
-	case len(r.attempts) >= 4:
-		w.t.Errorf("attempt cap passed by %s", a.ID)
+	case record.ended || record.finalAnswers > 0:
+		c.t.Errorf("rule 1: %s sent after its end", a.ID)
+	case len(record.inFlight) > 0:
+		c.t.Errorf("rule 2: a second copy of %s", a.ID)
+	case record.mayHaveRun && record.class == "pay":
+		c.t.Errorf("rule 2: %s may have run already", a.ID)
+	case len(record.attempts) >= 4:
+		c.t.Errorf("attempt cap passed by %s", a.ID)
 	case a.Timeout <= 0:
-		w.t.Errorf("%s sent with time-out %v", a.ID, a.Timeout)
+		c.t.Errorf("%s sent with time-out %v", a.ID, a.Timeout)
 	}
-	if !isReading(a.Server) {
-		r.holds = false
+	if !isPrefillID(a.Server) {
+		record.hasHolds = false
 	}
-	r.out[len(r.attempts)] = true
-	r.attempts = append(r.attempts, a.Server)
+	record.inFlight[len(record.attempts)] = true
+	record.attempts = append(record.attempts, a.Server)
 }
 
-func (w *world) final(id RequestID) {
-	r := w.reqs[id]
-	if r.final++; r.final > 1 || r.over {
-		w.t.Errorf("rule 1: %s got a second final answer", id)
+func (c *ruleChecker) checkFinalAnswer(id RequestID) {
+	record := c.requests[id]
+	if record.finalAnswers++; record.finalAnswers > 1 || record.ended {
+		c.t.Errorf("rule 1: %s got a second final answer", id)
 	}
-	if w.n.now > r.deadline+20*ms && w.n.now < time.Hour+time.Minute {
-		w.t.Errorf("rule 1: %s answered %v late", id, w.n.now-r.deadline)
+	if c.gateway.now > record.deadline+20*ms && c.gateway.now < time.Hour+time.Minute {
+		c.t.Errorf("rule 1: %s answered %v late", id, c.gateway.now-record.deadline)
 	}
 }
--- a/waits_test.go
+++ b/waits_test.go
@@ -10,31 +10,31 @@
 // the time after which it is left would run ahead of it.
 func TestAWaitThatOthersOvertookDoesNotSlowThePace(t *testing.T) {
 	for _, overtaken := range []bool{true, false} {
-		n := newNode(t, settings(), reader("r"), writer("w", 0))
-		n.s.pace[writing].Observe(n.now, 50*ms, 320)
-		n.ask("a", 1, 0)
-		n.end("a", 0, "r", Parsed)
-		a := n.s.reqs["a"].attempts[1]
-		limit := n.s.limit(n.s.reqs["a"], a)
-		v := n.s.servers["w"]
-		v.alive = n.now + 100*ms // it has been at work since
+		gateway := newGateway(t, testSettings(), prefillServer("r"), decodeServer("w", 0))
+		gateway.scheduler.pace[writing].Observe(gateway.now, 50*ms, 320)
+		gateway.requestChat("a", 1, 0)
+		gateway.endAttempt("a", 0, "r", Parsed)
+		attempt := gateway.scheduler.reqs["a"].attempts[1]
+		limit := gateway.scheduler.limit(gateway.scheduler.reqs["a"], attempt)
+		server := gateway.scheduler.servers["w"]
+		server.alive = gateway.now + 100*ms // it has been at work since
 		if overtaken {
-			v.began[writing] = n.now + 50*ms
+			server.began[writing] = gateway.now + 50*ms
 		}
-		look := func(after time.Duration) bool {
-			n.now = a.sent + after
-			n.s.now, n.s.out = n.now, nil
-			n.s.overdue(n.s.reqs["a"], 1)
-			n.out = n.s.out
-			_, left := pick[Cancel](n)
-			return left
+		checkAfter := func(after time.Duration) bool {
+			gateway.now = attempt.sent + after
+			gateway.scheduler.now, gateway.scheduler.out = gateway.now, nil
+			gateway.scheduler.overdue(gateway.scheduler.reqs["a"], 1)
+			gateway.actions = gateway.scheduler.out
+			_, cancelled := firstAction[Cancel](gateway)
+			return cancelled
 		}
-		if look(limit + limit/2) {
+		if checkAfter(limit + limit/2) {
 			t.Errorf("overtaken %v: left before twice its time", overtaken)
 		}
-		slower := n.s.limit(n.s.reqs["a"], a) > limit
-		if left := look(2*limit + ms); left != overtaken || slower == overtaken {
-			t.Errorf("overtaken %v: left %v after twice its time, slower pace %v", overtaken, left, slower)
+		slower := gateway.scheduler.limit(gateway.scheduler.reqs["a"], attempt) > limit
+		if cancelled := checkAfter(2*limit + ms); cancelled != overtaken || slower == overtaken {
+			t.Errorf("overtaken %v: left %v after twice its time, slower pace %v", overtaken, cancelled, slower)
 		}
 	}
 }
@@ -44,20 +44,20 @@
 // long writes take: the next silent one is to be found out as soon as this one was.
 func TestAnOrderThatOthersOvertookDoesNotSlowThePace(t *testing.T) {
 	for _, overtaken := range []bool{true, false} {
-		n := newNode(t, settings(), reader("r"), writer("w", 0))
+		gateway := newGateway(t, testSettings(), prefillServer("r"), decodeServer("w", 0))
 		for range 20 {
-			n.s.pace[writing].Observe(n.now, 50*ms, 320)
+			gateway.scheduler.pace[writing].Observe(gateway.now, 50*ms, 320)
 		}
-		n.do(Request{ID: "order", Class: "pay", PromptTokens: 320, TimeLeft: 5 * time.Second})
-		n.end("order", 0, "r", Parsed)
-		a := n.s.reqs["order"].attempts[1]
+		gateway.handle(Request{ID: "order", Class: "pay", PromptTokens: 320, TimeLeft: 5 * time.Second})
+		gateway.endAttempt("order", 0, "r", Parsed)
+		attempt := gateway.scheduler.reqs["order"].attempts[1]
 		if overtaken {
-			n.s.servers["w"].began[writing] = a.sent + 50*ms
+			gateway.scheduler.servers["w"].began[writing] = attempt.sent + 50*ms
 		}
-		before := n.s.limit(n.s.reqs["order"], a)
-		n.now += 5 * time.Second
-		n.do(Outcome{ID: "order", Attempt: 1, Server: "w", Status: NoAnswer, Latency: 5 * time.Second})
-		after := n.s.limit(&request{class: n.s.classes["pay"]}, a)
+		before := gateway.scheduler.limit(gateway.scheduler.reqs["order"], attempt)
+		gateway.now += 5 * time.Second
+		gateway.handle(Outcome{ID: "order", Attempt: 1, Server: "w", Status: NoAnswer, Latency: 5 * time.Second})
+		after := gateway.scheduler.limit(&request{class: gateway.scheduler.classes["pay"]}, attempt)
 		if slower := after > before; slower == overtaken {
 			t.Errorf("overtaken %v: overdue after %v, %v before", overtaken, after, before)
 		}
