--- a/admission_test.go
+++ b/admission_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// In overload what would come too late is refused at once, the cheaper sooner.
+// Under overload a request whose first token would come too late is refused at once; the less a class is worth, the
+// shorter the expected wait at which that happens.
 func TestAdmission_ExpectedWait(t *testing.T) {
 	settings := testSettings()
 	settings.Classes = append(settings.Classes, Class{Name: "cheap", Aim: time.Second, Deadline: 5 * time.Second, Worth: 0.1,
@@ -29,13 +30,13 @@
 		}
 		gateway.handle(Request{ID: "a", Class: tt.class, Session: 1, PromptTokens: 16, TimeLeft: 5 * time.Second})
 		if _, got := firstAction[Refuse](gateway); got != tt.refused {
-			t.Errorf("%s at %v: refused %v, want %v", tt.class, tt.wait, got, tt.refused)
+			t.Errorf("class %s, expected wait %v: refused %v, want %v", tt.class, tt.wait, got, tt.refused)
 		}
 	}
 }
 
-// Clients that leave long before their time shorten the wait that is worth
-// queueing for; served answers restore it.
+// Clients that leave long before their deadline shorten the wait up to which requests are admitted; served answers
+// restore it.
 func TestAdmission_ClientsLeaveEarly(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 	for i := 0; i < 10; i++ {
@@ -45,7 +46,7 @@
 		gateway.handle(Gone{RequestID(id)})
 	}
 	if patience := time.Second - time.Duration(gateway.scheduler.impatience[""]); patience > 300*ms {
-		t.Errorf("patience still %v after ten clients left at 100ms", patience)
+		t.Errorf("requests are admitted up to a wait of %v after ten clients left at 100ms", patience)
 	}
 	for i := 0; i < 20; i++ {
 		gateway.scheduler.reqs["x"] = &request{attempts: []*attempt{{srv: gateway.scheduler.servers["w1"], write: true, out: true}},
@@ -53,11 +54,12 @@
 		gateway.handle(First{ID: "x", Server: "w1", Latency: 10 * ms})
 	}
 	if patience := time.Second - time.Duration(gateway.scheduler.impatience[""]); patience < 900*ms {
-		t.Errorf("patience only %v after twenty answers", patience)
+		t.Errorf("requests are admitted only up to a wait of %v after twenty answers", patience)
 	}
 }
 
-// One tenant's clients that leave early and repeat at once must not shorten the wait of the others.
+// Clients of one tenant that leave early and retry at once must not shorten the wait up to which other tenants'
+// requests are admitted.
 func TestAdmission_OneTenantsClientsLeaveEarly(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 	for i := 0; i < 20; i++ {
@@ -74,11 +76,12 @@
 		gateway.handle(Request{ID: RequestID(tenant), Class: "chat", Tenant: tenant, Session: 1, PromptTokens: 16,
 			TimeLeft: 5 * time.Second})
 		if _, got := firstAction[Refuse](gateway); got != want {
-			t.Errorf("%s: refused %v, want %v", tenant, got, want)
+			t.Errorf("tenant %s: refused %v, want %v", tenant, got, want)
 		}
 	}
 }
 
+// A tenant over its share of the fleet is refused at an expected wait at which others are still admitted.
 func TestAdmission_TenantOverItsShare(t *testing.T) {
 	settings := testSettings()
 	settings.Tenants, settings.OverShareWorth = []Tenant{{"big", 0.5, 1}, {"small", 0.5, 100}}, 0.1
@@ -92,24 +95,25 @@
 		gateway.handle(Request{ID: RequestID(tenant), Class: "chat", Tenant: tenant, Session: 1, PromptTokens: 16,
 			TimeLeft: 5 * time.Second})
 		if _, got := firstAction[Refuse](gateway); got != want {
-			t.Errorf("%s: refused %v, want %v", tenant, got, want)
+			t.Errorf("tenant %s: refused %v, want %v", tenant, got, want)
 		}
 	}
 }
 
-// A full writer throws answers back; where memory is reported, no more is taken on than fits.
+// A decode server without free memory turns requests away after they were prefilled. Where servers report their memory,
+// no request is admitted that doesn't fit.
 func TestAdmission_DecodeMemoryFull(t *testing.T) {
 	for _, used := range []float64{0.5, 1} {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 		gateway.scheduler.servers["w1"].report = Report{ReportMemory: used}
 		gateway.requestChat("a", 1, 0)
 		if _, got := firstAction[Refuse](gateway); got != (used == 1) {
-			t.Errorf("memory %v held: refused %v", used, got)
+			t.Errorf("reported share of memory in use %v: refused %v", used, got)
 		}
 	}
 }
 
-// A refused client hears when to come back, but only where the site allows it.
+// A refusal carries a time to retry after, but only where the settings allow it, and never above their maximum.
 func TestRefusal_RetryAfter(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		settings := testSettings()
@@ -121,17 +125,17 @@
 		gateway.handle(Timer{timer.Token})
 		want := map[bool]time.Duration{true: 500 * ms}[allowed]
 		if refusal, ok := firstAction[Refuse](gateway); !ok || refusal.RetryAfter != want {
-			t.Errorf("allowed %v: %v", allowed, gateway.actions)
+			t.Errorf("retry-after allowed %v: actions %v, want a refusal that has the client wait %v", allowed, gateway.actions, want)
 		}
 	}
 }
 
-// A prompt that fits into no server's memory is refused at once: nothing is read, and no place is
-// asked for. Where a kind does not tell its memory, nobody knows.
+// A prompt that fits into no server's memory is refused at once, without an attempt or a reservation. Where the settings
+// give no memory for a kind of server, any prompt may fit.
 func TestAdmission_PromptLongerThanAnyMemory(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
-		read, write  float64 // memory of the kinds
+		read, write  float64 // memory in tokens of the prefill and the decode servers; 0 = not known
 		prompt       float64
 		wantsRefusal bool
 	}{
@@ -139,12 +143,12 @@
 		{"too long for prefill", 1e4, 1e5, 10001, true},
 		{"too long for decode", 1e5, 1e4, 10001, true},
 		{"memory of one token", 1, 1, 320, true},
-		{"decode does not tell", 1e5, 0, 99999, false},
-		{"nobody tells", 0, 0, 1e9, false},
+		{"memory for decode unknown", 1e5, 0, 99999, false},
+		{"memory unknown", 0, 0, 1e9, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			settings := testSettings()
-			settings.Kinds = []Kind{{"reader", RoleRead, tt.read}, {"writer", RoleWrite, tt.write}}
+			settings.Kinds = []Kind{{"prefill", RoleRead, tt.read}, {"decode", RoleWrite, tt.write}}
 			gateway := newGateway(t, settings, prefillServer("r1"), decodeServer("w1", 0))
 			gateway.handle(Request{ID: "a", Class: "chat", Session: 1, PromptTokens: tt.prompt, TimeLeft: 5 * time.Second})
 			if !tt.wantsRefusal {
@@ -154,13 +158,14 @@
 			expectNoAction[Attempt](gateway)
 			expectNoAction[Ahead](gateway)
 			if refusal, ok := firstAction[Refuse](gateway); !ok || refusal.Why != WhyTooLong {
-				t.Errorf("actions %v", gateway.actions)
+				t.Errorf("actions %v, want a refusal as too long", gateway.actions)
 			}
 		})
 	}
 }
 
-// Where the settings allow long prompts more time, what is too late grows with the prompt.
+// Where the settings add to the aim for each 1,000 prompt tokens, the wait at which a request is refused as too late
+// grows with its prompt.
 func TestAdmission_AimGrowsWithPrompt(t *testing.T) {
 	for _, tt := range []struct {
 		per1K   time.Duration
@@ -168,7 +173,7 @@
 		refused bool
 	}{
 		{0, 900 * ms, false}, {0, 1200 * ms, true},
-		{100 * ms, 1200 * ms, false}, {100 * ms, 1700 * ms, true}, // a second and five times 100 ms
+		{100 * ms, 1200 * ms, false}, {100 * ms, 1700 * ms, true}, // aim: 1 s and five times 100 ms
 	} {
 		settings := testSettings()
 		settings.Reports = ReportNone
@@ -180,7 +185,7 @@
 		}
 		gateway.handle(Request{ID: "a", Class: "chat", Session: 1, PromptTokens: 5000, TimeLeft: 5 * time.Second})
 		if _, got := firstAction[Refuse](gateway); got != tt.refused {
-			t.Errorf("%v for 1,000 tokens, %v to wait: refused %v, want %v", tt.per1K, tt.wait, got, tt.refused)
+			t.Errorf("%v added for 1,000 tokens, expected wait %v: refused %v, want %v", tt.per1K, tt.wait, got, tt.refused)
 		}
 	}
 }
--- a/cold_test.go
+++ b/cold_test.go
@@ -10,59 +10,59 @@
 	"time"
 )
 
-// What all gateways send a reader in slow start stays within the operators' terms: n requests in
-// a window by what the settings allow of what it can do, and so many more for chance, at the
-// highest load that sites name for busy days and with the least that readers can do beyond
-// writers there. It is not starved either: it warms by requests. The traffic is uneven, its shared
-// prefixes are so few that some draw most of it to that reader, and the start is notified to one
-// gateway after the other; what those send that have not been notified does not count.
+// All gateways together send a prefill server in slow start no more than the operators' bound: n requests in a window,
+// which is the share of its capacity that the settings allow, and a margin for chance (slowStartLimit). The load, 0.8, is
+// the highest that sites name for busy days, and the capacity of prefill servers there is at least 1.3 times that of decode
+// servers. The server must not be starved either, as it warms up by serving requests. The hard cases are played:
+// uneven traffic, so few shared prefixes that some have that server as affinity target and draw most requests to it, and
+// a start of which the gateways are notified one after the other. Sends of gateways not yet notified don't count.
 func TestSlowStartBudget_SumOverGateways(t *testing.T) {
-	const readers, load, spare = 6, 0.8, 1.3
+	const prefillServers, load, spareCapacity = 6, 0.8, 1.3
 	for _, nodes := range []int{1, 3, 8, 9, 20, 30, 300} {
 		for _, starts := range []int{1, 2} {
 			perSecond, seeds := 60.0, 100
 			if starts == 2 {
-				perSecond, seeds = 180, 25 // so that n is over 30
+				perSecond, seeds = 180, 25 // so that n is over 30, where the margin is smaller
 			}
 			if testing.Short() {
 				seeds /= 10
 			}
-			t.Run(fmt.Sprintf("%d gateways, %d starts, %v a second", nodes, starts, perSecond), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d gateways, %d starts, %v requests per second", nodes, starts, perSecond), func(t *testing.T) {
 				t.Parallel()
 				settings := settingsForGateways(nodes)
 				settings.Rules = Rules{FallMultiple: 2.5, FallWindow: time.Second, ColdFrom: 0.31, ColdTime: 12 * time.Second, Release: time.Second}
-				allowed := settings.Rules.FallMultiple * settings.Rules.ColdFrom * perSecond / readers / load * spare * settings.Rules.FallWindow.Seconds()
+				allowed := settings.Rules.FallMultiple * settings.Rules.ColdFrom * perSecond / prefillServers / load * spareCapacity * settings.Rules.FallWindow.Seconds()
 				maxInWindow, total := 0, 0
 				for seed := range seeds {
-					for id, sent := range simulateSlowStart(t, settings, int64(seed), perSecond, readers, starts) {
+					for id, sent := range simulateSlowStart(t, settings, int64(seed), perSecond, prefillServers, starts) {
 						inWindow := maxWithinWindow(sent, settings.Rules.FallWindow)
 						maxInWindow, total = max(maxInWindow, inWindow), total+len(sent)
 						if float64(inWindow) > slowStartLimit(allowed) {
-							t.Errorf("seed %d, %s: %d sends in a window, at most %.1f", seed, id, inWindow, slowStartLimit(allowed))
+							t.Errorf("seed %d, %s: %d sends in a window, limit %.1f", seed, id, inWindow, slowStartLimit(allowed))
 						}
 					}
 				}
 				sendsPerStart := float64(total) / float64(seeds*starts)
-				t.Logf("%d seeds: at most %d sends in a window of %.1f allowed, %.0f a start", seeds, maxInWindow, slowStartLimit(allowed), sendsPerStart)
+				t.Logf("%d seeds: at most %d sends in a window, limit %.1f; %.0f sends per start", seeds, maxInWindow, slowStartLimit(allowed), sendsPerStart)
 				if minSends := settings.Rules.ColdTime.Seconds() / 2; sendsPerStart < minSends {
-					t.Errorf("%.1f sends to a server in slow start, at least %.1f wanted", sendsPerStart, minSends)
+					t.Errorf("%.1f sends to a server during its slow start, want at least %.1f", sendsPerStart, minSends)
 				}
 			})
 		}
 	}
 }
 
-// slowStartSends plays a fleet through the slow start of some readers, half a second apart: when
-// gateways that had been notified sent to each.
-func simulateSlowStart(t *testing.T, settings Settings, seed int64, perSecond float64, readers, starts int) map[ServerID][]time.Duration {
+// simulateSlowStart simulates a fleet in which some prefill servers start, half a second apart. It returns, for each of
+// them, the times of sends by gateways that had been notified of its start.
+func simulateSlowStart(t *testing.T, settings Settings, seed int64, perSecond float64, prefillServers, starts int) map[ServerID][]time.Duration {
 	const warmPeriod = 10 * time.Second
 	rng := rand.New(rand.NewSource(seed))
 	gateways := make([]*testGateway, settings.Nodes)
 	cumulativeShare, total := make([]float64, settings.Nodes), 0.0
 	for i := range gateways {
-		gateways[i] = newGateway(t, settings, balancedFleet(readers)...)
+		gateways[i] = newGateway(t, settings, balancedFleet(prefillServers)...)
 		gateways[i].scheduler.rng.Seed(seed*1000 + int64(i))
-		total += 0.3 + rng.ExpFloat64() // some get several times the mean
+		total += 0.3 + rng.ExpFloat64() // some gateways get several times the mean
 		cumulativeShare[i] = total
 	}
 	firstStart := time.Hour + warmPeriod
@@ -70,7 +70,7 @@
 		at     time.Duration
 		server Server
 	}
-	notices := make([][]notice, settings.Nodes) // not notified yet, by gateway
+	notices := make([][]notice, settings.Nodes) // by gateway, starts of which it is still to be notified
 	for k := range starts {
 		server := prefillServer(fmt.Sprint("r", k))
 		server.Started = firstStart + time.Duration(k)*500*time.Millisecond
@@ -96,7 +96,7 @@
 		gateway := gateways[sort.SearchFloat64s(cumulativeShare, rng.Float64()*total)]
 		id := fmt.Sprint("q", k)
 		key := prefixes[rng.Intn(len(prefixes))]
-		if starts > 1 && k%4 == 0 { // of a beginning of its own: something hashes to every reader
+		if starts > 1 && k%4 == 0 { // a prompt without a shared prefix: some of these hash to each server
 			key = rng.Uint64()
 		}
 		gateway.requestChat(id, key, 0)
@@ -115,7 +115,7 @@
 	return sent
 }
 
-// mostWithin gives the most times, in order, that lie within one window.
+// maxWithinWindow returns the largest number of times, given in order, that lie within one window.
 func maxWithinWindow(times []time.Duration, window time.Duration) (maxCount int) {
 	for i := range times {
 		count := 0
@@ -129,21 +129,22 @@
 	return maxCount
 }
 
-// evenFleet has so many readers and as many writers, in cells of both: readers bear the same load.
-func balancedFleet(readers int) []Server {
-	fleet := newFleet(readers, readers)
-	for i := range readers {
-		fleet[i].Cell = fleet[readers+i].Cell
+// balancedFleet returns as many decode servers as prefill servers, with both in each cell, so that all prefill servers
+// get the same load.
+func balancedFleet(prefillServers int) []Server {
+	fleet := newFleet(prefillServers, prefillServers)
+	for i := range prefillServers {
+		fleet[i].Cell = fleet[prefillServers+i].Cell
 	}
 	return fleet
 }
 
-// Rule 4 is about the sum: what all nodes send a cold server in any window
-// stays under what it can then do times the multiple.
+// The slow-start budget (rule 4) bounds the sum over all gateways: what they send a server in slow start in any window is
+// at most its capacity at that time, times the multiple of the settings. Here the requests go to the gateways in turn.
 func TestSlowStartBudget_EvenTraffic(t *testing.T) {
 	for _, nodes := range []int{2, 40, 300} {
 		settings := settingsForGateways(nodes)
-		perSecond := 60.0 // of the whole fleet, six readers: ten a second each, as each cell has its writers
+		perSecond := 60.0 // of the whole fleet: ten per second for each of six prefill servers, as each cell has decode servers
 		fleet := balancedFleet(6)
 		var gateways []*testGateway
 		for i := 0; i < nodes; i++ {
@@ -183,21 +184,21 @@
 		}
 		maxInWindow := maxWithinWindow(sent, settings.Rules.FallWindow)
 		limit := settings.Rules.FallMultiple * settings.Rules.ColdFrom * perSecond / 6
-		if nodes > manyNodes { // and what the rule grants to chance
-			allowed := limit * 6 / 5 // which peers finish beside one that gets less
+		if nodes > manyNodes { // with the margin for chance
+			allowed := limit * 6 / 5 // five peers finish what the server in slow start doesn't get
 			limit = allowed + 2*math.Sqrt(allowed) + 2
 		}
 		if float64(maxInWindow) > limit {
-			t.Errorf("%d nodes: %d of %d sends in a window, at most %v: %v", nodes, maxInWindow, len(sent), limit, sent)
+			t.Errorf("%d gateways: %d of %d sends in a window, limit %v: %v", nodes, maxInWindow, len(sent), limit, sent)
 		}
 		if len(sent) == 0 {
-			t.Errorf("%d nodes: the cold server got nothing", nodes)
+			t.Errorf("%d gateways: the server in slow start got no request", nodes)
 		}
 	}
 }
 
-// slowStartLimit is what all gateways together may send a server in slow start within a
-// window in which the settings allow n requests: n, and so many more for chance.
+// slowStartLimit returns the number of requests that all gateways together may send a server in slow start within a
+// window: those that the settings allow, and a margin for chance of two or, below 30 requests, three standard deviations.
 func slowStartLimit(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
--- a/detour_test.go
+++ b/detour_test.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// detourFleet has one reader and one writer in each of two zones, each a cell of its own: ra and wa in
-// the node's, rb and wb in the other.
+// twoZoneFleet returns one prefill and one decode server in each of two zones, which are a cell each: ra and wa in the
+// gateway's zone, rb and wb in the other.
 func twoZoneFleet() []Server {
 	servers := []Server{prefillServer("ra"), prefillServer("rb"), decodeServer("wa", 0), decodeServer("wb", 1)}
 	servers[1].Zone, servers[1].Cell, servers[3].Zone = "b", 1, "b"
 	return servers
 }
 
-// A prompt that no reader has waits behind a few more reads in its own zone rather than cross to another, and
-// behind more where its state would have to leave the cell for want of a writer with room. How many these
-// are follows from what a read takes of the shortest aim of 1 s: with 20 ms, five for a zone and 12.5 for a move.
+// A prompt of which no server has the prefix in its cache goes to a server in the gateway's own zone, even if a few more
+// prefills are in flight there than in another zone, and to a cell where a decode server has free memory, even if still
+// more are in flight there. How many more follows from the share that a prefill takes of the shortest aim, 1 s: with a
+// prefill of 20 ms, 5 for another zone and 12.5 for a transfer of the KV state to another cell.
 func TestPrefillChoice_DistanceAgainstLoad(t *testing.T) {
 	for _, tt := range []struct {
-		prefillTime    time.Duration // 0 = none has been seen
-		moreUnfinished int           // unfinished reads at ra more than at rb
-		full           string        // this writer is
+		prefillTime    time.Duration // 0 = no prefill has been observed
+		moreUnfinished int           // prefills in flight at ra beyond those at rb
+		full           string        // decode server without free memory
 		want           string
 	}{
 		{20 * ms, 0, "", "ra"},
@@ -53,20 +54,20 @@
 				class:   gateway.scheduler.classes["chat"], tried: map[*server]bool{},
 			}
 			if got := gateway.scheduler.byPrefix(req, gateway.scheduler.pool(req, reads)); string(got.ID) != tt.want {
-				t.Errorf("read at %s, want %s", got.ID, tt.want)
+				t.Errorf("prefill at %s, want %s", got.ID, tt.want)
 			}
 		})
 	}
 }
 
-// What was seen (overload on a fleet with mixed engines, whose memory is large and whose slots are few): of 1,376 late answers
-// 1,225 went to a writer chosen by its room in memory, where 2.27 s were expected in the mean behind the own tokens that waited, while
-// another was expected to begin in less than half the time.
-
-// A writer is left where the answer would begin later by a tenth of the aim than at another, whatever room it has; by less it is not.
+// A decode server is not chosen, however much free memory it has, if the answer is expected to begin there later than at
+// another one by over a tenth of the aim. This guards against choosing by free memory alone: under overload, on a fleet
+// with mixed engines, which have much memory and few slots, 1,225 of 1,376 late answers had gone to a server chosen by its
+// free memory, where the mean wait expected behind the gateway's own waiting tokens was 2.27 s, while another server was
+// expected to begin in less than half the time.
 func TestDecodeChoice_ExpectedWait(t *testing.T) {
 	for _, tt := range []struct {
-		waiting map[string]float64 // tokens sent there that no answer has begun for
+		waiting map[string]float64 // by server, tokens sent there whose answers have not begun
 		want    string
 	}{
 		{map[string]float64{}, "mixed"},
@@ -90,7 +91,7 @@
 				Request: Request{ID: "q", Session: 1, PromptTokens: 320}, class: gateway.scheduler.classes["chat"], tried: map[*server]bool{},
 			}
 			if got := gateway.scheduler.pickWriter(req, gateway.scheduler.servers["ra"]); string(got.ID) != tt.want {
-				t.Errorf("answered at %s, want %s", got.ID, tt.want)
+				t.Errorf("decode at %s, want %s", got.ID, tt.want)
 			}
 		})
 	}
--- a/example_test.go
+++ b/example_test.go
@@ -7,7 +7,7 @@
 	"ashwood.example/ashwood"
 )
 
-// A node is told the server list and a request, and asks for what is to be done.
+// A gateway passes the decision module the membership and a request, then carries out the actions that it gets back.
 func Example() {
 	scheduler, err := ashwood.New(ashwood.Settings{
 		Nodes:   1,
@@ -19,8 +19,8 @@
 	}
 	now := time.Duration(0)
 	scheduler.Handle(now, ashwood.Members{Form: ashwood.ListWhole, Entries: []ashwood.Server{
-		{ID: "reader-1", Kind: "prefill", State: ashwood.StateOn},
-		{ID: "writer-1", Kind: "decode", State: ashwood.StateOn},
+		{ID: "prefill-1", Kind: "prefill", State: ashwood.StateOn},
+		{ID: "decode-1", Kind: "decode", State: ashwood.StateOn},
 	}}, nil)
 	printAttempts := func(actions []ashwood.Action) {
 		for _, a := range actions {
@@ -33,8 +33,8 @@
 		ID: "a", Class: "chat", Session: 7, PromptTokens: 900, TimeLeft: 5 * time.Second,
 	}, nil))
 	now += 80 * time.Millisecond
-	printAttempts(scheduler.Handle(now, ashwood.Outcome{ID: "a", Server: "reader-1", Status: ashwood.Parsed}, nil))
+	printAttempts(scheduler.Handle(now, ashwood.Outcome{ID: "a", Server: "prefill-1", Status: ashwood.Parsed}, nil))
 	// Output:
-	// send a to reader-1
-	// send a to writer-1
+	// send a to prefill-1
+	// send a to decode-1
 }
--- a/facade_test.go
+++ b/facade_test.go
@@ -10,11 +10,12 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// stopped is a clock that tests set.
+// manualClock is a clock that stands still until a test sets it, in milliseconds.
 type manualClock struct{ now float64 }
 
 func (clock *manualClock) Now() float64 { return clock.now }
 
+// newTestRouter returns a router with a snapshot of servers, and its clock at 1e12 ms.
 func newTestRouter(t *testing.T, settings Settings, servers ...Server) (*Router, *manualClock) {
 	t.Helper()
 	clock := &manualClock{1e12}
@@ -26,11 +27,12 @@
 	return router, clock
 }
 
+// testCall returns a request of a class with 3 s left.
 func testCall(id, class string) Call {
 	return Call{ID: RequestID(id), Class: class, Session: 1, PromptTokens: 320, Remaining: 3000}
 }
 
-// same compares steps, their contexts aside.
+// expectStep compares steps except for their contexts.
 func expectStep(t *testing.T, want, got Step) {
 	t.Helper()
 	if diff := cmp.Diff(want, got, cmpopts.IgnoreFields(Step{}, "Context")); diff != "" {
@@ -38,6 +40,7 @@
 	}
 }
 
+// A request goes through prefill, reservation and decode to its end, and leaves nothing behind.
 func TestRouter_RequestLifecycle(t *testing.T) {
 	router, clock := newTestRouter(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 	step, err := router.Pick(context.Background(), testCall("a", "chat"))
@@ -49,21 +52,21 @@
 		t.Error(err)
 	}
 	if next, ok := router.Place("a", 0, "w1", true); ok {
-		t.Errorf("another place at %s", next.ID)
+		t.Errorf("second reservation at %s, want none after the first was granted", next.ID)
 	}
 	clock.now += 80.25
 	expectStep(t, Step{Kind: StepSend, Attempt: 1, Engine: decodeServer("w1", 0), Timeout: 2919.75},
 		router.Report("a", 0, Result{Status: Parsed}))
 	if !router.Begun("a", 1) || router.Begun("a", 1) {
-		t.Error("an answer begins once")
+		t.Error("Begun doesn't report exactly one beginning of the answer")
 	}
 	expectStep(t, Step{Kind: StepOver}, router.Report("a", 1, Result{Status: Served}))
 	if len(router.flights) != 0 || len(router.sched.reqs) != 0 {
-		t.Errorf("left: %v, %v", router.flights, router.sched.reqs)
+		t.Errorf("still kept after the end: %v, %v", router.flights, router.sched.reqs)
 	}
 }
 
-// Timers end a request that nobody takes: Pick blocks until Tick runs them.
+// A request for which there is no prefill server is refused within its deadline: Pick blocks until Tick runs the timer.
 func TestRouterTick_NoPrefillServer(t *testing.T) {
 	settings := testSettings()
 	settings.Limits.RetryAfter, settings.Limits.MaxRetryAfter = true, 400*ms
@@ -79,12 +82,12 @@
 	}
 	expectStep(t, Step{Kind: StepRefuse, Release: true, RetryAfter: 400, Why: WhyNoReader}, <-steps)
 	if clock.now > 1e12+3000 {
-		t.Errorf("refused after %v ms", clock.now-1e12)
+		t.Errorf("refused after %v ms, want within 3000", clock.now-1e12)
 	}
 }
 
-// A call-off reaches a running attempt as a cancelled context, and a client
-// that has left is owed no more sends, whenever it leaves.
+// A client that leaves cancels the context of the attempt in flight, and no further attempt is made for it, whether it
+// leaves before or after the call of Pick.
 func TestRouter_ClientLeaves(t *testing.T) {
 	ctx, leave := context.WithCancel(context.Background())
 	router, _ := newTestRouter(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
@@ -92,17 +95,17 @@
 	leave()
 	<-step.Context.Done()
 	if router.Begun("a", 0) {
-		t.Error("an answer begins for nobody")
+		t.Error("an answer begins although the client has left")
 	}
 	expectStep(t, Step{Kind: StepOver, Release: true}, router.Report("a", 0, Result{Status: CalledOff}))
-	step, _ = router.Pick(ctx, testCall("b", "pay")) // it had left before
+	step, _ = router.Pick(ctx, testCall("b", "pay")) // the client left before the call
 	expectStep(t, Step{Kind: StepOver, Release: true}, step)
 	if len(router.flights) != 0 || len(router.sched.reqs) != 0 {
-		t.Errorf("left: %v, %v", router.flights, router.sched.reqs)
+		t.Errorf("still kept after the end: %v, %v", router.flights, router.sched.reqs)
 	}
 }
 
-// The module calls off a read that is far overdue at a silent server.
+// A prefill that is far overdue at a server from which nothing is received is cancelled and goes to another server.
 func TestRouter_OverduePrefill(t *testing.T) {
 	router, clock := newTestRouter(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
 	step, _ := router.Pick(context.Background(), testCall("a", "chat"))
@@ -111,22 +114,22 @@
 	}
 	next := router.Report("a", 0, Result{Status: CalledOff})
 	if step.Context.Err() == nil || next.Kind != StepSend || next.Engine.ID == step.Engine.ID {
-		t.Errorf("after %s: %+v", step.Engine.ID, next)
+		t.Errorf("after the attempt at %s: next step %+v, want the attempt cancelled and one at another server", step.Engine.ID, next)
 	}
 }
 
-// Stray reports must neither panic nor act.
+// Reports on requests that the router doesn't know must neither panic nor lead to a step.
 func TestRouter_StrayReports(t *testing.T) {
 	router, _ := newTestRouter(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 	expectStep(t, Step{Kind: StepOver}, router.Report("none", 0, Result{Status: Parsed}))
 	expectStep(t, Step{Kind: StepOver}, router.Next("none"))
 	if _, ok := router.Place("none", 0, "w1", true); ok || router.Begun("none", 0) || router.Accepts("none") {
-		t.Error("acted for a request or a server that is not known")
+		t.Error("the router acted for an unknown request")
 	}
 	if _, err := router.Pick(context.Background(), testCall("a", "nosuch")); !errors.Is(err, ErrUnknownClass) {
 		t.Error(err)
 	}
 	if got := duration(0.0004); got != 0 || duration(1.5) != 1500*time.Microsecond {
-		t.Errorf("0.0004 ms is %v", got)
+		t.Errorf("duration of 0.0004 ms is %v, want 0; or that of 1.5 ms is not 1500µs", got)
 	}
 }
--- a/fairness_test.go
+++ b/fairness_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// occasion is something that happens at a time in a simulated fleet.
+// scheduledEvent is something that happens at a time in a simulated fleet.
 type scheduledEvent struct {
 	at  time.Duration
 	run func()
 }
 
-// agenda is a heap of occasions, the earliest first.
+// eventQueue is a heap of scheduled events, the earliest first.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int           { return len(q) }
@@ -28,28 +28,30 @@
 	return last
 }
 
-// simulation plays gateways against readers that read one prompt after the other, and writers
-// that answer at once. Time is simulated.
+// fleetSimulation runs gateways in simulated time against prefill servers that serve one prompt after the other, and
+// decode servers that answer after 5 ms.
 type fleetSimulation struct {
 	queue           eventQueue
 	now             time.Duration
 	gateways        []*testGateway
-	idleAt          map[ServerID]time.Duration // when a reader has read all that it has
-	waitingTokens   map[ServerID]float64       // tokens there
-	tokensPerSecond float64                    // tokens a second
-	cancelled       map[string]bool            // attempts called off
+	idleAt          map[ServerID]time.Duration // when a prefill server has finished all of its prompts
+	waitingTokens   map[ServerID]float64       // prompt tokens in flight at a prefill server
+	tokensPerSecond float64                    // of each prefill server
+	cancelled       map[string]bool            // attempts, by request and number
 	refused         map[RequestID]bool
 }
 
+// after schedules something for a time from now.
 func (s *fleetSimulation) after(d time.Duration, do func()) {
 	heap.Push(&s.queue, scheduledEvent{s.now + d, do})
 }
 
+// loadReport returns what a server reports of its load.
 func (s *fleetSimulation) loadReport(v ServerID) Report {
 	return Report{ReportWaiting: s.waitingTokens[v] / 1000}
 }
 
-// tell puts an event to a gateway and carries out what it wants done.
+// deliver passes an event to a gateway and carries out its actions.
 func (s *fleetSimulation) deliver(gateway *testGateway, e Event) {
 	gateway.now = s.now
 	for _, action := range gateway.handle(e) {
@@ -72,6 +74,7 @@
 	}
 }
 
+// runAttempt simulates an attempt and schedules its outcome.
 func (s *fleetSimulation) runAttempt(gateway *testGateway, a Attempt, number int) {
 	request := gateway.scheduler.reqs[a.ID]
 	if gateway.scheduler.servers[a.Server].role != RoleRead {
@@ -95,14 +98,14 @@
 	}})
 }
 
-// Under more than the fleet can do, refusals fall on requests, not on sessions: those of which
-// every turn is refused are few more than chance makes them.
+// Under overload refusals fall on requests, not on sessions: sessions of which every turn is refused are hardly more
+// frequent than chance makes them.
 func TestRefusals_SpreadOverSessions(t *testing.T) {
 	const (
-		readers, sessions, turns = 8, 150, 5
-		tokens, speed            = 1000.0, 10000.0
-		load                     = 1.4
-		allowed                  = 0.12 // of the sessions, more than chance gives; the operators' bound
+		prefillServers, sessions, turns = 8, 150, 5
+		tokens, speed                   = 1000.0, 10000.0
+		load                            = 1.4
+		allowed                         = 0.12 // share of the sessions beyond what chance gives; the operators' bound
 	)
 	for _, nodes := range []int{4, 40} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
@@ -114,16 +117,16 @@
 				cancelled: map[string]bool{}, refused: map[RequestID]bool{},
 			}
 			for i := range nodes {
-				gateway := newGateway(t, settings, newFleet(readers, 8)...)
+				gateway := newGateway(t, settings, newFleet(prefillServers, 8)...)
 				gateway.scheduler.rng.Seed(int64(i))
 				sim.gateways = append(sim.gateways, gateway)
 			}
-			perSecond := load * readers * speed / tokens
-			asked := map[int][]RequestID{}
+			perSecond := load * prefillServers * speed / tokens
+			requested := map[int][]RequestID{}
 			for k := range sessions * turns {
-				session := k % sessions // turns of a session come one after the other
+				session := k % sessions // the turns of a session come one after the other
 				id := RequestID(fmt.Sprint("s", session, "t", k/sessions))
-				asked[session] = append(asked[session], id)
+				requested[session] = append(requested[session], id)
 				at := sim.now + time.Duration(float64(k)/perSecond*float64(time.Second))
 				gateway := sim.gateways[rng.Intn(nodes)]
 				heap.Push(&sim.queue, scheduledEvent{at, func() {
@@ -138,22 +141,22 @@
 			}
 			share := float64(len(sim.refused)) / (sessions * turns)
 			if share < 0.05 || share > 0.9 {
-				t.Fatalf("%.2f of the requests are refused: nothing is shown", share)
+				t.Fatalf("%.2f of the requests are refused; the test needs between 0.05 and 0.9 to show anything", share)
 			}
-			shutOut := 0
-			for _, ids := range asked {
+			refusedSessions := 0
+			for _, ids := range requested {
 				all := true
 				for _, id := range ids {
 					all = all && sim.refused[id]
 				}
 				if all {
-					shutOut++
+					refusedSessions++
 				}
 			}
 			chance := math.Pow(share, turns)
-			t.Logf("%.2f of the requests refused, all of %d of %d sessions", share, shutOut, sessions)
-			if got := float64(shutOut) / sessions; got > chance+allowed {
-				t.Errorf("all turns of %.2f of the sessions are refused, chance gives %.2f", got, chance)
+			t.Logf("%.2f of the requests refused, every turn of %d of %d sessions", share, refusedSessions, sessions)
+			if got := float64(refusedSessions) / sessions; got > chance+allowed {
+				t.Errorf("every turn is refused of %.2f of the sessions; chance gives %.2f", got, chance)
 			}
 		})
 	}
--- a/health_test.go
+++ b/health_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A full or dead server answers at once; without a growing pause requests
-// burn all their attempts on it.
+// A full or dead server answers at once. Without a pause that grows with each refusal, requests would use up all their
+// attempts on it.
 func TestPause_RepeatedRefusals(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 	lastPause := time.Duration(0)
@@ -17,7 +17,7 @@
 		gateway.scheduler.pauseSends(gateway.scheduler.servers["r1"])
 		pause := gateway.scheduler.servers["r1"].pausedUntil - gateway.now
 		if pause <= lastPause {
-			t.Fatalf("pause %v after %v", pause, lastPause)
+			t.Fatalf("pause of %v after one of %v, want a longer one", pause, lastPause)
 		}
 		lastPause = pause
 	}
@@ -30,9 +30,8 @@
 	gateway.expectSentTo("r1")
 }
 
-// Refusals of what was sent before the first of them came, as in a burst, are
-// one sign and not many: seven at once used to close a writer for two seconds,
-// longer than a read state may wait for it.
+// Refusals of requests that were sent before the first refusal came, as in a burst, count as one. When each of seven
+// counted, they paused a decode server for two seconds, longer than KV state may wait for it.
 func TestPause_BurstOfRefusals(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 	pauses := map[time.Duration]bool{}
@@ -45,10 +44,11 @@
 		pauses[gateway.scheduler.servers["r1"].pausedUntil-gateway.now] = true
 	}
 	if len(pauses) != 1 || pauses[0] {
-		t.Errorf("pauses %v, want the first alone", pauses)
+		t.Errorf("pauses %v, want only that of the first refusal", pauses)
 	}
 }
 
+// failRequests has a number of requests fail at a server.
 func failRequests(gateway *testGateway, server string, times int) {
 	for i := 0; i < times; i++ {
 		gateway.scheduler.now = gateway.now
@@ -56,18 +56,18 @@
 	}
 }
 
-// A server that fails fast looks idle; two failures in a row eject it, where
-// three cost far more, and it comes back by a single trial.
+// A server that fails at once looks idle and draws more requests. Two failures in a row eject it, as waiting for three
+// costs far more. After the backoff it is tried again with a single request.
 func TestEjection_FailingServer(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), decodeServer("w1", 0))
 	failRequests(gateway, "r1", 2)
 	if !gateway.scheduler.servers["r1"].ejected {
-		t.Fatal("not ejected after two failures")
+		t.Fatal("server not ejected after two failures")
 	}
 	for i := uint64(0); i < 20; i++ {
 		gateway.requestChat(fmt.Sprint(i), i, 0)
 		if a, _ := firstAction[Attempt](gateway); a.Server == "r1" {
-			t.Fatal("an ejected server was sent a request")
+			t.Fatal("an ejected server was sent a request before its backoff ended")
 		}
 	}
 	gateway.now += backoffFirst
@@ -75,14 +75,15 @@
 	gateway.expectSentTo("r1")
 	gateway.requestChat("next", 101, 0)
 	if a, _ := firstAction[Attempt](gateway); a.Server == "r1" {
-		t.Fatal("more than a single trial")
+		t.Fatal("a second request was sent to an ejected server during its trial")
 	}
 	gateway.endAttempt("trial", 0, "r1", Parsed)
 	if gateway.scheduler.servers["r1"].ejected {
-		t.Error("not readmitted after its trial")
+		t.Error("server still ejected after its trial succeeded")
 	}
 }
 
+// Trouble that all servers share ejects at most half of them.
 func TestEjection_AllServersFail(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), prefillServer("r4"), decodeServer("w1", 0))
 	for i := 0; i < 20; i++ {
@@ -97,11 +98,12 @@
 		}
 	}
 	if ejected > 2 {
-		t.Errorf("%d of 4 readers ejected", ejected)
+		t.Errorf("%d of 4 prefill servers ejected, want at most 2", ejected)
 	}
 }
 
-// A zone that fails as a whole while the own zone is well is a bad path.
+// A zone of which all servers fail, while those of the gateway's own zone do not, is ejected as a whole: the path to it
+// is broken. One failing server ejects no zone.
 func TestEjection_ZoneUnreachable(t *testing.T) {
 	servers := []Server{prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), decodeServer("w1", 0)}
 	for _, id := range []string{"f1", "f2"} {
@@ -115,17 +117,18 @@
 		failRequests(gateway, "f2", 1)
 	}
 	if !gateway.scheduler.zones["b"].ejected {
-		t.Error("the path to a lost zone is still trusted")
+		t.Error("a zone of which all servers fail is not ejected")
 	}
 	gateway = newGateway(t, testSettings(), servers...)
 	failRequests(gateway, "f1", 12)
 	if gateway.scheduler.zones["b"].ejected {
-		t.Error("one bad server condemns its zone")
+		t.Error("one failing server ejected its zone")
 	}
 }
 
-// Of many nodes, each meets few engines of a zone that is cut off: a request that met a silent
-// connect there goes on in its own zone, and one that met a refused connect goes where it would.
+// Each of many gateways sends to few engines of a zone that is cut off, so it can't eject the zone. A request whose
+// connect timed out in another zone goes on in the gateway's own zone; one whose connect was refused at once may go to
+// any zone.
 func TestRetry_ConnectTimeoutInOtherZone(t *testing.T) {
 	for _, tt := range []struct {
 		nodes      int
@@ -142,14 +145,15 @@
 				servers = append(servers, remote)
 			}
 			gateway := newGateway(t, settings, servers...)
-			for _, v := range gateway.scheduler.order { // its own zone's is busy, so that it goes to another first
+			// The server of its own zone is busy, so the first attempt goes to another zone.
+			for _, v := range gateway.scheduler.order {
 				v.report, v.reportAt = Report{ReportInFlight: 0}, gateway.now
 			}
 			gateway.scheduler.servers["own"].report = Report{ReportInFlight: 10}
 			gateway.requestChat("q", key+1, key+1)
 			a, _ := firstAction[Attempt](gateway)
 			if a.Server == "own" {
-				t.Errorf("%d nodes: sent to the busy reader", tt.nodes)
+				t.Errorf("%d gateways: first attempt sent to the busy server", tt.nodes)
 			}
 			gateway.handle(Outcome{ID: "q", Server: a.Server, Status: NoConnection, Latency: tt.latency})
 			if a, _ := firstAction[Attempt](gateway); a.Server == "own" {
@@ -157,13 +161,14 @@
 			}
 		}
 		if tt.leavesZone != (inOwnZone >= 15) {
-			t.Errorf("%d nodes, after %v: %d of 20 went on in their own zone", tt.nodes, tt.latency, inOwnZone)
+			t.Errorf("%d gateways, connect failed after %v: %d of 20 second attempts in the own zone, want 15 or more: %v",
+				tt.nodes, tt.latency, inOwnZone, tt.leavesZone)
 		}
 	}
 }
 
-// An overdue attempt costs a silent server trust and, later, the attempt; a
-// server that finishes other work keeps both.
+// An overdue attempt counts against a server from which nothing is received and, later, is cancelled. At a server that
+// finishes other work it does neither.
 func TestOverdueAttempt_SilentOrBusyServer(t *testing.T) {
 	for _, busy := range []bool{false, true} {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
@@ -180,14 +185,13 @@
 			gateway.actions = gateway.scheduler.out
 		}
 		if _, cancelled := firstAction[Cancel](gateway); cancelled == busy || (server.fail > 0) == busy {
-			t.Errorf("busy %v: cancelled %v, fail %v", busy, cancelled, server.fail)
+			t.Errorf("server busy with other work %v: cancelled %v, failure rate %v", busy, cancelled, server.fail)
 		}
 	}
 }
 
-// A connection may fall silent while its engine works on. What it has begun that
-// was sent later tells; the attempt is called off without harm to the engine, but
-// for an order that may have run.
+// A connection may go silent while its engine works on, which shows when the engine has begun to answer a later request.
+// The attempt is then cancelled, without counting against the engine, unless it is a side effect that may have run.
 func TestOverdueAttempt_LaterSendAnsweredFirst(t *testing.T) {
 	for _, tt := range []struct {
 		name                string
@@ -195,10 +199,10 @@
 		decoding, sentLater bool
 		cancelled           bool
 	}{
-		{"read", "pay", false, true, true},
-		{"read, the other was sent before", "pay", false, false, false},
-		{"order written", "pay", true, true, false},
-		{"written", "chat", true, true, true},
+		{"prefill", "pay", false, true, true},
+		{"prefill, the other was sent before", "pay", false, false, false},
+		{"side effect, decode", "pay", true, true, false},
+		{"pure, decode", "chat", true, true, true},
 	} {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 		send := func(id string) {
@@ -232,13 +236,13 @@
 		gateway.scheduler.overdue(gateway.scheduler.reqs["lost"], number)
 		gateway.actions = gateway.scheduler.out
 		if _, got := firstAction[Cancel](gateway); got != tt.cancelled || server.fail > 0 {
-			t.Errorf("%s: cancelled %v, trust lost %v", tt.name, got, server.fail)
+			t.Errorf("%s: cancelled %v, failure rate %v", tt.name, got, server.fail)
 		}
 	}
 }
 
-// All writers may be slow at once, behind a link that clogs. Calling attempts off
-// would only begin anew elsewhere, and close engines that are at work.
+// All decode servers may be slow at once, behind a congested link. Cancelling attempts would only repeat their work
+// elsewhere, and eject engines that are at work.
 func TestOverdueAttempt_AllServersSlow(t *testing.T) {
 	for _, shared := range []bool{true, false} {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0), decodeServer("w3", 0))
@@ -249,7 +253,7 @@
 		}
 		attemptOf := func(id string) *attempt { return gateway.scheduler.reqs[RequestID(id)].attempts[1] }
 		if attemptOf("a").srv == attemptOf("b").srv || attemptOf("b").srv == attemptOf("c").srv || attemptOf("a").srv == attemptOf("c").srv {
-			t.Fatal("not one attempt at each writer")
+			t.Fatal("the three attempts are not at three decode servers")
 		}
 		gateway.now += 600 * ms
 		if !shared {
@@ -259,12 +263,13 @@
 		gateway.scheduler.overdue(gateway.scheduler.reqs["a"], 1)
 		gateway.actions = gateway.scheduler.out
 		if _, cancelled := firstAction[Cancel](gateway); cancelled == shared || attemptOf("a").srv.fail > 0 {
-			t.Errorf("shared %v: called off %v, trust lost %v", shared, cancelled, attemptOf("a").srv.fail)
+			t.Errorf("all servers slow %v: cancelled %v, failure rate %v", shared, cancelled, attemptOf("a").srv.fail)
 		}
 	}
 }
 
-// What is overdue follows the pace as it is, not as it was at the send.
+// When an attempt is overdue depends on the latency estimate at that moment, not on the one when it was sent: here
+// latency has risen to 2 s in the meantime.
 func TestOverdueAttempt_LatencyRisesAfterSend(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
 	gateway.requestChat("a", 1, 0)
@@ -278,6 +283,6 @@
 	expectNoAction[Cancel](gateway)
 	expectAction[SetTimer](gateway)
 	if trustLost := gateway.scheduler.servers["r1"].fail + gateway.scheduler.servers["r2"].fail; trustLost > 0 {
-		t.Errorf("trust lost: %v", trustLost)
+		t.Errorf("failure rates add up to %v, want 0", trustLost)
 	}
 }
--- a/homes_test.go
+++ b/homes_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// Three hundred gateways see a prefix a few times each. Where engines tell their load, its two
-// homes are left when they are overrun; where they tell none nothing would show that, and the
-// sessions of one prefix are spread over more readers from the first request on. Few gateways
-// see enough by themselves.
+// Each of three hundred gateways sees a prefix only a few times. Where engines report their load, the prefix has two
+// affinity targets, and gateways avoid them when they are overloaded. Without load reports nothing would show an overload,
+// so the sessions of one prefix are spread over more servers from the first request on. Few gateways see enough by
+// themselves and need no such spread.
 func TestAffinityTargets_NoLoadReports(t *testing.T) {
 	for _, tt := range []struct {
 		nodes                  int
@@ -21,23 +21,25 @@
 		pool := gateway.scheduler.pool(&request{Request: Request{ID: "q"}, class: gateway.scheduler.classes["chat"]}, reads)
 		found := map[ServerID]bool{}
 		for session := range uint64(200) {
-			req := &request{Request: Request{ID: "q", Prefix: 7, Session: session + 1, PrefixTokens: 64, PromptTokens: 640}, class: gateway.scheduler.classes["chat"]}
+			req := &request{Request: Request{ID: "q", Prefix: 7, Session: session + 1, PrefixTokens: 64, PromptTokens: 640},
+				class: gateway.scheduler.classes["chat"]}
 			for _, v := range gateway.scheduler.homes(req, pool) {
 				found[v.ID] = true
 			}
 		}
 		if len(pool) != 40 || len(found) < tt.minTargets || len(found) > tt.maxTargets {
-			t.Errorf("%d gateways, reports %d: %d homes of %d readers, want %d to %d", tt.nodes, tt.reports, len(found), len(pool), tt.minTargets, tt.maxTargets)
+			t.Errorf("%d gateways, report mode %d: %d affinity targets among %d prefill servers, want %d to %d",
+				tt.nodes, tt.reports, len(found), len(pool), tt.minTargets, tt.maxTargets)
 		}
 	}
 }
 
-// A prefix that much of the traffic begins with has more homes than two, and one that little
-// does has two where engines tell their load, a fifth of the readers where they do not.
+// A prefix that many prompts begin with has more than two affinity targets. One that few begin with has two where engines
+// report their load, and a fifth of the prefill servers where they don't.
 func TestAffinityTargets_PopularPrefix(t *testing.T) {
 	for _, tt := range []struct {
 		reports           ReportMode
-		every, maxTargets int // every second prompt, or every fortieth
+		every, maxTargets int // the prefix begins every second prompt, or every fortieth
 	}{{ReportInline, 2, 30}, {ReportInline, 40, 2}, {ReportNone, 2, 30}, {ReportNone, 40, 6}} {
 		every, maxTargets := tt.every, tt.maxTargets
 		settings := settingsForGateways(100)
@@ -53,23 +55,23 @@
 			}
 		}
 		if len(seen) > maxTargets || maxTargets == 30 && len(seen) < 8 {
-			t.Errorf("reports %d, every %d. prompt: %d homes", tt.reports, every, len(seen))
+			t.Errorf("report mode %d, prefix in one of %d prompts: %d affinity targets", tt.reports, every, len(seen))
 		}
 	}
 }
 
-// A reader that does not answer a probe in time has more waiting than any report tells: it is
-// left for one that does, or for others that are asked then, as long as there are any.
+// A prefill server that doesn't answer a probe in time has more work waiting than any report says. It is avoided in favour
+// of one that does, or of others that are probed next, as long as there are any.
 func TestPrefillChoice_ProbeUnanswered(t *testing.T) {
 	for _, tt := range []struct {
 		name          string
 		servers       int
-		answersInTime func(probed int) bool // whether the nth reader that is asked answers in time
-		sentToSilent  bool                  // whether one that did not may be chosen
+		answersInTime func(probed int) bool // whether the nth server probed answers in time
+		sentToSilent  bool                  // whether the request goes to one that didn't
 	}{
-		{"both homes answer", 10, func(int) bool { return true }, false},
-		{"one home answers", 10, func(probed int) bool { return probed != 0 }, false},
-		{"no home answers, others do", 10, func(probed int) bool { return probed > 1 }, false},
+		{"both targets answer", 10, func(int) bool { return true }, false},
+		{"one target answers", 10, func(probed int) bool { return probed != 0 }, false},
+		{"no target answers, others do", 10, func(probed int) bool { return probed > 1 }, false},
 		{"none answers", 10, func(int) bool { return false }, false},
 		{"none answers and there are no others", 2, func(int) bool { return false }, true},
 	} {
@@ -105,13 +107,14 @@
 			}
 			attempt, sent := firstAction[Attempt](gateway)
 			if !sent || silent[attempt.Server] != tt.sentToSilent || probed == 0 {
-				t.Errorf("sent to %q (%v), asked %d, silent %v", attempt.Server, sent, probed, silent)
+				t.Errorf("sent to %q (%v) after %d probes, of which these were unanswered: %v", attempt.Server, sent, probed, silent)
 			}
 		})
 	}
 }
 
-// Where tokens are told, they are the load: few long prompts are more work than many short ones.
+// Where servers report waiting tokens, these are their load rather than the number of requests, as a few long prompts are
+// more work than many short ones.
 func TestReportedLoad_TokensOrRequests(t *testing.T) {
 	gateway := newGateway(t, settingsForGateways(300), newFleet(2, 2)...)
 	gateway.scheduler.prompt = 1000
@@ -119,34 +122,34 @@
 	long := Report{ReportInFlight: 2, ReportQueue: 1, ReportWaiting: 60}
 	for report, want := range map[*Report]float64{&short: 2, &long: 60, {ReportInFlight: 9, ReportQueue: 8}: 9, {}: 0} {
 		if got := gateway.scheduler.running(&server{report: *report}); got != want {
-			t.Errorf("%v: load of %v requests, want %v", *report, got, want)
+			t.Errorf("report %v: load of %v requests, want %v", *report, got, want)
 		}
 	}
 	fewGateways := newGateway(t, settingsForGateways(4), newFleet(2, 2)...)
 	fewGateways.scheduler.prompt = 1000
 	if got := fewGateways.scheduler.running(&server{report: long}); got != 2 {
-		t.Errorf("of four gateways, which count requests themselves: %v, want 2", got)
+		t.Errorf("with four gateways, which count requests themselves: load %v, want 2", got)
 	}
 	gateway.scheduler.prompt = 0
 	if got := gateway.scheduler.running(&server{report: long}); got != 2 {
-		t.Errorf("before any prompt is known: %v, want 2", got)
+		t.Errorf("before the mean prompt length is known: load %v, want 2", got)
 	}
 }
 
-// A reader in slow start is taken where it will have read the prompt before the home has, by
-// what both have told just now; a warm one that is idle is not, as one that fails at once is idle.
+// A prefill server in slow start is preferred to the affinity target if, by recent load reports of both, it will finish
+// the prompt earlier. A warm server that is idle is not, as a server that fails at once looks idle too.
 func TestPrefillChoice_ServerInSlowStart(t *testing.T) {
 	for _, tt := range []struct {
 		name                         string
-		targetWaiting, otherWaiting  float64 // thousands of tokens that wait there
+		targetWaiting, otherWaiting  float64 // thousands of tokens waiting at the affinity target and at the other server
 		reported, inSlowStart, taken bool
 	}{
-		{"home idle", 0, 0, true, true, false},
-		{"home has a few prompts", 0.5, 0, true, true, false},
-		{"home is busy", 3, 0, true, true, true},
+		{"target idle", 0, 0, true, true, false},
+		{"target has a few prompts", 0.5, 0, true, true, false},
+		{"target is busy", 3, 0, true, true, true},
 		{"both are busy", 3, 3, true, true, false},
-		{"home is busy, the other not heard from", 3, 0, false, true, false},
-		{"home is busy, the idle one is warm", 3, 0, true, false, false},
+		{"target is busy, the other has not reported recently", 3, 0, false, true, false},
+		{"target is busy, the idle one is warm", 3, 0, true, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			settings := settingsForGateways(300)
@@ -156,7 +159,7 @@
 			req := &request{Request: Request{ID: "q", Session: 3, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}, class: gateway.scheduler.classes["chat"]}
 			pool := gateway.scheduler.pool(req, reads)
 			targets := gateway.scheduler.homes(req, pool)
-			for _, v := range pool { // all others have as much to do as the home
+			for _, v := range pool { // all others have as much waiting as the target
 				v.report, v.reportAt = Report{ReportWaiting: tt.targetWaiting}, gateway.now
 			}
 			var other *server
@@ -173,20 +176,21 @@
 				other.reportAt -= probeEvery
 			}
 			if got := gateway.scheduler.byPrefix(req, pool); (got == other) != tt.taken {
-				t.Errorf("sent to %s, a home is %s, the other %s", got.ID, targets[0].ID, other.ID)
+				t.Errorf("sent to %s; affinity target %s, other server %s", got.ID, targets[0].ID, other.ID)
 			}
 		})
 	}
 }
 
-// Gateways give a prefix one home in their own zone and one elsewhere, the first alike at all
-// of a zone; the own one is taken where both are alike, the other where the own one is busy.
+// A prefix has one affinity target in the gateway's own zone, the same for all gateways of the zone, and one in another
+// zone. The own one is chosen where both have the same load, the other where the own one is busier.
 func TestAffinityTargets_TwoZones(t *testing.T) {
 	for _, nodes := range []int{2, 4, manyNodes, 300} {
 		t.Run(fmt.Sprint(nodes, " gateways"), func(t *testing.T) { checkAffinityTargetsByZone(t, nodes) })
 	}
 }
 
+// checkAffinityTargetsByZone checks TestAffinityTargets_TwoZones for a number of gateways.
 func checkAffinityTargetsByZone(t *testing.T, nodes int) {
 	fleet := newFleet(20, 4)
 	for i := range fleet {
@@ -202,25 +206,26 @@
 			gateway := newGateway(t, settings, fleet...)
 			gateway.scheduler.rng.Seed(int64(seed))
 			for key := range uint64(50) {
-				req := &request{Request: Request{ID: "q", Session: key%3 + 1, Prefix: key/3 + 1, PrefixTokens: 160, PromptTokens: 320}, class: gateway.scheduler.classes["chat"]}
+				req := &request{Request: Request{ID: "q", Session: key%3 + 1, Prefix: key/3 + 1, PrefixTokens: 160, PromptTokens: 320},
+					class: gateway.scheduler.classes["chat"]}
 				pool := gateway.scheduler.pool(req, reads)
 				targets := gateway.scheduler.homes(req, pool)
 				if len(targets) != 2 || targets[0].Zone != zone || targets[1].Zone == zone {
-					t.Fatalf("homes %v in zone %s", targets, zone)
+					t.Fatalf("affinity targets %v in zone %s, want one in this zone and then one elsewhere", targets, zone)
 				}
 				if previous, ok := firstTarget[zone][key]; ok && previous != targets[0].ID {
-					t.Errorf("key %d: a home of zone %s is %s and %s", key, zone, previous, targets[0].ID)
+					t.Errorf("key %d: gateways of zone %s have the targets %s and %s", key, zone, previous, targets[0].ID)
 				}
 				firstTarget[zone][key] = targets[0].ID
 				for _, v := range pool {
 					v.report, v.reportAt = Report{ReportInFlight: 3}, gateway.scheduler.now
 				}
 				if got := gateway.scheduler.byPrefix(req, pool); got != targets[0] {
-					t.Errorf("key %d: sent to %s, want the home %s of the own zone", key, got.ID, targets[0].ID)
+					t.Errorf("key %d: sent to %s, want the target %s in the own zone", key, got.ID, targets[0].ID)
 				}
 				targets[0].report = Report{ReportInFlight: 5}
 				if got := gateway.scheduler.byPrefix(req, pool); got != targets[1] {
-					t.Errorf("key %d: sent to %s, want the other home %s", key, got.ID, targets[1].ID)
+					t.Errorf("key %d: sent to %s, want the target %s in the other zone", key, got.ID, targets[1].ID)
 				}
 			}
 		}
--- a/outcomes_test.go
+++ b/outcomes_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// The path of a request after each outcome of its writing attempt.
+// Each failed attempt at a decode server is followed by an attempt at another one, or by a new prefill where the KV
+// state is gone.
 func TestRetry_AfterDecodeOutcome(t *testing.T) {
 	tests := []struct {
 		status Status
 		note   float64
-		next   string // "" = final answer
+		next   string // server of the next attempt; "" = final answer
 	}{
 		{TurnedAway, 0, "w2"},
-		{TurnedAway, 1, "r1"}, // no state: read again
+		{TurnedAway, 1, "r1"}, // the KV state is gone: prefill again
 		{ServerError, 0, "w2"}, {NoAnswer, 0, "w2"}, {NoConnection, 0, "w2"}, {ConnectionLost, 0, "w2"},
 		{CalledOff, 0, "w2"},
 	}
@@ -34,7 +35,7 @@
 		first, _ := firstAction[Attempt](gateway)
 		gateway.endAttempt("a", 0, string(first.Server), status)
 		if second, _ := firstAction[Attempt](gateway); second.Server == first.Server || second.Server == "" {
-			t.Errorf("status %v: %s, then %q", status, first.Server, second.Server)
+			t.Errorf("status %v: first attempt at %s, second at %q, want another server", status, first.Server, second.Server)
 		}
 	}
 }
@@ -47,7 +48,7 @@
 	gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: Served, Done: true})
 	expectNoAction[Refuse](gateway)
 	if len(gateway.scheduler.reqs) != 0 || gateway.scheduler.servers["w1"].held != 0 || gateway.scheduler.servers["w1"].queue != 0 {
-		t.Errorf("left: %v, %+v", gateway.scheduler.reqs, gateway.scheduler.servers["w1"])
+		t.Errorf("still kept after the answer: requests %v, server %+v", gateway.scheduler.reqs, gateway.scheduler.servers["w1"])
 	}
 }
 
@@ -58,7 +59,7 @@
 	gateway.expectSentTo("m1")
 	gateway = newGateway(t, settings, decodeServer("w1", 0))
 	gateway.requestChat("a", 1, 0)
-	gateway.expectSentTo("") // a writer that may not read
+	gateway.expectSentTo("") // decode servers may not prefill
 	settings.WritersRead = true
 	gateway = newGateway(t, settings, decodeServer("w1", 0))
 	gateway.requestChat("a", 1, 0)
@@ -69,7 +70,7 @@
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 	gateway.handle(Request{ID: "a", Class: "chat", Session: 1, PromptTokens: 100, TimeLeft: 300 * ms})
 	if a, _ := firstAction[Attempt](gateway); a.Timeout != 300*ms {
-		t.Errorf("time-out %v, want the 300ms left", a.Timeout)
+		t.Errorf("timeout %v, want the 300ms that are left", a.Timeout)
 	}
 	gateway.now += 300 * ms
 	gateway.endAttempt("a", 0, "r1", NoAnswer)
@@ -79,7 +80,8 @@
 	expectNoAction[Attempt](gateway)
 }
 
-// A client that leaves in mid-answer must not teach the pace of first tokens.
+// A client that leaves during the answer says nothing of the time to first token: the whole time of its attempt, here a
+// minute, must not enter the latency estimate.
 func TestLatencyEstimate_ClientLeavesDuringAnswer(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 	gateway.requestChat("a", 1, 0)
@@ -88,6 +90,6 @@
 	before := gateway.scheduler.pace[writing]
 	gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: CalledOff, Done: true, Latency: time.Minute})
 	if gateway.scheduler.pace[writing] != before || len(gateway.scheduler.reqs) != 0 {
-		t.Errorf("pace %+v, was %+v; left %v", gateway.scheduler.pace[writing], before, gateway.scheduler.reqs)
+		t.Errorf("latency estimate %+v, was %+v; requests still kept: %v", gateway.scheduler.pace[writing], before, gateway.scheduler.reqs)
 	}
 }
--- a/placement_test.go
+++ b/placement_test.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
+// A prompt goes to the prefill server that holds most of it, unless that server has far more in flight than others.
 func TestPrefillChoice_PrefixAgainstLoad(t *testing.T) {
 	tests := []struct {
 		name       string
-		unfinished map[string]int // unfinished
-		prefilled  map[string]int // prompts of the prefix read before
+		unfinished map[string]int // prefills in flight, by server
+		prefilled  map[string]int // prompts with the prefix that a server has served
 		want       string
 	}{
-		{"match beats an idle reader", map[string]int{"r1": 1}, map[string]int{"r1": 1}, "r1"},
-		{"equal matches go by count", map[string]int{"r1": 3, "r2": 1}, map[string]int{"r1": 1, "r2": 1}, "r2"},
-		{"gap ignores matches", map[string]int{"r1": countGap + 1}, map[string]int{"r1": 1}, "r2"},
-		{"at the gap matches count", map[string]int{"r1": countGap}, map[string]int{"r1": 1}, "r1"},
-		{"above mean and deviations", map[string]int{"r1": 12}, map[string]int{"r1": 1}, "not r1"},
+		{"cached prefix beats idle server", map[string]int{"r1": 1}, map[string]int{"r1": 1}, "r1"},
+		{"equal prefixes, fewer in flight", map[string]int{"r1": 3, "r2": 1}, map[string]int{"r1": 1, "r2": 1}, "r2"},
+		{"gap in load overrides prefix", map[string]int{"r1": countGap + 1}, map[string]int{"r1": 1}, "r2"},
+		{"prefix counts at the gap", map[string]int{"r1": countGap}, map[string]int{"r1": 1}, "r1"},
+		{"above mean and deviations of load", map[string]int{"r1": 12}, map[string]int{"r1": 1}, "not r1"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			servers := []Server{prefillServer("r1"), prefillServer("r2")}
-			if strings.HasPrefix(tt.name, "above") { // one of six stands out by more than two deviations
+			if strings.HasPrefix(tt.name, "above") { // one of six is above the mean by more than two standard deviations
 				servers = append(servers, prefillServer("r3"), prefillServer("r4"), prefillServer("r5"), prefillServer("r6"))
 			}
 			gateway := newGateway(t, testSettings(), servers...)
@@ -41,8 +42,8 @@
 	}
 }
 
-// A prefix has two homes, the session tells which: alike at all nodes, so that
-// a session's next turn finds its texts although another node decides.
+// A prefix has two affinity targets, of which the session's hash picks one. All gateways agree on it, so that a session's
+// next turn finds its KV cache although another gateway decides.
 func TestAffinityTargets_SameAtAllGateways(t *testing.T) {
 	servers := []Server{prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), decodeServer("w1", 0)}
 	seen := map[ServerID]bool{}
@@ -55,21 +56,21 @@
 			firstSent, _ := firstAction[Attempt](first)
 			secondSent, _ := firstAction[Attempt](second)
 			if firstSent.Server != secondSent.Server {
-				t.Fatalf("prefix %d, session %d: %s and %s", prefix, session, firstSent.Server, secondSent.Server)
+				t.Fatalf("prefix %d, session %d: two gateways send to %s and %s", prefix, session, firstSent.Server, secondSent.Server)
 			}
 			seen[firstSent.Server], targets[firstSent.Server] = true, true
 		}
 		if len(targets) > 2 {
-			t.Errorf("prefix %d has %d homes", prefix, len(targets))
+			t.Errorf("prefix %d has %d affinity targets, want at most 2", prefix, len(targets))
 		}
 	}
 	if len(seen) != 3 {
-		t.Errorf("30 prefixes hash to %d of 3 readers", len(seen))
+		t.Errorf("30 prefixes hash to %d of 3 prefill servers, want all", len(seen))
 	}
 }
 
-// A prefix that only an ejected reader holds is not unknown: it goes to the
-// fewest-running reader, not to a hash that may be busy.
+// A prefix that only an ejected server holds goes to the server with the fewest prefills in flight, not to an affinity
+// target that may be busy.
 func TestPrefillChoice_PrefixAtEjectedServer(t *testing.T) {
 	for prefix := uint64(1); prefix < 20; prefix++ {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), decodeServer("w1", 0))
@@ -82,6 +83,7 @@
 	}
 }
 
+// Cached blocks are forgotten after their expiry and are capped in number.
 func TestPrefixTable_ExpiryAndCap(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"))
 	server := gateway.scheduler.servers["r1"]
@@ -89,22 +91,23 @@
 	gateway.scheduler.now = gateway.now
 	gateway.scheduler.table.Record(gateway.now, server.runs, req.parts(), true)
 	if got, _ := gateway.scheduler.match(req, server); got != 320 {
-		t.Fatalf("holds %v tokens, want 320", got)
+		t.Fatalf("server holds %v tokens, want 320", got)
 	}
 	gateway.scheduler.now += blockExpiry
 	if got, _ := gateway.scheduler.match(req, server); got != 0 {
-		t.Errorf("holds %v tokens after the expiry", got)
+		t.Errorf("server holds %v tokens after the expiry, want 0", got)
 	}
 	for i := uint64(2); i < 30; i++ {
 		gateway.scheduler.table.Record(gateway.now, server.runs, (&request{Request: Request{Session: i, PromptTokens: 10000 * blockTokens}}).parts(), false)
 	}
 	if gateway.scheduler.table.Blocks() != maxBlocks || gateway.scheduler.table.Len() != len(server.runs) || len(server.runs) != 20 {
-		t.Errorf("table holds %d blocks in %d and %d runs, want %d", gateway.scheduler.table.Blocks(), gateway.scheduler.table.Len(), len(server.runs), maxBlocks)
+		t.Errorf("table holds %d blocks in %d runs, the server %d runs; want %d blocks in 20 runs",
+			gateway.scheduler.table.Blocks(), gateway.scheduler.table.Len(), len(server.runs), maxBlocks)
 	}
 }
 
-// A reader that kept under half of what it surely held has forgotten the rest:
-// the other prefixes aimed at it must not follow.
+// A server that reports that it kept less than half of what it surely held has flushed its cache. Its blocks are all
+// forgotten, as other prefixes would otherwise still be sent to it.
 func TestPrefixTable_ServerFlushedItsCache(t *testing.T) {
 	for _, tt := range []struct{ kept, want float64 }{{0, 0}, {320, 320}} {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
@@ -118,11 +121,12 @@
 		gateway.handle(Outcome{ID: "b", Server: "r1", Status: Parsed, Note: tt.kept, Latency: 50 * ms})
 		other := &request{Request: Request{Session: 2, PromptTokens: 320}}
 		if got, _ := gateway.scheduler.match(other, gateway.scheduler.servers["r1"]); got != tt.want {
-			t.Errorf("kept %v: the other session's match is %v, want %v", tt.kept, got, tt.want)
+			t.Errorf("server kept %v tokens: it holds %v tokens of the other session, want %v", tt.kept, got, tt.want)
 		}
 	}
 }
 
+// A server with a new start time has an empty cache.
 func TestPrefixTable_ServerRestarted(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 	gateway.requestChat("a", 1, 0)
@@ -130,11 +134,12 @@
 	restarted.Started = gateway.now
 	gateway.handle(Members{Form: ListPatch, Entries: []Server{restarted}})
 	if got := len(gateway.scheduler.servers["r1"].runs); got != 0 {
-		t.Errorf("%d blocks left after a restart", got)
+		t.Errorf("%d runs still known after a restart, want none", got)
 	}
 }
 
-// Counts of this node alone would set off the gap test against reports of all nodes.
+// The gateway's own count of prefills in flight is scaled up to all gateways. Unscaled, it would look like a gap in load
+// beside reports, which cover all gateways.
 func TestLoadEstimate_OwnCountsAndReports(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 3
@@ -143,29 +148,30 @@
 	server.reads = 2
 	count, _ := gateway.scheduler.counts(RoleRead)
 	if got := count(server); got != 6 {
-		t.Errorf("count is %v, want 6", got)
+		t.Errorf("estimate of %v in flight, want 6", got)
 	}
 	gateway.handle(Probed{Server: "r1", Status: Served, Report: Report{ReportInFlight: 9}})
 	if got := count(server); got != 9 {
-		t.Errorf("count is %v, want the reported 9", got)
+		t.Errorf("estimate of %v in flight, want the reported 9", got)
 	}
 }
 
+// An answer goes to a decode server in the cell of the prefill server, as long as free memory there is near to the best.
 func TestDecodeChoice_FreeMemory(t *testing.T) {
 	tests := []struct {
 		name string
-		used map[string]float64 // reported share of memory
-		held map[string]float64 // own tokens
+		used map[string]float64 // reported share of memory in use
+		held map[string]float64 // tokens of the gateway's own requests
 		want string
 	}{
-		{"the reader's cell", map[string]float64{"near": 0.4, "far": 0.1}, nil, "near"},
-		{"far where near is nearly full", map[string]float64{"near": 0.9, "far": 0.1}, nil, "far"},
-		{"near while there is room for long", map[string]float64{"near": 0.63, "far": 0.1}, nil, "near"},
-		{"far where there is not", map[string]float64{"near": 0.72, "far": 0.1}, nil, "far"},
-		{"own streams without reports", nil, map[string]float64{"near": 90000}, "far"},
-		{"own streams against an old report", map[string]float64{"near": 0.1, "far": 0.1},
+		{"cell of the prefill server", map[string]float64{"near": 0.4, "far": 0.1}, nil, "near"},
+		{"far if near is almost full", map[string]float64{"near": 0.9, "far": 0.1}, nil, "far"},
+		{"near if memory suffices", map[string]float64{"near": 0.63, "far": 0.1}, nil, "near"},
+		{"far if memory does not suffice", map[string]float64{"near": 0.72, "far": 0.1}, nil, "far"},
+		{"own requests without reports", nil, map[string]float64{"near": 90000}, "far"},
+		{"own requests beside an old report", map[string]float64{"near": 0.1, "far": 0.1},
 			map[string]float64{"near": 90000}, "far"},
-		{"unheard counts as average", map[string]float64{"near": 0.9, "mid": 0.3}, nil, "mid"},
+		{"no report counts as average", map[string]float64{"near": 0.9, "mid": 0.3}, nil, "mid"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -188,8 +194,8 @@
 	}
 }
 
-// With age a report counts less, and what all tell counts instead: a writer that told an hour ago that it is nearly full is
-// taken as one with the average room.
+// The older a report, the less it counts against the mean of all reports: a decode server that reported an hour ago that
+// it is almost full is taken to have average free memory.
 func TestDecodeChoice_OldReport(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("near", 0), decodeServer("far", 2))
 	near, far := gateway.scheduler.servers["near"], gateway.scheduler.servers["far"]
@@ -202,8 +208,8 @@
 	}
 }
 
-// A connection may fail while the writer that holds the place, and the state that
-// has moved there, is well: it is tried once more before the others, which lack it.
+// A connection may fail although the decode server that holds the reservation, and has fetched the KV state, is healthy.
+// It is tried once more before other servers, which have neither.
 func TestReservation_ConnectionFails(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0))
 	gateway.requestChat("a", 1, 0)
@@ -215,11 +221,11 @@
 	gateway.expectSentTo(string(reservation.Server))
 	gateway.endAttempt("a", 2, string(reservation.Server), NoConnection)
 	if next, _ := firstAction[Attempt](gateway); next.Server == reservation.Server || next.Server == "" {
-		t.Errorf("then sent to %q", next.Server)
+		t.Errorf("third attempt at %q, want another server than the holder", next.Server)
 	}
 }
 
-// A refused place leads to the next roomiest writer, once.
+// After a refused reservation the decode server with the next most free memory is asked, once.
 func TestReservation_Refused(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0), decodeServer("w3", 0))
 	gateway.requestChat("a", 1, 0)
@@ -227,22 +233,24 @@
 	gateway.handle(PlaceNote{ID: "a", Server: first.Server})
 	second, ok := firstAction[Ahead](gateway)
 	if !ok || second.Server == first.Server {
-		t.Fatalf("after %s was refused: %v", first.Server, gateway.actions)
+		t.Fatalf("after %s refused a reservation: actions %v, want a reservation at another server", first.Server, gateway.actions)
 	}
 	gateway.handle(PlaceNote{ID: "a", Server: second.Server})
 	expectNoAction[Ahead](gateway)
 }
 
+// The decode server that granted the reservation gets the attempt, although another has more free memory by then.
 func TestReservation_Granted(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0))
 	gateway.requestChat("a", 1, 0)
 	reservation, _ := firstAction[Ahead](gateway)
 	gateway.handle(PlaceNote{ID: "a", Server: reservation.Server, Held: true})
-	gateway.scheduler.servers[reservation.Server].held = 90000 // no longer the roomiest
+	gateway.scheduler.servers[reservation.Server].held = 90000 // no longer the one with the most free memory
 	gateway.endAttempt("a", 0, "r1", Parsed)
 	gateway.expectSentTo(string(reservation.Server))
 }
 
+// No reservation is asked for where the settings don't allow it.
 func TestReservation_Disabled(t *testing.T) {
 	settings := testSettings()
 	settings.Ahead = false
@@ -252,8 +260,8 @@
 	expectNoAction[Ahead](gateway)
 }
 
-// While states are slow to leave a cell, reads go where a writer of the cell has
-// room; else a prefix stays where it is known.
+// While transfers of KV state between cells are slow, prompts go to cells where a decode server has free memory.
+// Otherwise they go where their prefix is cached.
 func TestPrefillChoice_SlowTransfers(t *testing.T) {
 	for _, tt := range []struct {
 		name       string
@@ -262,17 +270,17 @@
 		used       map[ServerID]float64
 		want       string
 	}{
-		{"moves are fast", 60 * ms, 0, nil, "r1"},
-		{"moves are slow", 2 * time.Second, 0, nil, "r2"},
-		{"moves were slow long ago", 2 * time.Second, time.Minute, nil, "r1"},
-		{"its writer is full", 2 * time.Second, 0, map[ServerID]float64{"w2": 0.9, "w3": 0.1}, "r3"},
+		{"transfers are fast", 60 * ms, 0, nil, "r1"},
+		{"transfers are slow", 2 * time.Second, 0, nil, "r2"},
+		{"transfers were slow long ago", 2 * time.Second, time.Minute, nil, "r1"},
+		{"decode server is full", 2 * time.Second, 0, map[ServerID]float64{"w2": 0.9, "w3": 0.1}, "r3"},
 	} {
 		servers := []Server{prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), decodeServer("w2", 2), decodeServer("w3", 3)}
 		for i := range 3 {
-			servers[i].Cell = i + 1 // r1 has no writer beside it
+			servers[i].Cell = i + 1 // there is no decode server in the cell of r1
 		}
 		gateway := newGateway(t, testSettings(), servers...)
-		known := &request{Request: Request{Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}}
+		req := &request{Request: Request{Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}}
 		gateway.scheduler.pace[writing].Observe(gateway.now, 50*ms, 320)
 		gateway.scheduler.pace[writingFar].Observe(gateway.now, tt.farLatency, 320)
 		gateway.now += tt.age
@@ -283,7 +291,7 @@
 			gateway.scheduler.servers[id].report, gateway.scheduler.servers[id].reportAt = Report{ReportMemory: x}, gateway.now
 		}
 		gateway.scheduler.now = gateway.now
-		gateway.scheduler.table.Record(gateway.now, gateway.scheduler.servers["r1"].runs, known.parts(), true)
+		gateway.scheduler.table.Record(gateway.now, gateway.scheduler.servers["r1"].runs, req.parts(), true)
 		gateway.requestChat("a", 1, 7)
 		if a, _ := firstAction[Attempt](gateway); string(a.Server) != tt.want {
 			t.Errorf("%s: sent to %q, want %s", tt.name, a.Server, tt.want)
--- a/readme_test.go
+++ b/readme_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The README's examples are the programs under examples, which CI builds.
+// The example code in the README is that of the programs under examples, which CI builds. Otherwise it could go stale.
 func TestReadme_Examples(t *testing.T) {
 	readme, err := os.ReadFile("README.md")
 	if err != nil {
@@ -19,7 +19,7 @@
 		}
 		_, body, ok := strings.Cut(string(code), "\n")
 		if !ok || !strings.Contains(string(readme), "```go\n"+body+"```") {
-			t.Errorf("%s is not in the README as it stands", name)
+			t.Errorf("README.md does not contain the present code of %s", name)
 		}
 	}
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Rule 1: with nobody to send to, one refusal comes in time.
+// Rule 1: each request gets exactly one final answer, within its deadline. Here there is no server, or none of one stage.
 func TestFinalAnswer_NoServer(t *testing.T) {
 	for _, servers := range [][]Server{nil, {prefillServer("r1")}, {decodeServer("w1", 0)}} {
 		gateway := newGateway(t, testSettings(), servers...)
 		gateway.requestChat("a", 1, 0)
 		answers := runUntilIdle(gateway, 5*time.Second)
 		if answers != 1 {
-			t.Errorf("list %v: %d final answers in time, want 1", servers, answers)
+			t.Errorf("servers %v: %d final answers within the deadline, want 1", servers, answers)
 		}
 	}
 }
 
-// run lets timers fire and reads end for a while and counts final answers.
+// runUntilIdle runs timers and ends prefills until none is left within a duration, and counts final answers.
 func runUntilIdle(gateway *testGateway, d time.Duration) (answers int) {
 	var timers []SetTimer
 	for end := gateway.now + d; ; {
@@ -52,16 +52,17 @@
 	}
 }
 
+// Rule 2: a request is repeated only as far as the effect of its class allows.
 func TestRetry_ClassEffects(t *testing.T) {
 	tests := []struct {
 		class  string
 		status Status
-		want   string // where the next attempt goes; refuse or fail otherwise
+		want   string // server of the next attempt, or "fail"
 	}{
 		{"chat", ServerError, "w2"},
 		{"pay", ServerError, "fail"}, {"pay", NoAnswer, "fail"}, {"pay", CalledOff, "fail"},
 		{"pay", NoConnection, "w2"}, {"pay", TurnedAway, "w2"},
-		{"order", ServerError, "fail"}, // w2 is not of the group
+		{"order", ServerError, "fail"}, // w2 is not in the group
 		{"order", NoConnection, "w2"},
 	}
 	for _, tt := range tests {
@@ -75,7 +76,7 @@
 			continue
 		}
 		expectNoAction[Attempt](gateway)
-		for i := 0; i < 40 && len(gateway.scheduler.reqs) > 0; i++ { // it may look for a server of the group for a while
+		for i := 0; i < 40 && len(gateway.scheduler.reqs) > 0; i++ { // it may wait for a server of the group for a while
 			gateway.now += 50 * ms
 			if timer, ok := firstAction[SetTimer](gateway); ok {
 				gateway.handle(Timer{timer.Token})
@@ -86,26 +87,28 @@
 	}
 }
 
+// Repeats of a token request stay within its group, which drops them, and its window.
 func TestRetry_TokenGroupAndWindow(t *testing.T) {
 	req := &request{class: &Class{Effect: Token, Group: ScopeZone, Window: time.Second}}
 	req.ran = &attempt{srv: &server{Server: Server{Zone: "a", Cell: 1}}}
 	same, other := &server{Server: Server{Zone: "a", Cell: 2}}, &server{Server: Server{Zone: "b", Cell: 1}}
 	if !req.mayRunOn(same, 999*ms) || req.mayRunOn(same, time.Second) || req.mayRunOn(other, 0) {
-		t.Error("zone group or window not kept")
+		t.Error("zone group: a repeat may run outside the zone or the window, or not within them")
 	}
 	req.class.Group = ScopeCell
 	if req.mayRunOn(same, 0) || !req.mayRunOn(other, 0) {
-		t.Error("cell group not kept")
+		t.Error("cell group: a repeat may run outside the cell, or not within it")
 	}
 }
 
 func TestRetry_AttemptLimit(t *testing.T) {
-	gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), prefillServer("r4"), prefillServer("r5"), decodeServer("w1", 0))
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), prefillServer("r3"),
+		prefillServer("r4"), prefillServer("r5"), decodeServer("w1", 0))
 	gateway.requestChat("a", 1, 0)
 	for i := 0; i < 4; i++ {
 		a, ok := firstAction[Attempt](gateway)
 		if !ok {
-			t.Fatalf("attempt %d missing", i)
+			t.Fatalf("no attempt %d", i)
 		}
 		gateway.endAttempt("a", i, string(a.Server), ServerError)
 	}
@@ -113,6 +116,7 @@
 	expectNoAction[Attempt](gateway)
 }
 
+// Rule 3: a server that drains, is gone or is missing in a snapshot gets no new work.
 func TestDrain_NoNewWork(t *testing.T) {
 	for _, state := range []ServerState{StateFading, StateOff} {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
@@ -127,12 +131,12 @@
 		}
 	}
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
-	gateway.handle(Members{Form: ListWhole, Entries: []Server{decodeServer("w1", 0)}}) // absent = gone
+	gateway.handle(Members{Form: ListWhole, Entries: []Server{decodeServer("w1", 0)}}) // a snapshot without r1: it is gone
 	gateway.requestChat("a", 1, 0)
 	gateway.expectSentTo("")
 }
 
-// A draining holder of a place gets nothing, though its place was held.
+// Rule 3: a decode server that drains gets no attempt, although it has granted a reservation.
 func TestDrain_ReservationHolder(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0))
 	gateway.requestChat("a", 1, 0)
@@ -143,18 +147,18 @@
 	gateway.handle(Members{Form: ListPatch, Entries: []Server{draining}})
 	gateway.endAttempt("a", 0, "r1", Parsed)
 	if a, _ := firstAction[Attempt](gateway); a.Server == reservation.Server || a.Server == "" {
-		t.Errorf("sent to %q", a.Server)
+		t.Errorf("sent to %q, want the decode server that does not drain", a.Server)
 	}
 }
 
-// Rule 4, and what broke it first: rejected sends swelled the learned rate,
-// and with it the budget, until cold servers were pushed over.
+// Rule 4: servers in slow start get at most the slow-start budget. When sends that a server turned away counted towards
+// the rate that servers are seen to handle, the budget grew with them until cold servers were overloaded.
 func TestSlowStartBudget_RefusedSends(t *testing.T) {
-	cold := prefillServer("r1")
-	cold.Started = time.Hour
+	starting := prefillServer("r1")
+	starting.Started = time.Hour
 	settings := testSettings()
 	settings.Limits.MaxAttempts = 0
-	gateway := newGateway(t, settings, cold, decodeServer("w1", 0))
+	gateway := newGateway(t, settings, starting, decodeServer("w1", 0))
 	sends := 0
 	for i := uint64(0); i < 50; i++ {
 		gateway.requestChat(fmt.Sprint(i), i, 0)
@@ -166,15 +170,15 @@
 		gateway.now += 10 * ms
 	}
 	if sends != 1 {
-		t.Errorf("%d sends to a cold server in half a window without any known capacity, want 1", sends)
+		t.Errorf("%d sends to a server in slow start in half a window while no capacity is known, want 1", sends)
 	}
 	gateway.now += settings.Rules.ColdTime
 	gateway.requestChat("late", 1, 0)
 	gateway.expectSentTo("r1")
 }
 
-// In a rolling deploy few warm servers are left; what all did before must not
-// be taken for what each of these few can do.
+// Rule 4: in a rolling deploy few warm servers are left. What all servers finished before must not count as what each of
+// these few can do.
 func TestSlowStartBudget_RollingDeploy(t *testing.T) {
 	budget := func(warm int) (sends int) {
 		var servers []Server
@@ -197,39 +201,39 @@
 		return sends
 	}
 	if few, many := budget(1), budget(4); few != many || few < 2 {
-		t.Errorf("budget of %d sends with one warm peer, %d with four", few, many)
+		t.Errorf("slow-start budget of %d sends with one warm peer, %d with four; want the same, and at least 2", few, many)
 	}
 }
 
-// Rule 5: each way to an end lets go of what is held.
+// Rule 5: what servers hold for a request is released, in whichever way the request ends.
 func TestRelease_RequestEnds(t *testing.T) {
 	begin := func() *testGateway {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 		gateway.requestChat("a", 1, 0)
 		return gateway
 	}
-	gateway := begin() // the client leaves during the read, whose state comes in later
+	gateway := begin() // the client leaves during prefill, which leaves KV state later
 	gateway.handle(Gone{"a"})
 	expectAction[Release](gateway)
 	gateway.endAttempt("a", 0, "r1", Parsed)
 	expectAction[Release](gateway)
-	gateway = begin() // all writers are gone when the read ends
+	gateway = begin() // all decode servers are gone when the prefill ends
 	gateway.handle(Members{Form: ListWhole, Entries: []Server{prefillServer("r1")}})
 	gateway.endAttempt("a", 0, "r1", Parsed)
 	if runUntilIdle(gateway, 900*ms) != 1 {
 		t.Error("no final answer within the release time")
 	}
 	expectAction[Release](gateway)
-	gateway = begin() // the writer fails for good
+	gateway = begin() // the decode server fails for good
 	gateway.endAttempt("a", 0, "r1", Parsed)
 	gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: NoAnswer, Done: true})
 	expectAction[Release](gateway)
-	gateway = begin() // the reader turns the request away while a place is held, and no other is there
+	gateway = begin() // the only prefill server turns the request away while a reservation is held
 	holder := gateway.scheduler.reqs["a"].ahead
 	gateway.handle(PlaceNote{ID: "a", Server: holder.ID, Held: true})
 	gateway.endAttempt("a", 0, "r1", TurnedAway)
 	expectAction[Release](gateway)
-	gateway = begin() // the time is over
+	gateway = begin() // the deadline passes
 	gateway.now += 5 * time.Second
 	gateway.endAttempt("a", 0, "r1", NoAnswer)
 	expectAction[Refuse](gateway)
--- a/share_test.go
+++ b/share_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Two processes that count as one node send a cold server together no more than the one
-// alone would, and an engine that the list has lost or drains counts as it should.
+// Two processes of one gateway, as during a handover, together send a server in slow start no more than one would alone,
+// and no less than half of that.
 func TestSlowStartBudget_TwoProcesses(t *testing.T) {
 	sends := func(processes int) (total int) {
 		settings := testSettings()
@@ -16,21 +16,21 @@
 		for range processes {
 			gateway := newGateway(t, settings, prefillServer("warm"), prefillServer("cold"))
 			gateway.scheduler.copies = float64(processes)
-			cold := gateway.scheduler.servers["cold"]
-			for i := range 200 { // what a warm reader is seen to do
+			starting := gateway.scheduler.servers["cold"]
+			for i := range 200 { // work that the warm server is seen to finish
 				gateway.scheduler.servers["warm"].done.Add(gateway.now+time.Duration(i)*10*time.Millisecond, time.Second, 1000)
 			}
 			gateway.now += 2 * time.Second
-			cold.Started, cold.since = gateway.now, gateway.now-time.Second
+			starting.Started, starting.since = gateway.now, gateway.now-time.Second
 			for range 100 {
 				req := &request{Request: Request{ID: RequestID(fmt.Sprint(total)), Class: "chat", PromptTokens: 1000}, class: gateway.scheduler.classes["chat"]}
 				gateway.scheduler.now = gateway.now
 				if req.class == nil {
-					t.Fatal("no such class")
+					t.Fatal("the settings have no class chat")
 				}
 				gateway.scheduler.cost[req.class] = 1000
-				if gateway.scheduler.slowStartAllows(cold, req) {
-					cold.sends.Add(gateway.now, 1000)
+				if gateway.scheduler.slowStartAllows(starting, req) {
+					starting.sends.Add(gateway.now, 1000)
 					total++
 				}
 			}
@@ -39,10 +39,12 @@
 	}
 	one, two := sends(1), sends(2)
 	if one < 4 || two > one || two < one/2 {
-		t.Errorf("one process sends %d, two together %d", one, two)
+		t.Errorf("one process sends %d, two processes together %d", one, two)
 	}
 }
 
+// Engines counts the listed engines, without those that are gone, and those of them that get no requests because they
+// drain or are ejected.
 func TestRouterEngines_ListedAndAvoided(t *testing.T) {
 	var clock stubClock
 	router, err := NewRouter(testSettings(), 1, &clock, func(Server) {})
@@ -70,6 +72,7 @@
 	expect(1, 0)
 }
 
+// stubClock is a clock that stands still, in milliseconds.
 type stubClock float64
 
 func (c *stubClock) Now() float64 { return float64(*c) }
--- a/size_test.go
+++ b/size_test.go
@@ -10,29 +10,30 @@
 	"ashwood.example/ashwood/internal/trend"
 )
 
-// This file holds what must be so with many nodes, each seeing little.
+// This file tests fleets with many gateways, each of which sees few of the requests.
 
+// settingsForGateways returns settings for a number of gateways, with servers that report no load.
 func settingsForGateways(nodes int) Settings {
 	settings := testSettings()
 	settings.Nodes, settings.Reports = nodes, ReportNone
 	return settings
 }
 
-// fleetOf is readers and writers in cells of five.
-func newFleet(readers, writers int) (servers []Server) {
-	for i := 0; i < readers; i++ {
+// newFleet returns prefill and decode servers in cells of two prefill and three decode servers.
+func newFleet(prefillServers, decodeServers int) (servers []Server) {
+	for i := 0; i < prefillServers; i++ {
 		server := prefillServer(fmt.Sprint("r", i))
 		server.Cell = i / 2
 		servers = append(servers, server)
 	}
-	for i := 0; i < writers; i++ {
+	for i := 0; i < decodeServers; i++ {
 		servers = append(servers, decodeServer(fmt.Sprint("w", i), i/3))
 	}
 	return servers
 }
 
-// One own read in flight, times the nodes, passed the gap and the cap: with
-// many nodes it must not drive a prompt from the reader that holds its prefix.
+// With many gateways, one prefill of the gateway's own in flight must not divert a prompt from the server that holds its
+// prefix. Multiplied by the number of gateways, it had exceeded both the gap and the cap on load.
 func TestPrefillChoice_ManyGateways(t *testing.T) {
 	for _, nodes := range []int{50, 300} {
 		gateway := newGateway(t, settingsForGateways(nodes), newFleet(30, 30)...)
@@ -43,8 +44,8 @@
 	}
 }
 
-// Many nodes know of most readers nothing new: one that is unheard is like the mean, not
-// idle, or all would prefer it to a home that they have heard from, and find it overloaded.
+// Each of many gateways has no recent report of most servers. A server without a report counts as having the mean load,
+// not as idle. Otherwise all gateways would prefer it to an affinity target that has reported, and overload it.
 func TestPrefillChoice_ServerWithoutReport(t *testing.T) {
 	for _, nodes := range []int{50, 300} {
 		settings := settingsForGateways(nodes)
@@ -54,14 +55,14 @@
 		first, _ := firstAction[Attempt](gateway)
 		for _, v := range gateway.scheduler.order {
 			switch v.ID {
-			case first.Server: // it holds the prefix and is at work
+			case first.Server: // it holds the prefix and is busy
 				v.report, v.reportAt = Report{ReportInFlight: 2}, gateway.now
 			case "r1", "r2", "r3":
 				v.report, v.reportAt = Report{ReportInFlight: 3}, gateway.now
 			}
 		}
-		gateway.scheduler.servers[first.Server].reads = 0 // what is in flight here tells nothing
-		for key := uint64(2); ; key++ {                   // a session that would come here too
+		gateway.scheduler.servers[first.Server].reads = 0 // the gateway's own requests in flight must not matter
+		for key := uint64(2); ; key++ {                   // find a session with the same affinity target
 			otherGateway := newGateway(t, settings, newFleet(30, 0)...)
 			otherGateway.requestChat("b", key, 7)
 			if a, _ := firstAction[Attempt](otherGateway); a.Server == first.Server {
@@ -72,30 +73,32 @@
 		}
 		gateway.scheduler.servers[first.Server].report = Report{ReportInFlight: 30}
 		if gateway.requestChat("c", 1, 7); slices.Contains(gateway.actions, Action(Attempt{ID: "c", Server: first.Server, Timeout: 5 * time.Second})) {
-			t.Errorf("%d nodes: a overloaded home is taken", nodes)
+			t.Errorf("%d gateways: request sent to an overloaded affinity target", nodes)
 		}
 	}
 }
 
+// The estimate for the fleet multiplies a gateway's own count by the number of gateways where that is reliable. With many
+// gateways a small count may be chance and must not be multiplied.
 func TestFleetEstimate_ManyGateways(t *testing.T) {
 	for _, tt := range []struct {
 		nodes     int
 		own, mean float64
 		low, high float64
 	}{
-		{1, 3, 1, 3, 3}, {2, 3, 1, 6, 6}, // own counts tell
+		{1, 3, 1, 3, 3}, {2, 3, 1, 6, 6}, // own counts are reliable
 		{50, 1, 0.04, 1, countGap}, {300, 1, 0.01, 1, countGap}, // chance
 		{50, 20, 2, 300, 1000}, // more than chance gives
 		{50, 0, 0, 0, 0},
 	} {
 		if got := trend.Fleet(tt.nodes, tt.own, tt.mean, 1); got < tt.low || got > tt.high {
-			t.Errorf("%d nodes, own %v of mean %v: %v", tt.nodes, tt.own, tt.mean, got)
+			t.Errorf("%d gateways, own count %v, mean %v: estimate %v, want %v to %v", tt.nodes, tt.own, tt.mean, got, tt.low, tt.high)
 		}
 	}
 }
 
-// A node that hears of a server every many seconds must not take silence for
-// death: an attempt past its limit keeps its place until its aim has passed.
+// A gateway that receives something from a server only every many seconds must not take silence for a fault. With many
+// gateways an attempt past its limit is cancelled only when its aim has passed.
 func TestOverdueAttempt_ManyGateways(t *testing.T) {
 	for nodes, want := range map[int]bool{1: true, 100: false} {
 		gateway := newGateway(t, settingsForGateways(nodes), newFleet(20, 20)...)
@@ -110,22 +113,22 @@
 		gateway.scheduler.overdue(gateway.scheduler.reqs["a"], 0)
 		gateway.actions = gateway.scheduler.out
 		if _, got := firstAction[Cancel](gateway); got != want {
-			t.Errorf("%d nodes: called off %v, want %v", nodes, got, want)
+			t.Errorf("%d gateways: cancelled %v, want %v", nodes, got, want)
 		}
 		gateway.now += time.Second
 		gateway.scheduler.now, gateway.scheduler.out = gateway.now, nil
 		gateway.scheduler.overdue(gateway.scheduler.reqs["a"], 0)
 		gateway.actions = gateway.scheduler.out
-		expectAction[Cancel](gateway) // an answer that never comes, though the server may serve others
+		expectAction[Cancel](gateway) // the answer may never come although the server serves others
 		gateway.endAttempt("a", 0, string(first.Server), CalledOff)
 		if second, _ := firstAction[Attempt](gateway); second.Server == first.Server || second.Server == "" {
-			t.Errorf("%d nodes: after %s to %q", nodes, first.Server, second.Server)
+			t.Errorf("%d gateways: first attempt at %s, second at %q, want another server", nodes, first.Server, second.Server)
 		}
 	}
 }
 
-// Where nothing of this node waits, the other nodes' may: late latencies refuse,
-// until they have aged, so that a node that refuses tries again.
+// With many gateways, requests of the others may be waiting although none of the gateway's own are. High latencies
+// therefore lead to refusals, until they have aged, so that a gateway that refuses tries again.
 func TestAdmission_FleetLatencies(t *testing.T) {
 	for _, tt := range []struct {
 		nodes   int
@@ -143,13 +146,13 @@
 		gateway.now += tt.age
 		gateway.requestChat("a", 1, 0)
 		if _, got := firstAction[Refuse](gateway); got != tt.refused {
-			t.Errorf("%d nodes, %v ago %v: refused %v, want %v", tt.nodes, tt.age, tt.latency, got, tt.refused)
+			t.Errorf("%d gateways, %v after a latency of %v: refused %v, want %v", tt.nodes, tt.age, tt.latency, got, tt.refused)
 		}
 	}
 }
 
-// A server that takes its time to say "full" has room and refuses one class or
-// tenant: others still go there, this one only where nothing else is left.
+// A full server refuses at once. One that refuses only after a while has capacity and refuses one class or tenant: other
+// classes still go there, this one only if no other server is left.
 func TestPause_SlowRefusal(t *testing.T) {
 	for latency, usableForOthers := range map[time.Duration]bool{2 * ms: false, 300 * ms: true} {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
@@ -158,7 +161,7 @@
 		gateway.handle(Outcome{ID: "a", Server: first.Server, Status: TurnedAway, Latency: latency})
 		second, _ := firstAction[Attempt](gateway)
 		if second.Server == first.Server {
-			t.Fatalf("%v: back to %s", latency, first.Server)
+			t.Fatalf("refusal after %v: second attempt at the same server %s", latency, first.Server)
 		}
 		gateway.requestChat("same", 1, 7)
 		gateway.expectSentTo(string(second.Server))
@@ -166,14 +169,15 @@
 			TimeLeft: 5 * time.Second})
 		third, _ := firstAction[Attempt](gateway)
 		if got := gateway.scheduler.usable(&request{class: gateway.scheduler.classes["pay"]}, gateway.scheduler.servers[first.Server]); got != usableForOthers {
-			t.Errorf("%v: usable for others %v, want %v; sent to %s", latency, got, usableForOthers, third.Server)
+			t.Errorf("refusal after %v: usable for other classes %v, want %v; another class was sent to %s",
+				latency, got, usableForOthers, third.Server)
 		}
 	}
 }
 
-// Six in ten engines are replaced at once, seen by eighty gateways that each send
-// an engine something every many seconds. The new ones get their part of the load,
-// none more than what it can do while cold allows, whoever finds it the roomiest.
+// Six in ten engines are replaced at once, while each of eighty gateways sends an engine something only every many
+// seconds. The new engines get their share of the load, but none gets more than its slow-start budget allows, although
+// many gateways may find that it has the most free memory.
 func TestSlowStartBudget_MostServersReplaced(t *testing.T) {
 	const nodes, perSecond, seconds = 80, 90, 12
 	settings := settingsForGateways(nodes)
@@ -221,23 +225,23 @@
 		}
 		got := sent[v.ID]
 		total[v.role] += len(got)
-		if maxRequests := capacity*seconds + nodes*2/3; float64(len(got)) > maxRequests { // each node may hold a turn in hand
-			t.Errorf("%s got %d requests, of %.0f that it can do", v.ID, len(got), maxRequests)
+		if maxRequests := capacity*seconds + nodes*2/3; float64(len(got)) > maxRequests { // each gateway may hold credit for a send
+			t.Errorf("%s got %d requests, limit %.0f", v.ID, len(got), maxRequests)
 		}
 		if inWindow := maxWithinWindow(got, settings.Rules.FallWindow); float64(inWindow) > slowStartLimit(capacity) {
-			t.Errorf("%s got %d requests within a second, of %.1f that it can do", v.ID, inWindow, capacity)
+			t.Errorf("%s got %d requests within a second, more than its slow-start budget of %.1f and the margin for chance", v.ID, inWindow, capacity)
 		}
 	}
-	// Without it the few that stay would do what all did: new ones have six in ten places.
+	// Otherwise the few old servers would carry the load of all; the new ones are six in ten.
 	for role, count := range total {
 		if share := float64(count) / (perSecond * seconds); share < 0.3 || share > 0.75 {
-			t.Errorf("role %d: new servers got %.2f of the requests", role, share)
+			t.Errorf("role %d: new servers got %.2f of the requests, want 0.3 to 0.75", role, share)
 		}
 	}
 }
 
-// Over eighty gateways and sixty engines, a request costs two probes at most, whatever
-// is known, and no gateway asks an engine again within the time for which news is fresh.
+// With eighty gateways and sixty engines, a request leads to two probes at most, whatever the gateway knows, and no
+// gateway probes an engine again while its last report is fresh (probeEvery).
 func TestProbe_ManyGateways(t *testing.T) {
 	const nodes, rounds = 80, 200
 	settings := testSettings()
@@ -257,7 +261,7 @@
 				}
 				probes++
 				if lastAt, probedBefore := lastProbe[probe.Server]; probedBefore && gateway.now-lastAt < probeEvery {
-					t.Errorf("%s is asked again after %v", probe.Server, gateway.now-lastAt)
+					t.Errorf("%s is probed again after %v", probe.Server, gateway.now-lastAt)
 				}
 				lastProbe[probe.Server] = gateway.now
 				gateway.handle(Probed{Server: probe.Server, Status: Served, Report: Report{ReportInFlight: 1}})
@@ -269,12 +273,13 @@
 	}
 }
 
-// Eighty gateways that have heard of no writer must not all take the one with the
-// largest memory in the reader's cell: the answers there would come too slowly.
+// Eighty gateways without load reports must not all choose the decode server with the largest memory in the prefill
+// server's cell, as answers there would come too slowly.
 func TestDecodeChoice_ManyGateways(t *testing.T) {
-	for nodes, minShare := range map[int]float64{3: 0, 80: 0.25} { // of the small writers' answers, by memory 0.33
+	// The least share of answers at the small server, by gateways; its share of the memory is 0.33.
+	for nodes, minShare := range map[int]float64{3: 0, 80: 0.25} {
 		settings := settingsForGateways(nodes)
-		settings.Kinds = []Kind{{Name: "reader", Role: RoleRead}, {Name: "writer", Role: RoleWrite, MemoryTokens: 200e3},
+		settings.Kinds = []Kind{{Name: "prefill", Role: RoleRead}, {Name: "decode", Role: RoleWrite, MemoryTokens: 200e3},
 			{Name: "small", Role: RoleWrite, MemoryTokens: 100e3}}
 		small, answers := 0, 0
 		for seed := range int64(80) {
@@ -293,14 +298,14 @@
 			}
 		}
 		if share := float64(small) / float64(answers); share < minShare || share > 0.45 || nodes == 3 && share > 0 {
-			t.Errorf("%d nodes: %.2f of the answers at the small writer", nodes, share)
+			t.Errorf("%d gateways: %.2f of the answers at the small decode server", nodes, share)
 		}
 	}
 }
 
-// A reader that hangs answers probes and says that it holds ever more. Many nodes
-// leave it alone at the first word, or its count would trip the gap test for every
-// request, or each of them would lose a request to it.
+// A prefill server that hangs still answers probes, and reports ever more in flight. With many gateways it is excluded at
+// the first such report. Otherwise its count would exceed the gap for every request, or each gateway would lose a request
+// to it.
 func TestPrefillChoice_OverloadedServer(t *testing.T) {
 	for _, tt := range []struct {
 		nodes    int
@@ -316,11 +321,12 @@
 		gateway.handle(Probed{Server: "r3", Status: Served, Report: Report{ReportInFlight: tt.inflight}})
 		pool := gateway.scheduler.pool(&request{class: gateway.scheduler.classes["chat"]}, reads)
 		if excluded := len(pool) == 5; excluded != tt.excluded {
-			t.Errorf("%+v: %d readers to choose from", tt, len(pool))
+			t.Errorf("%+v: %d of 6 prefill servers to choose from", tt, len(pool))
 		}
 	}
 }
 
+// What a scheduler remembers is bounded by the expiry of prefixes, not by how long it has run: here for ten minutes.
 func TestScheduler_MemoryBounded(t *testing.T) {
 	gateway := newGateway(t, settingsForGateways(2), newFleet(4, 4)...)
 	for i := 0; i < 3000; i++ {
@@ -333,14 +339,15 @@
 		gateway.handle(Outcome{ID: RequestID(id), Attempt: 1, Server: decodeAttempt.Server, Status: Served, Done: true, Latency: 9 * ms})
 	}
 	if maxRuns := int(2 * 2 * blockExpiry / (200 * ms)); gateway.scheduler.table.Len() > maxRuns || len(gateway.scheduler.reqs) > 0 {
-		t.Errorf("%d runs and %d requests remembered, at most %d and none", gateway.scheduler.table.Len(), len(gateway.scheduler.reqs), maxRuns)
+		t.Errorf("%d runs and %d requests remembered, want at most %d runs and no request",
+			gateway.scheduler.table.Len(), len(gateway.scheduler.reqs), maxRuns)
 	}
 	if math.Abs(gateway.scheduler.table.Uses()-float64(gateway.scheduler.table.Len()/2)) > 1 {
-		t.Errorf("%v uses counted for %d runs", gateway.scheduler.table.Uses(), gateway.scheduler.table.Len())
+		t.Errorf("%v uses counted for %d runs, want half as many", gateway.scheduler.table.Uses(), gateway.scheduler.table.Len())
 	}
 }
 
-// BenchmarkRequest is a request's whole life at a node with 100 servers.
+// BenchmarkRequest takes requests through prefill and decode at one of 300 gateways, with 100 servers.
 func BenchmarkRequest(b *testing.B) {
 	scheduler, err := New(settingsForGateways(300), 1)
 	if err != nil {
--- a/storm_test.go
+++ b/storm_test.go
@@ -7,7 +7,9 @@
 	"time"
 )
 
-// world checks the rules on a scheduler's actions under seeded events.
+// ruleChecker passes seeded random events to a scheduler and checks its actions against the rules: one final answer in
+// time (rule 1), no repeat of what may have run (rule 2), nothing to servers that drain (rule 3), and release of what
+// servers hold (rule 5).
 type ruleChecker struct {
 	t            *testing.T
 	rng          *rand.Rand
@@ -19,26 +21,30 @@
 	requestCount int
 }
 
+// requestRecord is what the checker knows of a request.
 type requestRecord struct {
 	class        string
 	deadline     time.Duration
 	attempts     []ServerID
-	inFlight     map[int]bool
-	mayHaveRun   bool // a writer may have run it
+	inFlight     map[int]bool // by number of the attempt
+	mayHaveRun   bool         // a decode server may have run it
 	answerBegun  bool
 	finalAnswers int
-	ended        bool
-	hasHolds     bool // a state or a place
-	lastOutcome  time.Duration
+	ended        bool          // served, or the client has left
+	hasHolds     bool          // KV state or a reservation
+	lastActivity time.Duration // the last outcome or, if later, the request for a reservation
 }
 
 var randomEventServers = []Server{
-	prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), decodeServer("w1", 0), decodeServer("w2", 0), decodeServer("w3", 1),
+	prefillServer("r1"), prefillServer("r2"), prefillServer("r3"),
+	decodeServer("w1", 0), decodeServer("w2", 0), decodeServer("w3", 1),
 	{ID: "m1", Zone: "b", Cell: 2, Kind: "mixed", State: StateOn},
 }
 
+// isPrefillID reports whether a server of randomEventServers is a prefill server.
 func isPrefillID(v ServerID) bool { return v[0] == 'r' }
 
+// runRandomEvents plays 2500 steps with new requests and 500 without, ends everything, and returns all actions.
 func runRandomEvents(t *testing.T, seed int64, settings Settings) []Action {
 	checker := &ruleChecker{t: t, rng: rand.New(rand.NewSource(seed)), gateway: newGateway(t, settings, randomEventServers...),
 		requests: map[RequestID]*requestRecord{}, states: map[ServerID]ServerState{}}
@@ -56,30 +62,29 @@
 	checker.endAllAttempts()
 	for id, record := range checker.requests {
 		if !record.ended && record.finalAnswers != 1 {
-			t.Errorf("seed %d: rule 1: request %s has %d final answers", seed, id, record.finalAnswers)
+			t.Errorf("seed %d: rule 1: request %s got %d final answers, want 1", seed, id, record.finalAnswers)
 		}
 		if record.hasHolds {
-			t.Errorf("seed %d: rule 5: request %s still holds something", seed, id)
+			t.Errorf("seed %d: rule 5: what is held for request %s was never released", seed, id)
 		}
 	}
 	return checker.actions
 }
 
-// TestStorm throws legal and stray events at the module and checks the rules, for one gateway
-// and for many, and with settings that are absurd but can be served.
-// One goroutine does it all, so that the race detector, which makes it ten
-// times slower, sees enough in a short run.
+// Under random events, legal and stray, the rules hold, for one gateway and for many, and with settings that are absurd but
+// can be served. Everything runs on one goroutine, so a short run is enough for the race detector, which makes it ten times
+// slower.
 func TestHandle_RandomEvents(t *testing.T) {
 	const plain = "one gateway"
 	for name, change := range map[string]func(*Settings){
 		plain: func(*Settings) {},
-		"many gateways that probe": func(s *Settings) {
+		"many gateways with probes": func(s *Settings) {
 			s.Nodes, s.Limits.Probes = 300, true
 		},
-		"no report, no retry, no cancel": func(s *Settings) {
+		"no reports, no retry-after, no cancel": func(s *Settings) {
 			s.Nodes, s.Reports, s.Limits = 20, ReportNone, Limits{MaxAttempts: 4}
 		},
-		"nothing of slow start": func(s *Settings) {
+		"no slow start": func(s *Settings) {
 			s.Nodes, s.Rules = 300, Rules{Release: time.Second}
 		},
 		"slow start without a share": func(s *Settings) {
@@ -90,7 +95,7 @@
 				s.Kinds[i].MemoryTokens = 1
 			}
 		},
-		"memory that is not told": func(s *Settings) {
+		"memory unknown": func(s *Settings) {
 			for i := range s.Kinds {
 				s.Kinds[i].MemoryTokens = 0
 			}
@@ -118,6 +123,7 @@
 	c.checkActions()
 }
 
+// step advances the time and brings a random event; a new request only while admitting.
 func (c *ruleChecker) step(admitting bool) {
 	c.gateway.now += time.Duration(c.rng.Intn(20)) * ms
 	for i := 0; i < len(c.timers); {
@@ -134,7 +140,7 @@
 		id := RequestID(fmt.Sprint("q", c.requestCount))
 		class := []string{"chat", "order", "pay"}[c.rng.Intn(3)]
 		timeLeft := time.Duration(300+c.rng.Intn(4000)) * ms
-		c.requests[id] = &requestRecord{class: class, deadline: c.gateway.now + timeLeft, inFlight: map[int]bool{}, lastOutcome: c.gateway.now}
+		c.requests[id] = &requestRecord{class: class, deadline: c.gateway.now + timeLeft, inFlight: map[int]bool{}, lastActivity: c.gateway.now}
 		c.handle(Request{ID: id, Class: class, Session: uint64(c.rng.Intn(9)), Prefix: uint64(c.rng.Intn(4)),
 			PrefixTokens: 200, PromptTokens: float64(c.rng.Intn(4000)), TimeLeft: timeLeft})
 	case k < 14:
@@ -166,7 +172,7 @@
 	}
 }
 
-// overdue ends attempts at the client's deadline, as time-outs are cut to it.
+// endAtDeadline ends attempts in flight at the client's deadline, which limits their timeouts, and checks rule 5.
 func (c *ruleChecker) endAtDeadline() {
 	for i := 1; i <= c.requestCount; i++ {
 		record := c.requests[RequestID(fmt.Sprint("q", i))]
@@ -175,13 +181,14 @@
 				c.endAttempt(RequestID(fmt.Sprint("q", i)), number, NoAnswer)
 			}
 		}
-		if record.hasHolds && len(record.inFlight) == 0 && c.gateway.now-record.lastOutcome > c.gateway.scheduler.set.Rules.Release+40*ms {
-			c.t.Errorf("rule 5: q%d held something %v after its last outcome", i, c.gateway.now-record.lastOutcome)
+		if record.hasHolds && len(record.inFlight) == 0 && c.gateway.now-record.lastActivity > c.gateway.scheduler.set.Rules.Release+40*ms {
+			c.t.Errorf("rule 5: what is held for q%d not released %v after its last outcome", i, c.gateway.now-record.lastActivity)
 			record.hasHolds = false
 		}
 	}
 }
 
+// randomInFlight returns the request and number of a random attempt in flight.
 func (c *ruleChecker) randomInFlight() (RequestID, int, bool) {
 	for tries := 0; tries < 10 && c.requestCount > 0; tries++ {
 		id := RequestID(fmt.Sprint("q", max(1, c.requestCount-c.rng.Intn(30))))
@@ -195,6 +202,7 @@
 	return "", 0, false
 }
 
+// endAllAttempts ends all attempts in flight without an answer.
 func (c *ruleChecker) endAllAttempts() {
 	for i := 1; i <= c.requestCount; i++ {
 		id := RequestID(fmt.Sprint("q", i))
@@ -206,6 +214,7 @@
 	}
 }
 
+// endRandomly begins the answer of an attempt, or ends the attempt with a random status.
 func (c *ruleChecker) endRandomly(id RequestID, number int) {
 	record := c.requests[id]
 	status := []Status{ServerError, TurnedAway, NoConnection, ConnectionLost, Parsed, Served}[c.rng.Intn(6)]
@@ -224,10 +233,11 @@
 	c.endAttempt(id, number, status)
 }
 
+// endAttempt ends an attempt with a status.
 func (c *ruleChecker) endAttempt(id RequestID, number int, status Status) {
 	record := c.requests[id]
 	delete(record.inFlight, number)
-	record.lastOutcome = c.gateway.now
+	record.lastActivity = c.gateway.now
 	switch {
 	case status == Parsed:
 		record.hasHolds = true
@@ -241,12 +251,14 @@
 		Latency: 30 * ms, Report: Report{ReportMemory: c.rng.Float64() / 2}})
 }
 
+// fireTimer fires and removes the i-th pending timer.
 func (c *ruleChecker) fireTimer(i int) {
 	timer := c.timers[i]
 	c.timers = append(c.timers[:i], c.timers[i+1:]...)
 	c.handle(Timer{timer.Token})
 }
 
+// checkActions checks the actions of the last event and keeps its timers.
 func (c *ruleChecker) checkActions() {
 	actions := c.gateway.actions
 	c.actions = append(c.actions, actions...)
@@ -254,7 +266,7 @@
 		switch a := a.(type) {
 		case SetTimer:
 			if a.At <= c.gateway.now {
-				c.t.Errorf("a timer for the past: %v", a)
+				c.t.Errorf("timer %v is set for the past", a)
 			}
 			if c.gateway.now < 2*time.Hour && len(c.timers) < 20000 {
 				c.timers = append(c.timers, a)
@@ -263,17 +275,17 @@
 			c.checkAttempt(a)
 		case Ahead:
 			c.expectActive(a.Server)
-			c.requests[a.ID].hasHolds, c.requests[a.ID].lastOutcome = true, c.gateway.now
+			c.requests[a.ID].hasHolds, c.requests[a.ID].lastActivity = true, c.gateway.now
 		case Release:
 			c.requests[a.ID].hasHolds = false
 		case Cancel:
 			if record := c.requests[a.ID]; a.Attempt >= len(record.attempts) {
-				c.t.Errorf("cancel of attempt %d, never made", a.Attempt)
+				c.t.Errorf("cancel of attempt %d, which was never made", a.Attempt)
 			}
 		case Refuse:
 			c.checkFinalAnswer(a.ID)
 			if record := c.requests[a.ID]; record.class != "chat" && record.mayHaveRun {
-				c.t.Errorf("rule 2: refusal of %s, which may have run", a.ID)
+				c.t.Errorf("rule 2: request %s refused although it may have run", a.ID)
 			}
 		case Fail:
 			c.checkFinalAnswer(a.ID)
@@ -281,26 +293,28 @@
 	}
 }
 
+// expectActive checks rule 3 for a server that gets work.
 func (c *ruleChecker) expectActive(v ServerID) {
 	if c.states[v] != StateOn {
-		c.t.Errorf("rule 3: %s is %v", v, c.states[v])
+		c.t.Errorf("rule 3: server %s gets work in state %v", v, c.states[v])
 	}
 }
 
+// checkAttempt checks rules 1 to 3, the attempt limit and the timeout for a new attempt, and keeps it.
 func (c *ruleChecker) checkAttempt(a Attempt) {
 	record := c.requests[a.ID]
 	c.expectActive(a.Server)
 	switch {
 	case record.ended || record.finalAnswers > 0:
-		c.t.Errorf("rule 1: %s sent after its end", a.ID)
+		c.t.Errorf("rule 1: request %s sent after its end", a.ID)
 	case len(record.inFlight) > 0:
-		c.t.Errorf("rule 2: a second copy of %s", a.ID)
+		c.t.Errorf("rule 2: a second attempt of request %s while one is in flight", a.ID)
 	case record.mayHaveRun && record.class == "pay":
-		c.t.Errorf("rule 2: %s may have run already", a.ID)
+		c.t.Errorf("rule 2: request %s sent again although it may have run", a.ID)
 	case len(record.attempts) >= 4:
-		c.t.Errorf("attempt cap passed by %s", a.ID)
+		c.t.Errorf("request %s has more than 4 attempts", a.ID)
 	case a.Timeout <= 0:
-		c.t.Errorf("%s sent with time-out %v", a.ID, a.Timeout)
+		c.t.Errorf("request %s sent with timeout %v", a.ID, a.Timeout)
 	}
 	if !isPrefillID(a.Server) {
 		record.hasHolds = false
@@ -309,12 +323,13 @@
 	record.attempts = append(record.attempts, a.Server)
 }
 
+// checkFinalAnswer checks that a final answer is the first one, and in time.
 func (c *ruleChecker) checkFinalAnswer(id RequestID) {
 	record := c.requests[id]
 	if record.finalAnswers++; record.finalAnswers > 1 || record.ended {
-		c.t.Errorf("rule 1: %s got a second final answer", id)
+		c.t.Errorf("rule 1: request %s got a second final answer, or one after its end", id)
 	}
 	if c.gateway.now > record.deadline+20*ms && c.gateway.now < time.Hour+time.Minute {
-		c.t.Errorf("rule 1: %s answered %v late", id, c.gateway.now-record.deadline)
+		c.t.Errorf("rule 1: request %s got its final answer %v after its deadline", id, c.gateway.now-record.deadline)
 	}
 }
--- a/waits_test.go
+++ b/waits_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A first token that does not come while its writer begins what was sent later has not
-// been slow: its connection may have fallen silent. Its wait must not slow the pace, or
-// the time after which it is left would run ahead of it.
-func TestAWaitThatOthersOvertookDoesNotSlowThePace(t *testing.T) {
+// If a decode server begins to answer later requests first, a missing first token doesn't show that it is slow: the
+// connection may have gone silent. The wait must not raise the latency estimate, or the time after which the attempt is
+// cancelled would grow as fast as the wait itself.
+func TestLatencyEstimate_LaterSendAnsweredFirst(t *testing.T) {
 	for _, overtaken := range []bool{true, false} {
 		gateway := newGateway(t, testSettings(), prefillServer("r"), decodeServer("w", 0))
 		gateway.scheduler.pace[writing].Observe(gateway.now, 50*ms, 320)
@@ -17,7 +17,7 @@
 		attempt := gateway.scheduler.reqs["a"].attempts[1]
 		limit := gateway.scheduler.limit(gateway.scheduler.reqs["a"], attempt)
 		server := gateway.scheduler.servers["w"]
-		server.alive = gateway.now + 100*ms // it has been at work since
+		server.alive = gateway.now + 100*ms // the server has finished other work since
 		if overtaken {
 			server.began[writing] = gateway.now + 50*ms
 		}
@@ -30,19 +30,19 @@
 			return cancelled
 		}
 		if checkAfter(limit + limit/2) {
-			t.Errorf("overtaken %v: left before twice its time", overtaken)
+			t.Errorf("later request answered first %v: cancelled before twice the limit", overtaken)
 		}
 		slower := gateway.scheduler.limit(gateway.scheduler.reqs["a"], attempt) > limit
 		if cancelled := checkAfter(2*limit + ms); cancelled != overtaken || slower == overtaken {
-			t.Errorf("overtaken %v: left %v after twice its time, slower pace %v", overtaken, cancelled, slower)
+			t.Errorf("later request answered first %v: cancelled %v after twice the limit, latency estimate raised %v", overtaken, cancelled, slower)
 		}
 	}
 }
 
-// An order whose connection fell silent waits for as long as its client does, since it
-// may have run. Where its writer has begun what was sent later, that says nothing of how
-// long writes take: the next silent one is to be found out as soon as this one was.
-func TestAnOrderThatOthersOvertookDoesNotSlowThePace(t *testing.T) {
+// A request with a side effect whose connection has gone silent waits for as long as its client does, since it may have
+// run. If its decode server has begun to answer a later request, that wait says nothing of how long decodes take, and must
+// not raise the latency estimate: the next silent connection is to be detected as soon as this one.
+func TestLatencyEstimate_SideEffectNeverAnswered(t *testing.T) {
 	for _, overtaken := range []bool{true, false} {
 		gateway := newGateway(t, testSettings(), prefillServer("r"), decodeServer("w", 0))
 		for range 20 {
@@ -59,7 +59,7 @@
 		gateway.handle(Outcome{ID: "order", Attempt: 1, Server: "w", Status: NoAnswer, Latency: 5 * time.Second})
 		after := gateway.scheduler.limit(&request{class: gateway.scheduler.classes["pay"]}, attempt)
 		if slower := after > before; slower == overtaken {
-			t.Errorf("overtaken %v: overdue after %v, %v before", overtaken, after, before)
+			t.Errorf("later request answered first %v: overdue after %v, before the outcome after %v", overtaken, after, before)
 		}
 	}
 }
