--- a/admission_test.go
+++ b/admission_test.go
@@ -24,9 +24,9 @@
 	}
 	for _, tt := range tests {
 		gateway := newGateway(t, settings, prefillServer("r1"), decodeServer("w1", 0))
-		gateway.scheduler.servers["r1"].queue = 1000
+		gateway.scheduler.servers["r1"].queuedTokens = 1000
 		for i := 0; i < 10; i++ {
-			gateway.scheduler.pace[reading].Observe(0, tt.wait, 1000)
+			gateway.scheduler.stageLatency[stagePrefill].Observe(0, tt.wait, 1000)
 		}
 		gateway.handle(Request{ID: "a", Class: tt.class, Session: 1, PromptTokens: 16, TimeLeft: 5 * time.Second})
 		if _, got := firstAction[Refuse](gateway); got != tt.refused {
@@ -43,17 +43,17 @@
 		id := fmt.Sprint("q", i)
 		gateway.requestChat(id, uint64(i), 0)
 		gateway.now += 100 * ms
-		gateway.handle(Gone{RequestID(id)})
+		gateway.handle(ClientDisconnected{RequestID(id)})
 	}
-	if patience := time.Second - time.Duration(gateway.scheduler.impatience[""]); patience > 300*ms {
+	if patience := time.Second - time.Duration(gateway.scheduler.tenantImpatience[""]); patience > 300*ms {
 		t.Errorf("requests are admitted up to a wait of %v after ten clients left at 100ms", patience)
 	}
 	for i := 0; i < 20; i++ {
-		gateway.scheduler.reqs["x"] = &request{attempts: []*attempt{{srv: gateway.scheduler.servers["w1"], write: true, out: true}},
+		gateway.scheduler.requests["x"] = &trackedRequest{attempts: []*trackedAttempt{{server: gateway.scheduler.servers["w1"], decodes: true, inFlight: true}},
 			class: gateway.scheduler.classes["chat"]}
-		gateway.handle(First{ID: "x", Server: "w1", Latency: 10 * ms})
+		gateway.handle(AnswerStarted{ID: "x", Server: "w1", Latency: 10 * ms})
 	}
-	if patience := time.Second - time.Duration(gateway.scheduler.impatience[""]); patience < 900*ms {
+	if patience := time.Second - time.Duration(gateway.scheduler.tenantImpatience[""]); patience < 900*ms {
 		t.Errorf("requests are admitted only up to a wait of %v after twenty answers", patience)
 	}
 }
@@ -66,11 +66,11 @@
 		id := RequestID(fmt.Sprint("q", i))
 		gateway.handle(Request{ID: id, Class: "chat", Tenant: "hasty", Session: 1, PromptTokens: 16, TimeLeft: 5 * time.Second})
 		gateway.now += 10 * ms
-		gateway.handle(Gone{id})
+		gateway.handle(ClientDisconnected{id})
 	}
-	gateway.scheduler.servers["r1"].queue = 1000
+	gateway.scheduler.servers["r1"].queuedTokens = 1000
 	for i := 0; i < 10; i++ {
-		gateway.scheduler.pace[reading].Observe(gateway.now, 500*ms, 1000)
+		gateway.scheduler.stageLatency[stagePrefill].Observe(gateway.now, 500*ms, 1000)
 	}
 	for tenant, want := range map[string]bool{"hasty": true, "calm": false} {
 		gateway.handle(Request{ID: RequestID(tenant), Class: "chat", Tenant: tenant, Session: 1, PromptTokens: 16,
@@ -86,10 +86,10 @@
 	settings := testSettings()
 	settings.Tenants, settings.OverShareWorth = []Tenant{{"big", 0.5, 1}, {"small", 0.5, 100}}, 0.1
 	gateway := newGateway(t, settings, prefillServer("r1"), decodeServer("w1", 0))
-	gateway.scheduler.servers["r1"].queue = 1000
+	gateway.scheduler.servers["r1"].queuedTokens = 1000
 	for i := 0; i < 10; i++ {
-		gateway.scheduler.pace[reading].Observe(0, 800*ms, 1000)
-		gateway.scheduler.asked["big"].Add(gateway.now, time.Second, 5)
+		gateway.scheduler.stageLatency[stagePrefill].Observe(0, 800*ms, 1000)
+		gateway.scheduler.tenantRate["big"].Add(gateway.now, time.Second, 5)
 	}
 	for tenant, want := range map[string]bool{"big": true, "small": false} {
 		gateway.handle(Request{ID: RequestID(tenant), Class: "chat", Tenant: tenant, Session: 1, PromptTokens: 16,
@@ -122,7 +122,7 @@
 		gateway.requestChat("a", 1, 0)
 		gateway.now += 5 * time.Second
 		timer, _ := firstAction[SetTimer](gateway) // its deadline
-		gateway.handle(Timer{timer.Token})
+		gateway.handle(TimerFired{timer.Token})
 		want := map[bool]time.Duration{true: 500 * ms}[allowed]
 		if refusal, ok := firstAction[Refuse](gateway); !ok || refusal.RetryAfter != want {
 			t.Errorf("retry-after allowed %v: actions %v, want a refusal that has the client wait %v", allowed, gateway.actions, want)
@@ -155,9 +155,9 @@
 				gateway.expectSentTo("r1")
 				return
 			}
-			expectNoAction[Attempt](gateway)
-			expectNoAction[Ahead](gateway)
-			if refusal, ok := firstAction[Refuse](gateway); !ok || refusal.Why != WhyTooLong {
+			expectNoAction[Send](gateway)
+			expectNoAction[Reserve](gateway)
+			if refusal, ok := firstAction[Refuse](gateway); !ok || refusal.Reason != ReasonPromptTooLong {
 				t.Errorf("actions %v, want a refusal as too long", gateway.actions)
 			}
 		})
@@ -179,9 +179,9 @@
 		settings.Reports = ReportNone
 		settings.Classes[0].AimPer1K = tt.per1K
 		gateway := newGateway(t, settings, prefillServer("r1"), decodeServer("w1", 0))
-		gateway.scheduler.servers["r1"].queue = 1000
+		gateway.scheduler.servers["r1"].queuedTokens = 1000
 		for range 10 {
-			gateway.scheduler.pace[reading].Observe(0, tt.wait, 6000)
+			gateway.scheduler.stageLatency[stagePrefill].Observe(0, tt.wait, 6000)
 		}
 		gateway.handle(Request{ID: "a", Class: "chat", Session: 1, PromptTokens: 5000, TimeLeft: 5 * time.Second})
 		if _, got := firstAction[Refuse](gateway); got != tt.refused {
--- a/cold_test.go
+++ b/cold_test.go
@@ -30,12 +30,12 @@
 			t.Run(fmt.Sprintf("%d gateways, %d starts, %v requests per second", nodes, starts, perSecond), func(t *testing.T) {
 				t.Parallel()
 				settings := settingsForGateways(nodes)
-				settings.Rules = Rules{FallMultiple: 2.5, FallWindow: time.Second, ColdFrom: 0.31, ColdTime: 12 * time.Second, Release: time.Second}
-				allowed := settings.Rules.FallMultiple * settings.Rules.ColdFrom * perSecond / prefillServers / load * spareCapacity * settings.Rules.FallWindow.Seconds()
+				settings.Rules = Rules{SlowStartMultiple: 2.5, SlowStartWindow: time.Second, SlowStartCapacity: 0.31, SlowStartDuration: 12 * time.Second, ReleaseTimeout: time.Second}
+				allowed := settings.Rules.SlowStartMultiple * settings.Rules.SlowStartCapacity * perSecond / prefillServers / load * spareCapacity * settings.Rules.SlowStartWindow.Seconds()
 				maxInWindow, total := 0, 0
 				for seed := range seeds {
 					for id, sent := range simulateSlowStart(t, settings, int64(seed), perSecond, prefillServers, starts) {
-						inWindow := maxWithinWindow(sent, settings.Rules.FallWindow)
+						inWindow := maxWithinWindow(sent, settings.Rules.SlowStartWindow)
 						maxInWindow, total = max(maxInWindow, inWindow), total+len(sent)
 						if float64(inWindow) > slowStartLimit(allowed) {
 							t.Errorf("seed %d, %s: %d sends in a window, limit %.1f", seed, id, inWindow, slowStartLimit(allowed))
@@ -44,7 +44,7 @@
 				}
 				sendsPerStart := float64(total) / float64(seeds*starts)
 				t.Logf("%d seeds: at most %d sends in a window, limit %.1f; %.0f sends per start", seeds, maxInWindow, slowStartLimit(allowed), sendsPerStart)
-				if minSends := settings.Rules.ColdTime.Seconds() / 2; sendsPerStart < minSends {
+				if minSends := settings.Rules.SlowStartDuration.Seconds() / 2; sendsPerStart < minSends {
 					t.Errorf("%.1f sends to a server during its slow start, want at least %.1f", sendsPerStart, minSends)
 				}
 			})
@@ -82,13 +82,13 @@
 	prefixes := []uint64{rng.Uint64(), rng.Uint64(), rng.Uint64()}
 	sent := map[ServerID][]time.Duration{}
 	now := time.Hour
-	for k := 0; now < firstStart+settings.Rules.ColdTime; k++ {
+	for k := 0; now < firstStart+settings.Rules.SlowStartDuration; k++ {
 		now += time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))
 		for i, gateway := range gateways {
 			gateway.now = now
 			notices[i] = slices.DeleteFunc(notices[i], func(pending notice) bool {
 				if now >= pending.at {
-					gateway.handle(Members{Form: ListPatch, Entries: []Server{pending.server}})
+					gateway.handle(MembershipUpdate{Form: MembershipDelta, Entries: []Server{pending.server}})
 				}
 				return now >= pending.at
 			})
@@ -100,16 +100,16 @@
 			key = rng.Uint64()
 		}
 		gateway.requestChat(id, key, 0)
-		prefillAttempt, ok := firstAction[Attempt](gateway)
+		prefillAttempt, ok := firstAction[Send](gateway)
 		if !ok {
 			continue
 		}
 		if gateway.scheduler.servers[prefillAttempt.Server].Started > 0 {
 			sent[prefillAttempt.Server] = append(sent[prefillAttempt.Server], now)
 		}
-		gateway.endAttempt(id, 0, string(prefillAttempt.Server), Parsed)
-		if decodeAttempt, ok := firstAction[Attempt](gateway); ok {
-			gateway.handle(Outcome{ID: RequestID(id), Attempt: 1, Server: decodeAttempt.Server, Status: Served, Done: true, Latency: 9 * ms})
+		gateway.endAttempt(id, 0, string(prefillAttempt.Server), StatusPrefilled)
+		if decodeAttempt, ok := firstAction[Send](gateway); ok {
+			gateway.handle(Outcome{ID: RequestID(id), Attempt: 1, Server: decodeAttempt.Server, Status: StatusServed, RequestDone: true, Latency: 9 * ms})
 		}
 	}
 	return sent
@@ -165,25 +165,25 @@
 					restarted := prefillServer("r0")
 					restarted.Started = now
 					peer.now = now
-					peer.handle(Members{Form: ListPatch, Entries: []Server{restarted}})
+					peer.handle(MembershipUpdate{Form: MembershipDelta, Entries: []Server{restarted}})
 				}
 			}
 			id := fmt.Sprint("q", k)
 			gateway.requestChat(id, uint64(k), 0)
-			prefillAttempt, ok := firstAction[Attempt](gateway)
+			prefillAttempt, ok := firstAction[Send](gateway)
 			if !ok {
 				continue
 			}
 			if restarts > 0 && prefillAttempt.Server == "r0" {
 				sent = append(sent, now)
 			}
-			gateway.endAttempt(id, 0, string(prefillAttempt.Server), Parsed)
-			if decodeAttempt, ok := firstAction[Attempt](gateway); ok {
-				gateway.handle(Outcome{ID: RequestID(id), Attempt: 1, Server: decodeAttempt.Server, Status: Served, Done: true, Latency: 9 * ms})
+			gateway.endAttempt(id, 0, string(prefillAttempt.Server), StatusPrefilled)
+			if decodeAttempt, ok := firstAction[Send](gateway); ok {
+				gateway.handle(Outcome{ID: RequestID(id), Attempt: 1, Server: decodeAttempt.Server, Status: StatusServed, RequestDone: true, Latency: 9 * ms})
 			}
 		}
-		maxInWindow := maxWithinWindow(sent, settings.Rules.FallWindow)
-		limit := settings.Rules.FallMultiple * settings.Rules.ColdFrom * perSecond / 6
+		maxInWindow := maxWithinWindow(sent, settings.Rules.SlowStartWindow)
+		limit := settings.Rules.SlowStartMultiple * settings.Rules.SlowStartCapacity * perSecond / 6
 		if nodes > manyNodes { // with the margin for chance
 			allowed := limit * 6 / 5 // five peers finish what the server in slow start doesn't get
 			limit = allowed + 2*math.Sqrt(allowed) + 2
--- a/detour_test.go
+++ b/detour_test.go
@@ -39,21 +39,21 @@
 			settings.Reports = ReportNone
 			gateway := newGateway(t, settings, twoZoneFleet()...)
 			if tt.prefillTime > 0 {
-				gateway.scheduler.pace[reading].Observe(gateway.now, tt.prefillTime, 320)
+				gateway.scheduler.stageLatency[stagePrefill].Observe(gateway.now, tt.prefillTime, 320)
 			}
-			for _, v := range gateway.scheduler.order {
+			for _, v := range gateway.scheduler.sortedServers {
 				switch string(v.ID) {
 				case tt.full:
-					v.held, v.sentSince = v.memory, v.memory
+					v.decodeTokens, v.sentSinceReport = v.memoryTokens, v.memoryTokens
 				case "ra":
-					v.reads = tt.moreUnfinished
+					v.pendingPrefills = tt.moreUnfinished
 				}
 			}
-			req := &request{
+			req := &trackedRequest{
 				Request: Request{ID: "q", Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 320},
-				class:   gateway.scheduler.classes["chat"], tried: map[*server]bool{},
+				class:   gateway.scheduler.classes["chat"], tried: map[*trackedServer]bool{},
 			}
-			if got := gateway.scheduler.byPrefix(req, gateway.scheduler.pool(req, reads)); string(got.ID) != tt.want {
+			if got := gateway.scheduler.pickByPrefix(req, gateway.scheduler.eligibleServers(req, isPrefill)); string(got.ID) != tt.want {
 				t.Errorf("prefill at %s, want %s", got.ID, tt.want)
 			}
 		})
@@ -79,18 +79,18 @@
 		t.Run(fmt.Sprint(tt), func(t *testing.T) {
 			settings := testSettings()
 			settings.Kinds[2].MemoryTokens = 2 * settings.Kinds[1].MemoryTokens
-			mixed := Server{ID: "mixed", Zone: "a", Kind: "mixed", State: StateOn}
+			mixed := Server{ID: "mixed", Zone: "a", Kind: "mixed", State: StateActive}
 			gateway := newGateway(t, settings, prefillServer("ra"), decodeServer("wa", 0), mixed)
 			for tokens := 320.0; tokens < 30000; tokens *= 2 {
-				gateway.scheduler.pace[writing].Observe(gateway.now, time.Duration(tokens/50)*ms, tokens)
+				gateway.scheduler.stageLatency[stageDecode].Observe(gateway.now, time.Duration(tokens/50)*ms, tokens)
 			}
-			for _, v := range gateway.scheduler.order {
-				v.queue = tt.waiting[string(v.ID)]
+			for _, v := range gateway.scheduler.sortedServers {
+				v.queuedTokens = tt.waiting[string(v.ID)]
 			}
-			req := &request{
-				Request: Request{ID: "q", Session: 1, PromptTokens: 320}, class: gateway.scheduler.classes["chat"], tried: map[*server]bool{},
+			req := &trackedRequest{
+				Request: Request{ID: "q", Session: 1, PromptTokens: 320}, class: gateway.scheduler.classes["chat"], tried: map[*trackedServer]bool{},
 			}
-			if got := gateway.scheduler.pickWriter(req, gateway.scheduler.servers["ra"]); string(got.ID) != tt.want {
+			if got := gateway.scheduler.pickDecode(req, gateway.scheduler.servers["ra"]); string(got.ID) != tt.want {
 				t.Errorf("decode at %s, want %s", got.ID, tt.want)
 			}
 		})
--- a/ending_test.go
+++ b/ending_test.go
@@ -17,24 +17,24 @@
 	gateway := newGateway(t, testSettings(), prefillServer("r"), decodeServer("w", 0))
 	gateway.requestClass("early", "pay")
 	gateway.now += 100 * ms
-	gateway.handle(Ending{At: gateway.now + 3*time.Second})
-	gateway.handle(Ending{At: gateway.now + 4*time.Second}) // a later end than the first doesn't count
+	gateway.handle(Shutdown{Deadline: gateway.now + 3*time.Second})
+	gateway.handle(Shutdown{Deadline: gateway.now + 4*time.Second}) // a later end than the first doesn't count
 	gateway.requestClass("late", "chat")
-	if a, ok := firstAction[Attempt](gateway); !ok || a.Timeout != 3*time.Second {
+	if a, ok := firstAction[Send](gateway); !ok || a.Timeout != 3*time.Second {
 		t.Errorf("request that came after the shutdown began: actions %v, want an attempt with a timeout of 3s", gateway.actions)
 	}
 	gateway.now += time.Second
-	gateway.endAttempt("early", 0, "r", Parsed)
-	if a, ok := firstAction[Attempt](gateway); !ok || a.Timeout != 2*time.Second {
+	gateway.endAttempt("early", 0, "r", StatusPrefilled)
+	if a, ok := firstAction[Send](gateway); !ok || a.Timeout != 2*time.Second {
 		t.Errorf("next attempt of a request that was there before: actions %v, want one with a timeout of 2s", gateway.actions)
 	}
 	gateway.now += 2 * time.Second
-	gateway.endAttempt("late", 0, "r", Parsed)
-	expectNoAction[Attempt](gateway)
+	gateway.endAttempt("late", 0, "r", StatusPrefilled)
+	expectNoAction[Send](gateway)
 	expectAction[Refuse](gateway)
 	expectAction[Release](gateway)
 	gateway.requestClass("later", "chat")
-	expectNoAction[Attempt](gateway)
+	expectNoAction[Send](gateway)
 	expectAction[Refuse](gateway)
 }
 
@@ -54,16 +54,16 @@
 		gateway := newGateway(t, testSettings(), prefillServer("r"), decodeServer("w", 0))
 		gateway.requestClass("a", tt.class)
 		if tt.decoding {
-			gateway.endAttempt("a", 0, "r", Parsed)
+			gateway.endAttempt("a", 0, "r", StatusPrefilled)
 			gateway.expectSentTo("w")
 		}
-		gateway.handle(Ending{At: gateway.now + 3*time.Second})
+		gateway.handle(Shutdown{Deadline: gateway.now + 3*time.Second})
 		timer, ok := firstAction[SetTimer](gateway)
 		if !ok {
 			t.Fatalf("%s: no timer among the actions %v", tt.name, gateway.actions)
 		}
 		gateway.now = timer.At
-		gateway.handle(Timer{Token: timer.Token})
+		gateway.handle(TimerFired{Token: timer.Token})
 		if _, refused := firstAction[Refuse](gateway); refused != tt.refused {
 			t.Errorf("%s: actions %v, refused %v, want %v", tt.name, gateway.actions, refused, tt.refused)
 		}
@@ -72,7 +72,7 @@
 		}
 		expectAction[Cancel](gateway)
 		expectAction[Release](gateway)
-		gateway.handle(Timer{Token: timer.Token})
+		gateway.handle(TimerFired{Token: timer.Token})
 		expectNoAction[Refuse](gateway)
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -18,13 +18,13 @@
 		panic(err)
 	}
 	now := time.Duration(0)
-	scheduler.Handle(now, ashwood.Members{Form: ashwood.ListWhole, Entries: []ashwood.Server{
-		{ID: "prefill-1", Kind: "prefill", State: ashwood.StateOn},
-		{ID: "decode-1", Kind: "decode", State: ashwood.StateOn},
+	scheduler.Handle(now, ashwood.MembershipUpdate{Form: ashwood.MembershipSnapshot, Entries: []ashwood.Server{
+		{ID: "prefill-1", Kind: "prefill", State: ashwood.StateActive},
+		{ID: "decode-1", Kind: "decode", State: ashwood.StateActive},
 	}}, nil)
 	printAttempts := func(actions []ashwood.Action) {
 		for _, a := range actions {
-			if a, ok := a.(ashwood.Attempt); ok {
+			if a, ok := a.(ashwood.Send); ok {
 				fmt.Println("send", a.ID, "to", a.Server)
 			}
 		}
@@ -33,7 +33,7 @@
 		ID: "a", Class: "chat", Session: 7, PromptTokens: 900, TimeLeft: 5 * time.Second,
 	}, nil))
 	now += 80 * time.Millisecond
-	printAttempts(scheduler.Handle(now, ashwood.Outcome{ID: "a", Server: "prefill-1", Status: ashwood.Parsed}, nil))
+	printAttempts(scheduler.Handle(now, ashwood.Outcome{ID: "a", Server: "prefill-1", Status: ashwood.StatusPrefilled}, nil))
 	// Output:
 	// send a to prefill-1
 	// send a to decode-1
--- a/facade_test.go
+++ b/facade_test.go
@@ -23,13 +23,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	router.Update(ListWhole, servers)
+	router.Update(MembershipSnapshot, servers)
 	return router, clock
 }
 
 // testCall returns a request of a class with 3 s left.
-func testCall(id, class string) Call {
-	return Call{ID: RequestID(id), Class: class, Session: 1, PromptTokens: 320, Remaining: 3000}
+func testCall(id, class string) RequestInfo {
+	return RequestInfo{ID: RequestID(id), Class: class, Session: 1, PromptTokens: 320, Remaining: 3000}
 }
 
 // expectStep compares steps except for their contexts.
@@ -47,22 +47,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectStep(t, Step{Kind: StepSend, Engine: prefillServer("r1"), Reads: true, Timeout: 3000, Place: decodeServer("w1", 0)}, step)
+	expectStep(t, Step{Kind: StepSend, Engine: prefillServer("r1"), Prefill: true, Timeout: 3000, ReserveAt: decodeServer("w1", 0)}, step)
 	if _, err := router.Pick(context.Background(), testCall("a", "chat")); !errors.Is(err, ErrDuplicate) {
 		t.Error(err)
 	}
-	if next, ok := router.Place("a", 0, "w1", true); ok {
+	if next, ok := router.ReportReservation("a", 0, "w1", true); ok {
 		t.Errorf("second reservation at %s, want none after the first was granted", next.ID)
 	}
 	clock.now += 80.25
 	expectStep(t, Step{Kind: StepSend, Attempt: 1, Engine: decodeServer("w1", 0), Timeout: 2919.75},
-		router.Report("a", 0, Result{Status: Parsed}))
-	if !router.Begun("a", 1) || router.Begun("a", 1) {
+		router.ReportResult("a", 0, Result{Status: StatusPrefilled}))
+	if !router.AnswerStarted("a", 1) || router.AnswerStarted("a", 1) {
 		t.Error("Begun doesn't report exactly one beginning of the answer")
 	}
-	expectStep(t, Step{Kind: StepOver}, router.Report("a", 1, Result{Status: Served}))
-	if len(router.flights) != 0 || len(router.sched.reqs) != 0 {
-		t.Errorf("still kept after the end: %v, %v", router.flights, router.sched.reqs)
+	expectStep(t, Step{Kind: StepDone}, router.ReportResult("a", 1, Result{Status: StatusServed}))
+	if len(router.flights) != 0 || len(router.scheduler.requests) != 0 {
+		t.Errorf("still kept after the end: %v, %v", router.flights, router.scheduler.requests)
 	}
 }
 
@@ -80,7 +80,7 @@
 	for wait := router.Tick(); wait < 1e9; wait = router.Tick() {
 		clock.now += wait
 	}
-	expectStep(t, Step{Kind: StepRefuse, Release: true, RetryAfter: 400, Why: WhyNoReader}, <-steps)
+	expectStep(t, Step{Kind: StepRefuse, Release: true, RetryAfter: 400, Reason: ReasonNoPrefillServer}, <-steps)
 	if clock.now > 1e12+3000 {
 		t.Errorf("refused after %v ms, want within 3000", clock.now-1e12)
 	}
@@ -94,14 +94,14 @@
 	step, _ := router.Pick(ctx, testCall("a", "pay"))
 	leave()
 	<-step.Context.Done()
-	if router.Begun("a", 0) {
+	if router.AnswerStarted("a", 0) {
 		t.Error("an answer begins although the client has left")
 	}
-	expectStep(t, Step{Kind: StepOver, Release: true}, router.Report("a", 0, Result{Status: CalledOff}))
+	expectStep(t, Step{Kind: StepDone, Release: true}, router.ReportResult("a", 0, Result{Status: StatusCancelled}))
 	step, _ = router.Pick(ctx, testCall("b", "pay")) // the client left before the call
-	expectStep(t, Step{Kind: StepOver, Release: true}, step)
-	if len(router.flights) != 0 || len(router.sched.reqs) != 0 {
-		t.Errorf("still kept after the end: %v, %v", router.flights, router.sched.reqs)
+	expectStep(t, Step{Kind: StepDone, Release: true}, step)
+	if len(router.flights) != 0 || len(router.scheduler.requests) != 0 {
+		t.Errorf("still kept after the end: %v, %v", router.flights, router.scheduler.requests)
 	}
 }
 
@@ -112,7 +112,7 @@
 	for step.Context.Err() == nil && clock.now < 1e12+2900 {
 		clock.now += router.Tick()
 	}
-	next := router.Report("a", 0, Result{Status: CalledOff})
+	next := router.ReportResult("a", 0, Result{Status: StatusCancelled})
 	if step.Context.Err() == nil || next.Kind != StepSend || next.Engine.ID == step.Engine.ID {
 		t.Errorf("after the attempt at %s: next step %+v, want the attempt cancelled and one at another server", step.Engine.ID, next)
 	}
@@ -121,9 +121,9 @@
 // Reports on requests that the router doesn't know must neither panic nor lead to a step.
 func TestRouter_StrayReports(t *testing.T) {
 	router, _ := newTestRouter(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
-	expectStep(t, Step{Kind: StepOver}, router.Report("none", 0, Result{Status: Parsed}))
-	expectStep(t, Step{Kind: StepOver}, router.Next("none"))
-	if _, ok := router.Place("none", 0, "w1", true); ok || router.Begun("none", 0) || router.Accepts("none") {
+	expectStep(t, Step{Kind: StepDone}, router.ReportResult("none", 0, Result{Status: StatusPrefilled}))
+	expectStep(t, Step{Kind: StepDone}, router.Next("none"))
+	if _, ok := router.ReportReservation("none", 0, "w1", true); ok || router.AnswerStarted("none", 0) || router.Accepts("none") {
 		t.Error("the router acted for an unknown request")
 	}
 	if _, err := router.Pick(context.Background(), testCall("a", "nosuch")); !errors.Is(err, ErrUnknownClass) {
--- a/fairness_test.go
+++ b/fairness_test.go
@@ -56,16 +56,16 @@
 	gateway.now = s.now
 	for _, action := range gateway.handle(e) {
 		switch a := action.(type) {
-		case Attempt:
-			s.runAttempt(gateway, a, len(gateway.scheduler.reqs[a.ID].attempts)-1)
-		case Ahead:
-			s.after(ms, func() { s.deliver(gateway, PlaceNote{ID: a.ID, Server: a.Server, Held: true}) })
+		case Send:
+			s.runAttempt(gateway, a, len(gateway.scheduler.requests[a.ID].attempts)-1)
+		case Reserve:
+			s.after(ms, func() { s.deliver(gateway, ReservationResult{ID: a.ID, Server: a.Server, Held: true}) })
 		case Probe:
 			s.after(2*ms, func() {
-				s.deliver(gateway, Probed{Server: a.Server, Status: Served, Report: s.loadReport(a.Server)})
+				s.deliver(gateway, ProbeResult{Server: a.Server, Status: StatusServed, Report: s.loadReport(a.Server)})
 			})
 		case SetTimer:
-			heap.Push(&s.queue, scheduledEvent{a.At, func() { s.deliver(gateway, Timer{a.Token}) }})
+			heap.Push(&s.queue, scheduledEvent{a.At, func() { s.deliver(gateway, TimerFired{a.Token}) }})
 		case Cancel:
 			s.cancelled[fmt.Sprint(a.ID, a.Attempt)] = true
 		case Refuse:
@@ -75,11 +75,11 @@
 }
 
 // runAttempt simulates an attempt and schedules its outcome.
-func (s *fleetSimulation) runAttempt(gateway *testGateway, a Attempt, number int) {
-	request := gateway.scheduler.reqs[a.ID]
+func (s *fleetSimulation) runAttempt(gateway *testGateway, a Send, number int) {
+	request := gateway.scheduler.requests[a.ID]
 	if gateway.scheduler.servers[a.Server].role != RoleRead {
 		s.after(5*ms, func() {
-			s.deliver(gateway, Outcome{ID: a.ID, Attempt: number, Server: a.Server, Status: Served, Done: true, Latency: 5 * ms})
+			s.deliver(gateway, Outcome{ID: a.ID, Attempt: number, Server: a.Server, Status: StatusServed, RequestDone: true, Latency: 5 * ms})
 		})
 		return
 	}
@@ -88,9 +88,9 @@
 	s.idleAt[a.Server] = max(s.idleAt[a.Server], s.now) + time.Duration(tokens/s.tokensPerSecond*float64(time.Second))
 	heap.Push(&s.queue, scheduledEvent{s.idleAt[a.Server], func() {
 		s.waitingTokens[a.Server] -= tokens
-		status := Parsed
+		status := StatusPrefilled
 		if s.cancelled[fmt.Sprint(a.ID, number)] {
-			status = CalledOff
+			status = StatusCancelled
 		}
 		s.deliver(gateway, Outcome{
 			ID: a.ID, Attempt: number, Server: a.Server, Status: status, Latency: s.now - begun, Report: s.loadReport(a.Server),
--- a/harness_test.go
+++ b/harness_test.go
@@ -9,17 +9,17 @@
 // class of each effect.
 func testSettings() Settings {
 	return Settings{
-		Nodes: 1, Zone: "a", Ahead: true, Reports: ReportInline,
-		Kinds: []Kind{{"prefill", RoleRead, 100000}, {"decode", RoleWrite, 100000}, {"mixed", RoleBoth, 100000}},
+		Nodes: 1, Zone: "a", Reservations: true, Reports: ReportInline,
+		Kinds: []Kind{{"prefill", RoleRead, 100000}, {"decode", RoleWrite, 100000}, {"mixed", RoleMixed, 100000}},
 		Classes: []Class{
 			{Name: "chat", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: Pure},
-			{Name: "order", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: Token,
+			{Name: "order", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: TokenEffect,
 				Group: ScopeCell, Window: 2 * time.Second},
 			{Name: "pay", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: SideEffect},
 		},
 		Limits: Limits{MaxAttempts: 4, Cancel: true, ConnectTimeout: 100 * ms},
-		Rules: Rules{FallMultiple: 2, FallWindow: time.Second, ColdFrom: 0.25, ColdTime: 10 * time.Second,
-			Release: time.Second},
+		Rules: Rules{SlowStartMultiple: 2, SlowStartWindow: time.Second, SlowStartCapacity: 0.25, SlowStartDuration: 10 * time.Second,
+			ReleaseTimeout: time.Second},
 	}
 }
 
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	gateway := &testGateway{t: t, scheduler: s, now: time.Hour}
-	gateway.handle(Members{Form: ListStale, Entries: servers})
+	gateway.handle(MembershipUpdate{Form: MembershipStale, Entries: servers})
 	return gateway
 }
 
@@ -57,12 +57,12 @@
 
 // prefillServer returns an active prefill server in the gateway's zone, in cell 0.
 func prefillServer(id string) Server {
-	return Server{ID: ServerID(id), Zone: "a", Kind: "prefill", State: StateOn}
+	return Server{ID: ServerID(id), Zone: "a", Kind: "prefill", State: StateActive}
 }
 
 // decodeServer returns an active decode server in the gateway's zone.
 func decodeServer(id string, cell int) Server {
-	return Server{ID: ServerID(id), Zone: "a", Cell: cell, Kind: "decode", State: StateOn}
+	return Server{ID: ServerID(id), Zone: "a", Cell: cell, Kind: "decode", State: StateActive}
 }
 
 // requestChat brings a request of the class chat with a prompt of 320 tokens, of which 160 are the shared prefix.
@@ -89,7 +89,7 @@
 // expectSentTo checks that the last event led to an attempt at a server, or to none if want is empty.
 func (g *testGateway) expectSentTo(want string) {
 	g.t.Helper()
-	if a, ok := firstAction[Attempt](g); string(a.Server) != want || ok != (want != "") {
+	if a, ok := firstAction[Send](g); string(a.Server) != want || ok != (want != "") {
 		g.t.Fatalf("request sent to %q, want %q; actions: %v", a.Server, want, g.actions)
 	}
 }
--- a/health_test.go
+++ b/health_test.go
@@ -40,7 +40,7 @@
 		gateway.expectSentTo("r1")
 	}
 	for i := range 7 {
-		gateway.endAttempt(fmt.Sprint(i), 0, "r1", TurnedAway)
+		gateway.endAttempt(fmt.Sprint(i), 0, "r1", StatusRejected)
 		pauses[gateway.scheduler.servers["r1"].pausedUntil-gateway.now] = true
 	}
 	if len(pauses) != 1 || pauses[0] {
@@ -52,7 +52,7 @@
 func failRequests(gateway *testGateway, server string, times int) {
 	for i := 0; i < times; i++ {
 		gateway.scheduler.now = gateway.now
-		gateway.scheduler.judge(gateway.scheduler.servers[ServerID(server)], &request{Request: Request{ID: "x"}}, false)
+		gateway.scheduler.updateHealth(gateway.scheduler.servers[ServerID(server)], &trackedRequest{Request: Request{ID: "x"}}, false)
 	}
 }
 
@@ -66,18 +66,18 @@
 	}
 	for i := uint64(0); i < 20; i++ {
 		gateway.requestChat(fmt.Sprint(i), i, 0)
-		if a, _ := firstAction[Attempt](gateway); a.Server == "r1" {
+		if a, _ := firstAction[Send](gateway); a.Server == "r1" {
 			t.Fatal("an ejected server was sent a request before its backoff ended")
 		}
 	}
-	gateway.now += backoffFirst
+	gateway.now += minBackoff
 	gateway.requestChat("trial", 100, 0)
 	gateway.expectSentTo("r1")
 	gateway.requestChat("next", 101, 0)
-	if a, _ := firstAction[Attempt](gateway); a.Server == "r1" {
+	if a, _ := firstAction[Send](gateway); a.Server == "r1" {
 		t.Fatal("a second request was sent to an ejected server during its trial")
 	}
-	gateway.endAttempt("trial", 0, "r1", Parsed)
+	gateway.endAttempt("trial", 0, "r1", StatusPrefilled)
 	if gateway.scheduler.servers["r1"].ejected {
 		t.Error("server still ejected after its trial succeeded")
 	}
@@ -92,7 +92,7 @@
 		}
 	}
 	ejected := 0
-	for _, v := range gateway.scheduler.order {
+	for _, v := range gateway.scheduler.sortedServers {
 		if v.ejected {
 			ejected++
 		}
@@ -116,12 +116,12 @@
 		failRequests(gateway, "f1", 1)
 		failRequests(gateway, "f2", 1)
 	}
-	if !gateway.scheduler.zones["b"].ejected {
+	if !gateway.scheduler.zonePaths["b"].ejected {
 		t.Error("a zone of which all servers fail is not ejected")
 	}
 	gateway = newGateway(t, testSettings(), servers...)
 	failRequests(gateway, "f1", 12)
-	if gateway.scheduler.zones["b"].ejected {
+	if gateway.scheduler.zonePaths["b"].ejected {
 		t.Error("one failing server ejected its zone")
 	}
 }
@@ -138,7 +138,7 @@
 		inOwnZone := 0
 		for key := range uint64(20) {
 			settings, servers := testSettings(), []Server{prefillServer("own")}
-			settings.Nodes, settings.Ahead = tt.nodes, false
+			settings.Nodes, settings.Reservations = tt.nodes, false
 			for i := range 20 {
 				remote := prefillServer(fmt.Sprint("far", i))
 				remote.Zone = "b"
@@ -146,17 +146,17 @@
 			}
 			gateway := newGateway(t, settings, servers...)
 			// The server of its own zone is busy, so the first attempt goes to another zone.
-			for _, v := range gateway.scheduler.order {
+			for _, v := range gateway.scheduler.sortedServers {
 				v.report, v.reportAt = Report{ReportInFlight: 0}, gateway.now
 			}
 			gateway.scheduler.servers["own"].report = Report{ReportInFlight: 10}
 			gateway.requestChat("q", key+1, key+1)
-			a, _ := firstAction[Attempt](gateway)
+			a, _ := firstAction[Send](gateway)
 			if a.Server == "own" {
 				t.Errorf("%d gateways: first attempt sent to the busy server", tt.nodes)
 			}
-			gateway.handle(Outcome{ID: "q", Server: a.Server, Status: NoConnection, Latency: tt.latency})
-			if a, _ := firstAction[Attempt](gateway); a.Server == "own" {
+			gateway.handle(Outcome{ID: "q", Server: a.Server, Status: StatusConnectFailed, Latency: tt.latency})
+			if a, _ := firstAction[Send](gateway); a.Server == "own" {
 				inOwnZone++
 			}
 		}
@@ -173,19 +173,19 @@
 	for _, busy := range []bool{false, true} {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
 		gateway.requestChat("a", 1, 0)
-		attempt, _ := firstAction[Attempt](gateway)
+		attempt, _ := firstAction[Send](gateway)
 		server := gateway.scheduler.servers[attempt.Server]
 		for i := 0; i < 2; i++ {
 			gateway.now += 500 * ms
 			if busy {
-				server.alive = gateway.now
+				server.lastProgressAt = gateway.now
 			}
-			gateway.scheduler.now, gateway.scheduler.out = gateway.now, nil
-			gateway.scheduler.overdue(gateway.scheduler.reqs["a"], 0)
-			gateway.actions = gateway.scheduler.out
+			gateway.scheduler.now, gateway.scheduler.actions = gateway.now, nil
+			gateway.scheduler.handleOverdue(gateway.scheduler.requests["a"], 0)
+			gateway.actions = gateway.scheduler.actions
 		}
-		if _, cancelled := firstAction[Cancel](gateway); cancelled == busy || (server.fail > 0) == busy {
-			t.Errorf("server busy with other work %v: cancelled %v, failure rate %v", busy, cancelled, server.fail)
+		if _, cancelled := firstAction[Cancel](gateway); cancelled == busy || (server.failureRate > 0) == busy {
+			t.Errorf("server busy with other work %v: cancelled %v, failure rate %v", busy, cancelled, server.failureRate)
 		}
 	}
 }
@@ -209,16 +209,16 @@
 			gateway.handle(Request{ID: RequestID(id), Class: tt.class, PromptTokens: 320, TimeLeft: 5 * time.Second})
 			gateway.expectSentTo("r1")
 			if tt.decoding {
-				gateway.endAttempt(id, 0, "r1", Parsed)
+				gateway.endAttempt(id, 0, "r1", StatusPrefilled)
 				gateway.expectSentTo("w1")
 			}
 			gateway.now += ms
 		}
 		answer := func(id string) {
 			if tt.decoding {
-				gateway.handle(First{ID: RequestID(id), Attempt: 1, Server: "w1", Latency: 50 * ms})
+				gateway.handle(AnswerStarted{ID: RequestID(id), Attempt: 1, Server: "w1", Latency: 50 * ms})
 			} else {
-				gateway.endAttempt(id, 0, "r1", Parsed)
+				gateway.endAttempt(id, 0, "r1", StatusPrefilled)
 			}
 		}
 		if !tt.sentLater {
@@ -229,14 +229,14 @@
 			send("other")
 		}
 		answer("other")
-		number := len(gateway.scheduler.reqs["lost"].attempts) - 1
-		server := gateway.scheduler.reqs["lost"].attempts[number].srv
+		number := len(gateway.scheduler.requests["lost"].attempts) - 1
+		server := gateway.scheduler.requests["lost"].attempts[number].server
 		gateway.now += 600 * ms
-		gateway.scheduler.now, gateway.scheduler.out = gateway.now, nil
-		gateway.scheduler.overdue(gateway.scheduler.reqs["lost"], number)
-		gateway.actions = gateway.scheduler.out
-		if _, got := firstAction[Cancel](gateway); got != tt.cancelled || server.fail > 0 {
-			t.Errorf("%s: cancelled %v, failure rate %v", tt.name, got, server.fail)
+		gateway.scheduler.now, gateway.scheduler.actions = gateway.now, nil
+		gateway.scheduler.handleOverdue(gateway.scheduler.requests["lost"], number)
+		gateway.actions = gateway.scheduler.actions
+		if _, got := firstAction[Cancel](gateway); got != tt.cancelled || server.failureRate > 0 {
+			t.Errorf("%s: cancelled %v, failure rate %v", tt.name, got, server.failureRate)
 		}
 	}
 }
@@ -246,24 +246,24 @@
 func TestOverdueAttempt_AllServersSlow(t *testing.T) {
 	for _, shared := range []bool{true, false} {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0), decodeServer("w3", 0))
-		gateway.scheduler.pace[writing].Observe(gateway.now, 50*ms, 320)
+		gateway.scheduler.stageLatency[stageDecode].Observe(gateway.now, 50*ms, 320)
 		for i, id := range []string{"a", "b", "c"} {
 			gateway.requestChat(id, uint64(i), 0)
-			gateway.endAttempt(id, 0, "r1", Parsed)
+			gateway.endAttempt(id, 0, "r1", StatusPrefilled)
 		}
-		attemptOf := func(id string) *attempt { return gateway.scheduler.reqs[RequestID(id)].attempts[1] }
-		if attemptOf("a").srv == attemptOf("b").srv || attemptOf("b").srv == attemptOf("c").srv || attemptOf("a").srv == attemptOf("c").srv {
+		attemptOf := func(id string) *trackedAttempt { return gateway.scheduler.requests[RequestID(id)].attempts[1] }
+		if attemptOf("a").server == attemptOf("b").server || attemptOf("b").server == attemptOf("c").server || attemptOf("a").server == attemptOf("c").server {
 			t.Fatal("the three attempts are not at three decode servers")
 		}
 		gateway.now += 600 * ms
 		if !shared {
-			attemptOf("b").srv.alive, attemptOf("c").srv.alive = gateway.now-ms, gateway.now-ms
+			attemptOf("b").server.lastProgressAt, attemptOf("c").server.lastProgressAt = gateway.now-ms, gateway.now-ms
 		}
-		gateway.scheduler.now, gateway.scheduler.out = gateway.now, nil
-		gateway.scheduler.overdue(gateway.scheduler.reqs["a"], 1)
-		gateway.actions = gateway.scheduler.out
-		if _, cancelled := firstAction[Cancel](gateway); cancelled == shared || attemptOf("a").srv.fail > 0 {
-			t.Errorf("all servers slow %v: cancelled %v, failure rate %v", shared, cancelled, attemptOf("a").srv.fail)
+		gateway.scheduler.now, gateway.scheduler.actions = gateway.now, nil
+		gateway.scheduler.handleOverdue(gateway.scheduler.requests["a"], 1)
+		gateway.actions = gateway.scheduler.actions
+		if _, cancelled := firstAction[Cancel](gateway); cancelled == shared || attemptOf("a").server.failureRate > 0 {
+			t.Errorf("all servers slow %v: cancelled %v, failure rate %v", shared, cancelled, attemptOf("a").server.failureRate)
 		}
 	}
 }
@@ -274,15 +274,15 @@
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
 	gateway.requestChat("a", 1, 0)
 	for range 30 {
-		gateway.scheduler.pace[reading].Observe(gateway.now, 2*time.Second, 320)
+		gateway.scheduler.stageLatency[stagePrefill].Observe(gateway.now, 2*time.Second, 320)
 	}
 	gateway.now += 1500 * ms
-	gateway.scheduler.now, gateway.scheduler.out = gateway.now, nil
-	gateway.scheduler.overdue(gateway.scheduler.reqs["a"], 0)
-	gateway.actions = gateway.scheduler.out
+	gateway.scheduler.now, gateway.scheduler.actions = gateway.now, nil
+	gateway.scheduler.handleOverdue(gateway.scheduler.requests["a"], 0)
+	gateway.actions = gateway.scheduler.actions
 	expectNoAction[Cancel](gateway)
 	expectAction[SetTimer](gateway)
-	if trustLost := gateway.scheduler.servers["r1"].fail + gateway.scheduler.servers["r2"].fail; trustLost > 0 {
+	if trustLost := gateway.scheduler.servers["r1"].failureRate + gateway.scheduler.servers["r2"].failureRate; trustLost > 0 {
 		t.Errorf("failure rates add up to %v, want 0", trustLost)
 	}
 }
--- a/homes_test.go
+++ b/homes_test.go
@@ -18,12 +18,12 @@
 		settings := settingsForGateways(tt.nodes)
 		settings.Reports = tt.reports
 		gateway := newGateway(t, settings, newFleet(40, 40)...)
-		pool := gateway.scheduler.pool(&request{Request: Request{ID: "q"}, class: gateway.scheduler.classes["chat"]}, reads)
+		pool := gateway.scheduler.eligibleServers(&trackedRequest{Request: Request{ID: "q"}, class: gateway.scheduler.classes["chat"]}, isPrefill)
 		found := map[ServerID]bool{}
 		for session := range uint64(200) {
-			req := &request{Request: Request{ID: "q", Prefix: 7, Session: session + 1, PrefixTokens: 64, PromptTokens: 640},
+			req := &trackedRequest{Request: Request{ID: "q", Prefix: 7, Session: session + 1, PrefixTokens: 64, PromptTokens: 640},
 				class: gateway.scheduler.classes["chat"]}
-			for _, v := range gateway.scheduler.homes(req, pool) {
+			for _, v := range gateway.scheduler.affinityTargets(req, pool) {
 				found[v.ID] = true
 			}
 		}
@@ -45,11 +45,11 @@
 		settings := settingsForGateways(100)
 		settings.Reports = tt.reports
 		gateway := newGateway(t, settings, newFleet(30, 30)...)
-		seen := map[*server]bool{}
+		seen := map[*trackedServer]bool{}
 		for i := 0; i < 200; i++ {
-			req := &request{Request: Request{Session: uint64(i), Prefix: uint64(i%every + 1), PrefixTokens: 160, PromptTokens: 320}}
-			targets := gateway.scheduler.homes(req, gateway.scheduler.pool(req, reads))
-			gateway.scheduler.table.Record(gateway.now, targets[0].runs, req.parts(), false)
+			req := &trackedRequest{Request: Request{Session: uint64(i), Prefix: uint64(i%every + 1), PrefixTokens: 160, PromptTokens: 320}}
+			targets := gateway.scheduler.affinityTargets(req, gateway.scheduler.eligibleServers(req, isPrefill))
+			gateway.scheduler.prefixTable.Record(gateway.now, targets[0].prefixRuns, req.prefixParts(), false)
 			if req.Prefix == 1 {
 				seen[targets[0]] = true
 			}
@@ -83,7 +83,7 @@
 			probed := 0
 			gateway.requestChat("q", 1, 7)
 			for range 3 {
-				if _, sent := firstAction[Attempt](gateway); sent {
+				if _, sent := firstAction[Send](gateway); sent {
 					break
 				}
 				var timer SetTimer
@@ -100,12 +100,12 @@
 					}
 				}
 				for _, id := range answered {
-					gateway.handle(Probed{Server: id, Status: Served, Report: Report{ReportInFlight: 0, ReportQueue: 0}})
+					gateway.handle(ProbeResult{Server: id, Status: StatusServed, Report: Report{ReportInFlight: 0, ReportQueue: 0}})
 				}
 				gateway.now = timer.At
-				gateway.handle(Timer{timer.Token})
+				gateway.handle(TimerFired{timer.Token})
 			}
-			attempt, sent := firstAction[Attempt](gateway)
+			attempt, sent := firstAction[Send](gateway)
 			if !sent || silent[attempt.Server] != tt.sentToSilent || probed == 0 {
 				t.Errorf("sent to %q (%v) after %d probes, of which these were unanswered: %v", attempt.Server, sent, probed, silent)
 			}
@@ -117,21 +117,21 @@
 // more work than many short ones.
 func TestReportedLoad_TokensOrRequests(t *testing.T) {
 	gateway := newGateway(t, settingsForGateways(300), newFleet(2, 2)...)
-	gateway.scheduler.prompt = 1000
+	gateway.scheduler.meanPromptTokens = 1000
 	short := Report{ReportInFlight: 9, ReportQueue: 8, ReportWaiting: 2}
 	long := Report{ReportInFlight: 2, ReportQueue: 1, ReportWaiting: 60}
 	for report, want := range map[*Report]float64{&short: 2, &long: 60, {ReportInFlight: 9, ReportQueue: 8}: 9, {}: 0} {
-		if got := gateway.scheduler.running(&server{report: *report}); got != want {
+		if got := gateway.scheduler.reportedLoad(&trackedServer{report: *report}); got != want {
 			t.Errorf("report %v: load of %v requests, want %v", *report, got, want)
 		}
 	}
 	fewGateways := newGateway(t, settingsForGateways(4), newFleet(2, 2)...)
-	fewGateways.scheduler.prompt = 1000
-	if got := fewGateways.scheduler.running(&server{report: long}); got != 2 {
+	fewGateways.scheduler.meanPromptTokens = 1000
+	if got := fewGateways.scheduler.reportedLoad(&trackedServer{report: long}); got != 2 {
 		t.Errorf("with four gateways, which count requests themselves: load %v, want 2", got)
 	}
-	gateway.scheduler.prompt = 0
-	if got := gateway.scheduler.running(&server{report: long}); got != 2 {
+	gateway.scheduler.meanPromptTokens = 0
+	if got := gateway.scheduler.reportedLoad(&trackedServer{report: long}); got != 2 {
 		t.Errorf("before the mean prompt length is known: load %v, want 2", got)
 	}
 }
@@ -155,14 +155,14 @@
 			settings := settingsForGateways(300)
 			settings.Reports = ReportInline
 			gateway := newGateway(t, settings, newFleet(12, 2)...)
-			gateway.scheduler.prompt, gateway.scheduler.now = 400, gateway.now
-			req := &request{Request: Request{ID: "q", Session: 3, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}, class: gateway.scheduler.classes["chat"]}
-			pool := gateway.scheduler.pool(req, reads)
-			targets := gateway.scheduler.homes(req, pool)
+			gateway.scheduler.meanPromptTokens, gateway.scheduler.now = 400, gateway.now
+			req := &trackedRequest{Request: Request{ID: "q", Session: 3, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}, class: gateway.scheduler.classes["chat"]}
+			pool := gateway.scheduler.eligibleServers(req, isPrefill)
+			targets := gateway.scheduler.affinityTargets(req, pool)
 			for _, v := range pool { // all others have as much waiting as the target
 				v.report, v.reportAt = Report{ReportWaiting: tt.targetWaiting}, gateway.now
 			}
-			var other *server
+			var other *trackedServer
 			for _, v := range pool {
 				if v != targets[0] && v != targets[1] {
 					other = v
@@ -173,9 +173,9 @@
 			}
 			other.report, other.reportAt = Report{ReportWaiting: tt.otherWaiting}, gateway.now
 			if !tt.reported {
-				other.reportAt -= probeEvery
+				other.reportAt -= loadProbeInterval
 			}
-			if got := gateway.scheduler.byPrefix(req, pool); (got == other) != tt.taken {
+			if got := gateway.scheduler.pickByPrefix(req, pool); (got == other) != tt.taken {
 				t.Errorf("sent to %s; affinity target %s, other server %s", got.ID, targets[0].ID, other.ID)
 			}
 		})
@@ -206,10 +206,10 @@
 			gateway := newGateway(t, settings, fleet...)
 			gateway.scheduler.rng.Seed(int64(seed))
 			for key := range uint64(50) {
-				req := &request{Request: Request{ID: "q", Session: key%3 + 1, Prefix: key/3 + 1, PrefixTokens: 160, PromptTokens: 320},
+				req := &trackedRequest{Request: Request{ID: "q", Session: key%3 + 1, Prefix: key/3 + 1, PrefixTokens: 160, PromptTokens: 320},
 					class: gateway.scheduler.classes["chat"]}
-				pool := gateway.scheduler.pool(req, reads)
-				targets := gateway.scheduler.homes(req, pool)
+				pool := gateway.scheduler.eligibleServers(req, isPrefill)
+				targets := gateway.scheduler.affinityTargets(req, pool)
 				if len(targets) != 2 || targets[0].Zone != zone || targets[1].Zone == zone {
 					t.Fatalf("affinity targets %v in zone %s, want one in this zone and then one elsewhere", targets, zone)
 				}
@@ -220,11 +220,11 @@
 				for _, v := range pool {
 					v.report, v.reportAt = Report{ReportInFlight: 3}, gateway.scheduler.now
 				}
-				if got := gateway.scheduler.byPrefix(req, pool); got != targets[0] {
+				if got := gateway.scheduler.pickByPrefix(req, pool); got != targets[0] {
 					t.Errorf("key %d: sent to %s, want the target %s in the own zone", key, got.ID, targets[0].ID)
 				}
 				targets[0].report = Report{ReportInFlight: 5}
-				if got := gateway.scheduler.byPrefix(req, pool); got != targets[1] {
+				if got := gateway.scheduler.pickByPrefix(req, pool); got != targets[1] {
 					t.Errorf("key %d: sent to %s, want the target %s in the other zone", key, got.ID, targets[1].ID)
 				}
 			}
--- a/internal/grpcfront/boxes.go
+++ b/internal/grpcfront/boxes.go
@@ -261,9 +261,9 @@
 func always() bool { return true }
 
 // Send carries out an attempt.
-func (b *Boxes) Send(ctx context.Context, a gateway.Attempt) gateway.Answer {
+func (b *Boxes) Send(ctx context.Context, a gateway.Attempt) gateway.AttemptResult {
 	method := ashwoodpb.Box_Write_FullMethodName
-	if a.Reads {
+	if a.Prefill {
 		method = ashwoodpb.Box_Read_FullMethodName
 	}
 	begun := b.clock.Now()
@@ -271,41 +271,41 @@
 		left := max(a.Remaining-(b.clock.Now()-begun), 0)
 		return metaRemaining, strconv.FormatFloat(left, 'f', 0, 64)
 	}
-	c, err := b.open(ctx, a.Engine, method, &frame{a.Body}, a.Ready, remaining)
+	c, err := b.open(ctx, a.Engine, method, &frame{a.Body}, a.MayWrite, remaining)
 	if err != nil {
-		st := ashwood.NoConnection
+		st := ashwood.StatusConnectFailed
 		if ctx.Err() != nil || errors.Is(err, errNotReady) {
-			st = ashwood.NotSent
+			st = ashwood.StatusNotSent
 		}
-		return gateway.Answer{Result: ashwood.Result{Status: st}, Err: err}
+		return gateway.AttemptResult{Result: ashwood.Result{Status: st}, Err: err}
 	}
-	a.Sent()
-	if a.Reads {
+	a.OnSent()
+	if a.Prefill {
 		return c.read(a.Engine.ID)
 	}
 	first := &frame{}
 	if err := c.RecvMsg(first); err != nil {
 		return c.unserved(a.Engine.ID, err)
 	}
-	return gateway.Answer{
-		Result: ashwood.Result{Status: ashwood.Served}, Stream: &stream{call: c, box: a.Engine.ID, first: first},
+	return gateway.AttemptResult{
+		Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: &stream{call: c, box: a.Engine.ID, first: first},
 	}
 }
 
 // Reserve asks a writer to hold a place.
-func (b *Boxes) Reserve(ctx context.Context, box ashwood.Server, id ashwood.RequestID, ready func() bool) gateway.Place {
+func (b *Boxes) Reserve(ctx context.Context, box ashwood.Server, id ashwood.RequestID, ready func() bool) gateway.ReserveResult {
 	c, err := b.open(ctx, box, ashwoodpb.Box_Reserve_FullMethodName, &ashwoodpb.RoomRequest{RequestId: string(id)}, ready)
 	if err != nil {
-		return gateway.PlaceUnasked
+		return gateway.ReserveNotSent
 	}
 	var res ashwoodpb.ReserveResult
 	switch err := c.RecvMsg(&res); {
 	case err != nil:
-		return gateway.PlaceUnknown
+		return gateway.ReserveUnknown
 	case res.GetHeld():
-		return gateway.PlaceHeld
+		return gateway.ReserveHeld
 	}
-	return gateway.PlaceRefused
+	return gateway.ReserveRefused
 }
 
 // Release lets go of what a box holds for a request. After a try without an answer it goes on a connection of its own:
@@ -345,13 +345,13 @@
 func (b *Boxes) Probe(ctx context.Context, box ashwood.Server) (ashwood.Status, ashwood.Report) {
 	c, err := b.open(ctx, box, ashwoodpb.Box_Load_FullMethodName, &ashwoodpb.LoadRequest{}, always)
 	if err != nil {
-		return ashwood.NoConnection, nil
+		return ashwood.StatusConnectFailed, nil
 	}
 	if err = c.RecvMsg(&frame{}); err == nil {
 		err = c.RecvMsg(&frame{})
 	}
 	if !errors.Is(err, io.EOF) {
-		return ashwood.ServerError, c.report()
+		return ashwood.StatusServerError, c.report()
 	}
-	return ashwood.Served, c.report()
+	return ashwood.StatusServed, c.report()
 }
--- a/internal/release/ledger.go
+++ b/internal/release/ledger.go
@@ -148,7 +148,7 @@
 func (l *Ledger) Owe(now float64, v ashwood.Server, id ashwood.RequestID, doubtful bool) {
 	e := l.engines[v.ID]
 	if e == nil {
-		e = &engine{debts: map[ashwood.RequestID]*debt{}, pace: pacing.Backoff{First: l.cfg.First, Last: l.cfg.Last, Rand: l.cfg.Rand}}
+		e = &engine{debts: map[ashwood.RequestID]*debt{}, pace: pacing.Backoff{Initial: l.cfg.First, Max: l.cfg.Last, Rand: l.cfg.Rand}}
 		l.engines[v.ID] = e
 	}
 	e.Server, e.gone = v, false
--- a/internal/wire/targets.go
+++ b/internal/wire/targets.go
@@ -15,7 +15,7 @@
 }
 
 var lifecycles = map[string]ashwood.ServerState{
-	"up": ashwood.StateOn, "draining": ashwood.StateFading, "removed": ashwood.StateOff,
+	"up": ashwood.StateActive, "draining": ashwood.StateDraining, "removed": ashwood.StateRemoved,
 }
 
 // DecodeTargets reads a list in discovery's form. An engine's id is the same
--- a/outcomes_test.go
+++ b/outcomes_test.go
@@ -13,28 +13,28 @@
 		note   float64
 		next   string // server of the next attempt; "" = final answer
 	}{
-		{TurnedAway, 0, "w2"},
-		{TurnedAway, 1, "r1"}, // the KV state is gone: prefill again
-		{ServerError, 0, "w2"}, {NoAnswer, 0, "w2"}, {NoConnection, 0, "w2"}, {ConnectionLost, 0, "w2"},
-		{CalledOff, 0, "w2"},
+		{StatusRejected, 0, "w2"},
+		{StatusRejected, 1, "r1"}, // the KV state is gone: prefill again
+		{StatusServerError, 0, "w2"}, {StatusTimedOut, 0, "w2"}, {StatusConnectFailed, 0, "w2"}, {StatusConnectionLost, 0, "w2"},
+		{StatusCancelled, 0, "w2"},
 	}
 	for _, tt := range tests {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 1))
 		gateway.requestChat("a", 1, 0)
-		gateway.endAttempt("a", 0, "r1", Parsed)
+		gateway.endAttempt("a", 0, "r1", StatusPrefilled)
 		gateway.expectSentTo("w1")
-		gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: tt.status, Note: tt.note})
+		gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: tt.status, Detail: tt.note})
 		gateway.expectSentTo(tt.next)
 	}
 }
 
 func TestRetry_AfterPrefillOutcome(t *testing.T) {
-	for _, status := range []Status{TurnedAway, ServerError, NoAnswer, NoConnection, ConnectionLost} {
+	for _, status := range []Status{StatusRejected, StatusServerError, StatusTimedOut, StatusConnectFailed, StatusConnectionLost} {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
 		gateway.requestChat("a", 1, 0)
-		first, _ := firstAction[Attempt](gateway)
+		first, _ := firstAction[Send](gateway)
 		gateway.endAttempt("a", 0, string(first.Server), status)
-		if second, _ := firstAction[Attempt](gateway); second.Server == first.Server || second.Server == "" {
+		if second, _ := firstAction[Send](gateway); second.Server == first.Server || second.Server == "" {
 			t.Errorf("status %v: first attempt at %s, second at %q, want another server", status, first.Server, second.Server)
 		}
 	}
@@ -43,24 +43,24 @@
 func TestRequest_StateDroppedWhenServed(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 	gateway.requestChat("a", 1, 0)
-	gateway.endAttempt("a", 0, "r1", Parsed)
-	gateway.handle(First{ID: "a", Attempt: 1, Server: "w1", Latency: 10 * ms})
-	gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: Served, Done: true})
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
+	gateway.handle(AnswerStarted{ID: "a", Attempt: 1, Server: "w1", Latency: 10 * ms})
+	gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: StatusServed, RequestDone: true})
 	expectNoAction[Refuse](gateway)
-	if len(gateway.scheduler.reqs) != 0 || gateway.scheduler.servers["w1"].held != 0 || gateway.scheduler.servers["w1"].queue != 0 {
-		t.Errorf("still kept after the answer: requests %v, server %+v", gateway.scheduler.reqs, gateway.scheduler.servers["w1"])
+	if len(gateway.scheduler.requests) != 0 || gateway.scheduler.servers["w1"].decodeTokens != 0 || gateway.scheduler.servers["w1"].queuedTokens != 0 {
+		t.Errorf("still kept after the answer: requests %v, server %+v", gateway.scheduler.requests, gateway.scheduler.servers["w1"])
 	}
 }
 
 func TestRequest_OneStageFleet(t *testing.T) {
 	settings := testSettings()
-	gateway := newGateway(t, settings, Server{ID: "m1", Zone: "a", Kind: "mixed", State: StateOn})
+	gateway := newGateway(t, settings, Server{ID: "m1", Zone: "a", Kind: "mixed", State: StateActive})
 	gateway.requestChat("a", 1, 0)
 	gateway.expectSentTo("m1")
 	gateway = newGateway(t, settings, decodeServer("w1", 0))
 	gateway.requestChat("a", 1, 0)
 	gateway.expectSentTo("") // decode servers may not prefill
-	settings.WritersRead = true
+	settings.DecodeCanPrefill = true
 	gateway = newGateway(t, settings, decodeServer("w1", 0))
 	gateway.requestChat("a", 1, 0)
 	gateway.expectSentTo("w1")
@@ -69,15 +69,15 @@
 func TestDeadline_TimeLeftBelowClassDeadline(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 	gateway.handle(Request{ID: "a", Class: "chat", Session: 1, PromptTokens: 100, TimeLeft: 300 * ms})
-	if a, _ := firstAction[Attempt](gateway); a.Timeout != 300*ms {
+	if a, _ := firstAction[Send](gateway); a.Timeout != 300*ms {
 		t.Errorf("timeout %v, want the 300ms that are left", a.Timeout)
 	}
 	gateway.now += 300 * ms
-	gateway.endAttempt("a", 0, "r1", NoAnswer)
+	gateway.endAttempt("a", 0, "r1", StatusTimedOut)
 	expectAction[Refuse](gateway)
 	gateway.now += ms
-	gateway.endAttempt("a", 0, "r1", Parsed)
-	expectNoAction[Attempt](gateway)
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
+	expectNoAction[Send](gateway)
 }
 
 // A client that leaves during the answer says nothing of the time to first token: the whole time of its attempt, here a
@@ -85,11 +85,11 @@
 func TestLatencyEstimate_ClientLeavesDuringAnswer(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 	gateway.requestChat("a", 1, 0)
-	gateway.endAttempt("a", 0, "r1", Parsed)
-	gateway.handle(First{ID: "a", Attempt: 1, Server: "w1", Latency: 10 * ms})
-	before := gateway.scheduler.pace[writing]
-	gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: CalledOff, Done: true, Latency: time.Minute})
-	if gateway.scheduler.pace[writing] != before || len(gateway.scheduler.reqs) != 0 {
-		t.Errorf("latency estimate %+v, was %+v; requests still kept: %v", gateway.scheduler.pace[writing], before, gateway.scheduler.reqs)
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
+	gateway.handle(AnswerStarted{ID: "a", Attempt: 1, Server: "w1", Latency: 10 * ms})
+	before := gateway.scheduler.stageLatency[stageDecode]
+	gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: StatusCancelled, RequestDone: true, Latency: time.Minute})
+	if gateway.scheduler.stageLatency[stageDecode] != before || len(gateway.scheduler.requests) != 0 {
+		t.Errorf("latency estimate %+v, was %+v; requests still kept: %v", gateway.scheduler.stageLatency[stageDecode], before, gateway.scheduler.requests)
 	}
 }
--- a/placement_test.go
+++ b/placement_test.go
@@ -16,8 +16,8 @@
 	}{
 		{"cached prefix beats idle server", map[string]int{"r1": 1}, map[string]int{"r1": 1}, "r1"},
 		{"equal prefixes, fewer in flight", map[string]int{"r1": 3, "r2": 1}, map[string]int{"r1": 1, "r2": 1}, "r2"},
-		{"gap in load overrides prefix", map[string]int{"r1": countGap + 1}, map[string]int{"r1": 1}, "r2"},
-		{"prefix counts at the gap", map[string]int{"r1": countGap}, map[string]int{"r1": 1}, "r1"},
+		{"gap in load overrides prefix", map[string]int{"r1": maxLoadGap + 1}, map[string]int{"r1": 1}, "r2"},
+		{"prefix counts at the gap", map[string]int{"r1": maxLoadGap}, map[string]int{"r1": 1}, "r1"},
 		{"above mean and deviations of load", map[string]int{"r1": 12}, map[string]int{"r1": 1}, "not r1"},
 	}
 	for _, tt := range tests {
@@ -27,14 +27,14 @@
 				servers = append(servers, prefillServer("r3"), prefillServer("r4"), prefillServer("r5"), prefillServer("r6"))
 			}
 			gateway := newGateway(t, testSettings(), servers...)
-			req := &request{Request: Request{Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}}
-			for _, v := range gateway.scheduler.order {
-				v.reads = tt.unfinished[string(v.ID)]
+			req := &trackedRequest{Request: Request{Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}}
+			for _, v := range gateway.scheduler.sortedServers {
+				v.pendingPrefills = tt.unfinished[string(v.ID)]
 				if tt.prefilled[string(v.ID)] > 0 {
-					gateway.scheduler.table.Record(gateway.now, v.runs, req.parts(), true)
+					gateway.scheduler.prefixTable.Record(gateway.now, v.prefixRuns, req.prefixParts(), true)
 				}
 			}
-			got := gateway.scheduler.byPrefix(req, gateway.scheduler.order)
+			got := gateway.scheduler.pickByPrefix(req, gateway.scheduler.sortedServers)
 			if string(got.ID) != tt.want && (tt.want != "not r1" || got.ID == "r1") {
 				t.Errorf("picked %s, want %s", got.ID, tt.want)
 			}
@@ -53,8 +53,8 @@
 			first, second := newGateway(t, testSettings(), servers...), newGateway(t, testSettings(), servers[2], servers[0], servers[1], servers[3])
 			first.requestChat("x", session, prefix)
 			second.requestChat("y", session, prefix)
-			firstSent, _ := firstAction[Attempt](first)
-			secondSent, _ := firstAction[Attempt](second)
+			firstSent, _ := firstAction[Send](first)
+			secondSent, _ := firstAction[Send](second)
 			if firstSent.Server != secondSent.Server {
 				t.Fatalf("prefix %d, session %d: two gateways send to %s and %s", prefix, session, firstSent.Server, secondSent.Server)
 			}
@@ -74,10 +74,10 @@
 func TestPrefillChoice_PrefixAtEjectedServer(t *testing.T) {
 	for prefix := uint64(1); prefix < 20; prefix++ {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), decodeServer("w1", 0))
-		req := &request{Request: Request{Session: 1, Prefix: prefix, PrefixTokens: 160, PromptTokens: 320}}
-		gateway.scheduler.table.Record(gateway.now, gateway.scheduler.servers["r1"].runs, req.parts(), true)
-		gateway.scheduler.servers["r1"].ejected, gateway.scheduler.servers["r1"].until = true, gateway.now+time.Hour
-		gateway.scheduler.servers["r2"].reads = 1
+		req := &trackedRequest{Request: Request{Session: 1, Prefix: prefix, PrefixTokens: 160, PromptTokens: 320}}
+		gateway.scheduler.prefixTable.Record(gateway.now, gateway.scheduler.servers["r1"].prefixRuns, req.prefixParts(), true)
+		gateway.scheduler.servers["r1"].ejected, gateway.scheduler.servers["r1"].ejectedUntil = true, gateway.now+time.Hour
+		gateway.scheduler.servers["r2"].pendingPrefills = 1
 		gateway.requestChat("x", 1, prefix)
 		gateway.expectSentTo("r3")
 	}
@@ -87,22 +87,22 @@
 func TestPrefixTable_ExpiryAndCap(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"))
 	server := gateway.scheduler.servers["r1"]
-	req := &request{Request: Request{Session: 1, PromptTokens: 320}}
+	req := &trackedRequest{Request: Request{Session: 1, PromptTokens: 320}}
 	gateway.scheduler.now = gateway.now
-	gateway.scheduler.table.Record(gateway.now, server.runs, req.parts(), true)
-	if got, _ := gateway.scheduler.match(req, server); got != 320 {
+	gateway.scheduler.prefixTable.Record(gateway.now, server.prefixRuns, req.prefixParts(), true)
+	if got, _ := gateway.scheduler.matchPrefix(req, server); got != 320 {
 		t.Fatalf("server holds %v tokens, want 320", got)
 	}
 	gateway.scheduler.now += blockExpiry
-	if got, _ := gateway.scheduler.match(req, server); got != 0 {
+	if got, _ := gateway.scheduler.matchPrefix(req, server); got != 0 {
 		t.Errorf("server holds %v tokens after the expiry, want 0", got)
 	}
 	for i := uint64(2); i < 30; i++ {
-		gateway.scheduler.table.Record(gateway.now, server.runs, (&request{Request: Request{Session: i, PromptTokens: 10000 * blockTokens}}).parts(), false)
+		gateway.scheduler.prefixTable.Record(gateway.now, server.prefixRuns, (&trackedRequest{Request: Request{Session: i, PromptTokens: 10000 * blockTokens}}).prefixParts(), false)
 	}
-	if gateway.scheduler.table.Blocks() != maxBlocks || gateway.scheduler.table.Len() != len(server.runs) || len(server.runs) != 20 {
+	if gateway.scheduler.prefixTable.Blocks() != maxBlocks || gateway.scheduler.prefixTable.Len() != len(server.prefixRuns) || len(server.prefixRuns) != 20 {
 		t.Errorf("table holds %d blocks in %d runs, the server %d runs; want %d blocks in 20 runs",
-			gateway.scheduler.table.Blocks(), gateway.scheduler.table.Len(), len(server.runs), maxBlocks)
+			gateway.scheduler.prefixTable.Blocks(), gateway.scheduler.prefixTable.Len(), len(server.prefixRuns), maxBlocks)
 	}
 }
 
@@ -112,15 +112,15 @@
 	for _, tt := range []struct{ kept, want float64 }{{0, 0}, {320, 320}} {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 		gateway.requestChat("other", 2, 0)
-		gateway.endAttempt("other", 0, "r1", Parsed)
+		gateway.endAttempt("other", 0, "r1", StatusPrefilled)
 		gateway.requestChat("a", 1, 0)
-		gateway.endAttempt("a", 0, "r1", Parsed)
+		gateway.endAttempt("a", 0, "r1", StatusPrefilled)
 		gateway.now += 100 * ms
 		gateway.requestChat("b", 1, 0)
 		gateway.now += 50 * ms
-		gateway.handle(Outcome{ID: "b", Server: "r1", Status: Parsed, Note: tt.kept, Latency: 50 * ms})
-		other := &request{Request: Request{Session: 2, PromptTokens: 320}}
-		if got, _ := gateway.scheduler.match(other, gateway.scheduler.servers["r1"]); got != tt.want {
+		gateway.handle(Outcome{ID: "b", Server: "r1", Status: StatusPrefilled, Detail: tt.kept, Latency: 50 * ms})
+		other := &trackedRequest{Request: Request{Session: 2, PromptTokens: 320}}
+		if got, _ := gateway.scheduler.matchPrefix(other, gateway.scheduler.servers["r1"]); got != tt.want {
 			t.Errorf("server kept %v tokens: it holds %v tokens of the other session, want %v", tt.kept, got, tt.want)
 		}
 	}
@@ -132,8 +132,8 @@
 	gateway.requestChat("a", 1, 0)
 	restarted := prefillServer("r1")
 	restarted.Started = gateway.now
-	gateway.handle(Members{Form: ListPatch, Entries: []Server{restarted}})
-	if got := len(gateway.scheduler.servers["r1"].runs); got != 0 {
+	gateway.handle(MembershipUpdate{Form: MembershipDelta, Entries: []Server{restarted}})
+	if got := len(gateway.scheduler.servers["r1"].prefixRuns); got != 0 {
 		t.Errorf("%d runs still known after a restart, want none", got)
 	}
 }
@@ -145,12 +145,12 @@
 	settings.Nodes = 3
 	gateway := newGateway(t, settings, prefillServer("r1"))
 	server := gateway.scheduler.servers["r1"]
-	server.reads = 2
-	count, _ := gateway.scheduler.counts(RoleRead)
+	server.pendingPrefills = 2
+	count, _ := gateway.scheduler.loadEstimate(RoleRead)
 	if got := count(server); got != 6 {
 		t.Errorf("estimate of %v in flight, want 6", got)
 	}
-	gateway.handle(Probed{Server: "r1", Status: Served, Report: Report{ReportInFlight: 9}})
+	gateway.handle(ProbeResult{Server: "r1", Status: StatusServed, Report: Report{ReportInFlight: 9}})
 	if got := count(server); got != 9 {
 		t.Errorf("estimate of %v in flight, want the reported 9", got)
 	}
@@ -181,13 +181,13 @@
 				v.report, v.reportAt = Report{ReportMemory: x}, gateway.scheduler.now
 			}
 			for id, x := range tt.held {
-				gateway.scheduler.servers[ServerID(id)].held = x
+				gateway.scheduler.servers[ServerID(id)].decodeTokens = x
 			}
-			pool := []*server{gateway.scheduler.servers["near"], gateway.scheduler.servers["mid"], gateway.scheduler.servers["far"]}
+			pool := []*trackedServer{gateway.scheduler.servers["near"], gateway.scheduler.servers["mid"], gateway.scheduler.servers["far"]}
 			if tt.want != "mid" {
-				pool = []*server{pool[0], pool[2]}
+				pool = []*trackedServer{pool[0], pool[2]}
 			}
-			if got := gateway.scheduler.roomiest(pool, gateway.scheduler.servers["r1"]); string(got.ID) != tt.want {
+			if got := gateway.scheduler.pickByFreeMemory(pool, gateway.scheduler.servers["r1"]); string(got.ID) != tt.want {
 				t.Errorf("picked %s, want %s", got.ID, tt.want)
 			}
 		})
@@ -199,10 +199,10 @@
 func TestDecodeChoice_OldReport(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("near", 0), decodeServer("far", 2))
 	near, far := gateway.scheduler.servers["near"], gateway.scheduler.servers["far"]
-	for age, want := range map[time.Duration]*server{0: far, time.Hour: near} {
+	for age, want := range map[time.Duration]*trackedServer{0: far, time.Hour: near} {
 		near.report, near.reportAt = Report{ReportMemory: 0.9}, gateway.scheduler.now-age
 		far.report, far.reportAt = Report{ReportMemory: 0.1}, gateway.scheduler.now-age
-		if got := gateway.scheduler.roomiest([]*server{near, far}, gateway.scheduler.servers["r1"]); got != want {
+		if got := gateway.scheduler.pickByFreeMemory([]*trackedServer{near, far}, gateway.scheduler.servers["r1"]); got != want {
 			t.Errorf("reports %v old: picked %s, want %s", age, got.ID, want.ID)
 		}
 	}
@@ -213,14 +213,14 @@
 func TestReservation_ConnectionFails(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0))
 	gateway.requestChat("a", 1, 0)
-	reservation, _ := firstAction[Ahead](gateway)
-	gateway.handle(PlaceNote{ID: "a", Server: reservation.Server, Held: true})
-	gateway.endAttempt("a", 0, "r1", Parsed)
+	reservation, _ := firstAction[Reserve](gateway)
+	gateway.handle(ReservationResult{ID: "a", Server: reservation.Server, Held: true})
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
 	gateway.expectSentTo(string(reservation.Server))
-	gateway.endAttempt("a", 1, string(reservation.Server), NoConnection)
+	gateway.endAttempt("a", 1, string(reservation.Server), StatusConnectFailed)
 	gateway.expectSentTo(string(reservation.Server))
-	gateway.endAttempt("a", 2, string(reservation.Server), NoConnection)
-	if next, _ := firstAction[Attempt](gateway); next.Server == reservation.Server || next.Server == "" {
+	gateway.endAttempt("a", 2, string(reservation.Server), StatusConnectFailed)
+	if next, _ := firstAction[Send](gateway); next.Server == reservation.Server || next.Server == "" {
 		t.Errorf("third attempt at %q, want another server than the holder", next.Server)
 	}
 }
@@ -229,35 +229,35 @@
 func TestReservation_Refused(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0), decodeServer("w3", 0))
 	gateway.requestChat("a", 1, 0)
-	first, _ := firstAction[Ahead](gateway)
-	gateway.handle(PlaceNote{ID: "a", Server: first.Server})
-	second, ok := firstAction[Ahead](gateway)
+	first, _ := firstAction[Reserve](gateway)
+	gateway.handle(ReservationResult{ID: "a", Server: first.Server})
+	second, ok := firstAction[Reserve](gateway)
 	if !ok || second.Server == first.Server {
 		t.Fatalf("after %s refused a reservation: actions %v, want a reservation at another server", first.Server, gateway.actions)
 	}
-	gateway.handle(PlaceNote{ID: "a", Server: second.Server})
-	expectNoAction[Ahead](gateway)
+	gateway.handle(ReservationResult{ID: "a", Server: second.Server})
+	expectNoAction[Reserve](gateway)
 }
 
 // The decode server that granted the reservation gets the attempt, although another has more free memory by then.
 func TestReservation_Granted(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0))
 	gateway.requestChat("a", 1, 0)
-	reservation, _ := firstAction[Ahead](gateway)
-	gateway.handle(PlaceNote{ID: "a", Server: reservation.Server, Held: true})
-	gateway.scheduler.servers[reservation.Server].held = 90000 // no longer the one with the most free memory
-	gateway.endAttempt("a", 0, "r1", Parsed)
+	reservation, _ := firstAction[Reserve](gateway)
+	gateway.handle(ReservationResult{ID: "a", Server: reservation.Server, Held: true})
+	gateway.scheduler.servers[reservation.Server].decodeTokens = 90000 // no longer the one with the most free memory
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
 	gateway.expectSentTo(string(reservation.Server))
 }
 
 // No reservation is asked for where the settings don't allow it.
 func TestReservation_Disabled(t *testing.T) {
 	settings := testSettings()
-	settings.Ahead = false
+	settings.Reservations = false
 	gateway := newGateway(t, settings, prefillServer("r1"), decodeServer("w1", 0))
 	gateway.requestChat("a", 1, 0)
 	gateway.expectSentTo("r1")
-	expectNoAction[Ahead](gateway)
+	expectNoAction[Reserve](gateway)
 }
 
 // While transfers of KV state between cells are slow, prompts go to cells where a decode server has free memory.
@@ -280,9 +280,9 @@
 			servers[i].Cell = i + 1 // there is no decode server in the cell of r1
 		}
 		gateway := newGateway(t, testSettings(), servers...)
-		req := &request{Request: Request{Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}}
-		gateway.scheduler.pace[writing].Observe(gateway.now, 50*ms, 320)
-		gateway.scheduler.pace[writingFar].Observe(gateway.now, tt.farLatency, 320)
+		req := &trackedRequest{Request: Request{Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}}
+		gateway.scheduler.stageLatency[stageDecode].Observe(gateway.now, 50*ms, 320)
+		gateway.scheduler.stageLatency[stageDecodeFar].Observe(gateway.now, tt.farLatency, 320)
 		gateway.now += tt.age
 		if tt.used == nil {
 			tt.used = map[ServerID]float64{"w2": 0.1, "w3": 0.9}
@@ -291,9 +291,9 @@
 			gateway.scheduler.servers[id].report, gateway.scheduler.servers[id].reportAt = Report{ReportMemory: x}, gateway.now
 		}
 		gateway.scheduler.now = gateway.now
-		gateway.scheduler.table.Record(gateway.now, gateway.scheduler.servers["r1"].runs, req.parts(), true)
+		gateway.scheduler.prefixTable.Record(gateway.now, gateway.scheduler.servers["r1"].prefixRuns, req.prefixParts(), true)
 		gateway.requestChat("a", 1, 7)
-		if a, _ := firstAction[Attempt](gateway); string(a.Server) != tt.want {
+		if a, _ := firstAction[Send](gateway); string(a.Server) != tt.want {
 			t.Errorf("%s: sent to %q, want %s", tt.name, a.Server, tt.want)
 		}
 	}
--- a/rules_test.go
+++ b/rules_test.go
@@ -28,7 +28,7 @@
 				timers = append(timers, a)
 			case Refuse, Fail:
 				answers++
-			case Attempt:
+			case Send:
 				timers = append(timers, SetTimer{At: gateway.now + ms})
 			}
 		}
@@ -45,9 +45,9 @@
 		timers = append(timers[:nextIndex], timers[nextIndex+1:]...)
 		gateway.now = max(gateway.now, timer.At)
 		if timer.Token == 0 {
-			gateway.endAttempt("a", 0, "r1", Parsed)
+			gateway.endAttempt("a", 0, "r1", StatusPrefilled)
 		} else {
-			gateway.handle(Timer{timer.Token})
+			gateway.handle(TimerFired{timer.Token})
 		}
 	}
 }
@@ -59,27 +59,27 @@
 		status Status
 		want   string // server of the next attempt, or "fail"
 	}{
-		{"chat", ServerError, "w2"},
-		{"pay", ServerError, "fail"}, {"pay", NoAnswer, "fail"}, {"pay", CalledOff, "fail"},
-		{"pay", NoConnection, "w2"}, {"pay", TurnedAway, "w2"},
-		{"order", ServerError, "fail"}, // w2 is not in the group
-		{"order", NoConnection, "w2"},
+		{"chat", StatusServerError, "w2"},
+		{"pay", StatusServerError, "fail"}, {"pay", StatusTimedOut, "fail"}, {"pay", StatusCancelled, "fail"},
+		{"pay", StatusConnectFailed, "w2"}, {"pay", StatusRejected, "w2"},
+		{"order", StatusServerError, "fail"}, // w2 is not in the group
+		{"order", StatusConnectFailed, "w2"},
 	}
 	for _, tt := range tests {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 1))
 		gateway.handle(Request{ID: "a", Class: tt.class, Session: 1, PromptTokens: 100, TimeLeft: 700 * ms})
-		gateway.endAttempt("a", 0, "r1", Parsed)
+		gateway.endAttempt("a", 0, "r1", StatusPrefilled)
 		gateway.expectSentTo("w1")
 		gateway.endAttempt("a", 1, "w1", tt.status)
 		if tt.want == "w2" {
 			gateway.expectSentTo("w2")
 			continue
 		}
-		expectNoAction[Attempt](gateway)
-		for i := 0; i < 40 && len(gateway.scheduler.reqs) > 0; i++ { // it may wait for a server of the group for a while
+		expectNoAction[Send](gateway)
+		for i := 0; i < 40 && len(gateway.scheduler.requests) > 0; i++ { // it may wait for a server of the group for a while
 			gateway.now += 50 * ms
 			if timer, ok := firstAction[SetTimer](gateway); ok {
-				gateway.handle(Timer{timer.Token})
+				gateway.handle(TimerFired{timer.Token})
 			}
 		}
 		expectAction[Fail](gateway)
@@ -89,9 +89,9 @@
 
 // Repeats of a token request stay within its group, which drops them, and its window.
 func TestRetry_TokenGroupAndWindow(t *testing.T) {
-	req := &request{class: &Class{Effect: Token, Group: ScopeZone, Window: time.Second}}
-	req.ran = &attempt{srv: &server{Server: Server{Zone: "a", Cell: 1}}}
-	same, other := &server{Server: Server{Zone: "a", Cell: 2}}, &server{Server: Server{Zone: "b", Cell: 1}}
+	req := &trackedRequest{class: &Class{Effect: TokenEffect, Group: ScopeZone, Window: time.Second}}
+	req.firstRun = &trackedAttempt{server: &trackedServer{Server: Server{Zone: "a", Cell: 1}}}
+	same, other := &trackedServer{Server: Server{Zone: "a", Cell: 2}}, &trackedServer{Server: Server{Zone: "b", Cell: 1}}
 	if !req.mayRunOn(same, 999*ms) || req.mayRunOn(same, time.Second) || req.mayRunOn(other, 0) {
 		t.Error("zone group: a repeat may run outside the zone or the window, or not within them")
 	}
@@ -106,32 +106,32 @@
 		prefillServer("r4"), prefillServer("r5"), decodeServer("w1", 0))
 	gateway.requestChat("a", 1, 0)
 	for i := 0; i < 4; i++ {
-		a, ok := firstAction[Attempt](gateway)
+		a, ok := firstAction[Send](gateway)
 		if !ok {
 			t.Fatalf("no attempt %d", i)
 		}
-		gateway.endAttempt("a", i, string(a.Server), ServerError)
+		gateway.endAttempt("a", i, string(a.Server), StatusServerError)
 	}
 	expectAction[Refuse](gateway)
-	expectNoAction[Attempt](gateway)
+	expectNoAction[Send](gateway)
 }
 
 // Rule 3: a server that drains, is gone or is missing in a snapshot gets no new work.
 func TestDrain_NoNewWork(t *testing.T) {
-	for _, state := range []ServerState{StateFading, StateOff} {
+	for _, state := range []ServerState{StateDraining, StateRemoved} {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
 		draining := prefillServer("r1")
 		draining.State = state
-		gateway.handle(Members{Form: ListPatch, Entries: []Server{draining}})
+		gateway.handle(MembershipUpdate{Form: MembershipDelta, Entries: []Server{draining}})
 		for i := uint64(0); i < 20; i++ {
 			gateway.requestChat(fmt.Sprint(i), i, i)
 			gateway.expectSentTo("r2")
 			server := gateway.scheduler.servers["r2"]
-			server.reads = 0
+			server.pendingPrefills = 0
 		}
 	}
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
-	gateway.handle(Members{Form: ListWhole, Entries: []Server{decodeServer("w1", 0)}}) // a snapshot without r1: it is gone
+	gateway.handle(MembershipUpdate{Form: MembershipSnapshot, Entries: []Server{decodeServer("w1", 0)}}) // a snapshot without r1: it is gone
 	gateway.requestChat("a", 1, 0)
 	gateway.expectSentTo("")
 }
@@ -140,13 +140,13 @@
 func TestDrain_ReservationHolder(t *testing.T) {
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0))
 	gateway.requestChat("a", 1, 0)
-	reservation, _ := firstAction[Ahead](gateway)
-	gateway.handle(PlaceNote{ID: "a", Server: reservation.Server, Held: true})
+	reservation, _ := firstAction[Reserve](gateway)
+	gateway.handle(ReservationResult{ID: "a", Server: reservation.Server, Held: true})
 	draining := decodeServer(string(reservation.Server), 0)
-	draining.State = StateFading
-	gateway.handle(Members{Form: ListPatch, Entries: []Server{draining}})
-	gateway.endAttempt("a", 0, "r1", Parsed)
-	if a, _ := firstAction[Attempt](gateway); a.Server == reservation.Server || a.Server == "" {
+	draining.State = StateDraining
+	gateway.handle(MembershipUpdate{Form: MembershipDelta, Entries: []Server{draining}})
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
+	if a, _ := firstAction[Send](gateway); a.Server == reservation.Server || a.Server == "" {
 		t.Errorf("sent to %q, want the decode server that does not drain", a.Server)
 	}
 }
@@ -162,9 +162,9 @@
 	sends := 0
 	for i := uint64(0); i < 50; i++ {
 		gateway.requestChat(fmt.Sprint(i), i, 0)
-		if a, ok := firstAction[Attempt](gateway); ok {
+		if a, ok := firstAction[Send](gateway); ok {
 			sends++
-			gateway.endAttempt(fmt.Sprint(i), 0, string(a.Server), TurnedAway)
+			gateway.endAttempt(fmt.Sprint(i), 0, string(a.Server), StatusRejected)
 			gateway.scheduler.servers["r1"].pausedUntil = 0
 		}
 		gateway.now += 10 * ms
@@ -172,7 +172,7 @@
 	if sends != 1 {
 		t.Errorf("%d sends to a server in slow start in half a window while no capacity is known, want 1", sends)
 	}
-	gateway.now += settings.Rules.ColdTime
+	gateway.now += settings.Rules.SlowStartDuration
 	gateway.requestChat("late", 1, 0)
 	gateway.expectSentTo("r1")
 }
@@ -190,13 +190,13 @@
 			servers = append(servers, peer)
 		}
 		gateway := newGateway(t, testSettings(), servers...)
-		restarted, req := gateway.scheduler.servers["r4"], &request{class: gateway.scheduler.classes["chat"]}
-		gateway.scheduler.now, gateway.scheduler.cost[req.class] = gateway.now, 1
-		for _, peer := range gateway.scheduler.order {
-			peer.done.Add(gateway.now, time.Second, 200)
+		restarted, req := gateway.scheduler.servers["r4"], &trackedRequest{class: gateway.scheduler.classes["chat"]}
+		gateway.scheduler.now, gateway.scheduler.classTokens[req.class] = gateway.now, 1
+		for _, peer := range gateway.scheduler.sortedServers {
+			peer.warmThroughput.Add(gateway.now, time.Second, 200)
 		}
 		for ; sends < 1000 && gateway.scheduler.slowStartAllows(restarted, req); sends++ {
-			restarted.sends.Add(gateway.now, 1)
+			restarted.slowStartSends.Add(gateway.now, 1)
 		}
 		return sends
 	}
@@ -213,29 +213,29 @@
 		return gateway
 	}
 	gateway := begin() // the client leaves during prefill, which leaves KV state later
-	gateway.handle(Gone{"a"})
+	gateway.handle(ClientDisconnected{"a"})
 	expectAction[Release](gateway)
-	gateway.endAttempt("a", 0, "r1", Parsed)
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
 	expectAction[Release](gateway)
 	gateway = begin() // all decode servers are gone when the prefill ends
-	gateway.handle(Members{Form: ListWhole, Entries: []Server{prefillServer("r1")}})
-	gateway.endAttempt("a", 0, "r1", Parsed)
+	gateway.handle(MembershipUpdate{Form: MembershipSnapshot, Entries: []Server{prefillServer("r1")}})
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
 	if runUntilIdle(gateway, 900*ms) != 1 {
 		t.Error("no final answer within the release time")
 	}
 	expectAction[Release](gateway)
 	gateway = begin() // the decode server fails for good
-	gateway.endAttempt("a", 0, "r1", Parsed)
-	gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: NoAnswer, Done: true})
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
+	gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: StatusTimedOut, RequestDone: true})
 	expectAction[Release](gateway)
 	gateway = begin() // the only prefill server turns the request away while a reservation is held
-	holder := gateway.scheduler.reqs["a"].ahead
-	gateway.handle(PlaceNote{ID: "a", Server: holder.ID, Held: true})
-	gateway.endAttempt("a", 0, "r1", TurnedAway)
+	holder := gateway.scheduler.requests["a"].reservation
+	gateway.handle(ReservationResult{ID: "a", Server: holder.ID, Held: true})
+	gateway.endAttempt("a", 0, "r1", StatusRejected)
 	expectAction[Release](gateway)
 	gateway = begin() // the deadline passes
 	gateway.now += 5 * time.Second
-	gateway.endAttempt("a", 0, "r1", NoAnswer)
+	gateway.endAttempt("a", 0, "r1", StatusTimedOut)
 	expectAction[Refuse](gateway)
 	expectAction[Release](gateway)
 }
--- a/scheduler_test.go
+++ b/scheduler_test.go
@@ -17,10 +17,10 @@
 	settings.Subscribe = true
 	gateway := newGateway(t, settings)
 	expectAction[Watch](gateway)
-	gateway.handle(Members{Form: ListBroken})
+	gateway.handle(MembershipUpdate{Form: MembershipFailed})
 	timer, _ := firstAction[SetTimer](gateway)
 	gateway.now = timer.At
-	gateway.handle(Timer{timer.Token})
+	gateway.handle(TimerFired{timer.Token})
 	expectAction[Watch](gateway)
 }
 
@@ -50,10 +50,10 @@
 		"no effect":                    func(s *Settings) { s.Classes[0].Effect = 0 },
 		"negative attempt limit":       func(s *Settings) { s.Limits.MaxAttempts = -1 },
 		"negative nodes":               func(s *Settings) { s.Nodes = -1 },
-		"negative release time":        func(s *Settings) { s.Rules.Release = -1 },
-		"negative slow-start multiple": func(s *Settings) { s.Rules.FallMultiple = -1 },
-		"negative slow-start share":    func(s *Settings) { s.Rules.ColdFrom = -1 },
-		"negative slow-start window":   func(s *Settings) { s.Rules.FallWindow = -1 },
+		"negative release time":        func(s *Settings) { s.Rules.ReleaseTimeout = -1 },
+		"negative slow-start multiple": func(s *Settings) { s.Rules.SlowStartMultiple = -1 },
+		"negative slow-start share":    func(s *Settings) { s.Rules.SlowStartCapacity = -1 },
+		"negative slow-start window":   func(s *Settings) { s.Rules.SlowStartWindow = -1 },
 	} {
 		settings := testSettings()
 		invalidate(&settings)
@@ -68,16 +68,16 @@
 	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 	gateway.requestChat("a", 1, 0)
 	for _, event := range []Event{
-		Gone{"z"}, Timer{9999}, First{ID: "a", Attempt: 7}, First{ID: "a", Server: "r1"}, Outcome{ID: "z"},
-		Outcome{ID: "a", Attempt: -1}, Outcome{ID: "a", Server: "w1"}, PlaceNote{ID: "z"}, Probed{Server: "z"},
+		ClientDisconnected{"z"}, TimerFired{9999}, AnswerStarted{ID: "a", Attempt: 7}, AnswerStarted{ID: "a", Server: "r1"}, Outcome{ID: "z"},
+		Outcome{ID: "a", Attempt: -1}, Outcome{ID: "a", Server: "w1"}, ReservationResult{ID: "z"}, ProbeResult{Server: "z"},
 	} {
 		if out := gateway.handle(event); len(out) != 0 {
 			t.Errorf("stray event %#v led to the actions %v", event, out)
 		}
 	}
-	gateway.endAttempt("a", 0, "r1", Parsed)
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
 	gateway.expectSentTo("w1")
-	if out := gateway.endAttempt("a", 0, "r1", Parsed); len(out) != 0 {
+	if out := gateway.endAttempt("a", 0, "r1", StatusPrefilled); len(out) != 0 {
 		t.Errorf("repeated outcome led to the actions %v", out)
 	}
 }
--- a/share_test.go
+++ b/share_test.go
@@ -12,25 +12,25 @@
 	sends := func(processes int) (total int) {
 		settings := testSettings()
 		settings.Nodes = 3
-		settings.Rules = Rules{FallMultiple: 2.5, FallWindow: time.Second, ColdFrom: 0.31, ColdTime: 12 * time.Second, Release: time.Second}
+		settings.Rules = Rules{SlowStartMultiple: 2.5, SlowStartWindow: time.Second, SlowStartCapacity: 0.31, SlowStartDuration: 12 * time.Second, ReleaseTimeout: time.Second}
 		for range processes {
 			gateway := newGateway(t, settings, prefillServer("warm"), prefillServer("cold"))
-			gateway.scheduler.copies = float64(processes)
+			gateway.scheduler.processes = float64(processes)
 			starting := gateway.scheduler.servers["cold"]
 			for i := range 200 { // work that the warm server is seen to finish
-				gateway.scheduler.servers["warm"].done.Add(gateway.now+time.Duration(i)*10*time.Millisecond, time.Second, 1000)
+				gateway.scheduler.servers["warm"].warmThroughput.Add(gateway.now+time.Duration(i)*10*time.Millisecond, time.Second, 1000)
 			}
 			gateway.now += 2 * time.Second
-			starting.Started, starting.since = gateway.now, gateway.now-time.Second
+			starting.Started, starting.restartedAt = gateway.now, gateway.now-time.Second
 			for range 100 {
-				req := &request{Request: Request{ID: RequestID(fmt.Sprint(total)), Class: "chat", PromptTokens: 1000}, class: gateway.scheduler.classes["chat"]}
+				req := &trackedRequest{Request: Request{ID: RequestID(fmt.Sprint(total)), Class: "chat", PromptTokens: 1000}, class: gateway.scheduler.classes["chat"]}
 				gateway.scheduler.now = gateway.now
 				if req.class == nil {
 					t.Fatal("the settings have no class chat")
 				}
-				gateway.scheduler.cost[req.class] = 1000
+				gateway.scheduler.classTokens[req.class] = 1000
 				if gateway.scheduler.slowStartAllows(starting, req) {
-					starting.sends.Add(gateway.now, 1000)
+					starting.slowStartSends.Add(gateway.now, 1000)
 					total++
 				}
 			}
@@ -53,22 +53,22 @@
 	}
 	expect := func(listed, avoided int) {
 		t.Helper()
-		if l, a := router.Engines(); l != listed || a != avoided {
+		if l, a := router.CountEngines(); l != listed || a != avoided {
 			t.Errorf("%d listed, %d avoided, want %d and %d", l, a, listed, avoided)
 		}
 	}
 	expect(0, 0)
 	draining := prefillServer("c")
-	draining.State = StateFading
-	router.Update(ListWhole, []Server{prefillServer("a"), prefillServer("b"), draining})
+	draining.State = StateDraining
+	router.Update(MembershipSnapshot, []Server{prefillServer("a"), prefillServer("b"), draining})
 	expect(3, 1)
-	router.sched.servers["a"].ejected = true
+	router.scheduler.servers["a"].ejected = true
 	expect(3, 2)
 	gone := prefillServer("b")
-	gone.State = StateOff
-	router.Update(ListPatch, []Server{gone})
+	gone.State = StateRemoved
+	router.Update(MembershipDelta, []Server{gone})
 	expect(2, 2)
-	router.Update(ListWhole, []Server{prefillServer("b")})
+	router.Update(MembershipSnapshot, []Server{prefillServer("b")})
 	expect(1, 0)
 }
 
--- a/silence_test.go
+++ b/silence_test.go
@@ -15,8 +15,8 @@
 	settings.Classes[0].Aim = 5 * time.Second // the attempt must not be overdue before
 	gateway = newGateway(t, settings, prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0), decodeServer("w3", 0))
 	gateway.handle(Request{ID: "a", Class: class, Session: 1, PromptTokens: 320, TimeLeft: 5 * time.Second})
-	gateway.endAttempt("a", 0, "r1", Parsed)
-	a, _ := firstAction[Attempt](gateway)
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
+	a, _ := firstAction[Send](gateway)
 	return gateway, string(a.Server)
 }
 
@@ -33,7 +33,7 @@
 		if !found {
 			return actions
 		}
-		actions = append(actions, g.handle(Timer{next.Token})...)
+		actions = append(actions, g.handle(TimerFired{next.Token})...)
 	}
 }
 
@@ -52,17 +52,17 @@
 func TestSilence_UnansweredProbe(t *testing.T) {
 	for class, resent := range map[string]bool{"chat": true, "pay": false} {
 		gateway, server := pendingAtDecodeServer(t, class)
-		if probes := actionsOf[Probe](gateway.runTimers(signWaitWrite)); len(probes) != 1 || string(probes[0].Server) != server {
+		if probes := actionsOf[Probe](gateway.runTimers(livenessWaitDecode)); len(probes) != 1 || string(probes[0].Server) != server {
 			t.Fatalf("class %s: probes %v, want one of server %s", class, probes, server)
 		}
-		if cancels := actionsOf[Cancel](gateway.runTimers(signAnswerWrite)); len(cancels) > 0 != resent {
+		if cancels := actionsOf[Cancel](gateway.runTimers(livenessTimeoutDecode)); len(cancels) > 0 != resent {
 			t.Fatalf("class %s: cancelled attempts %v, want a cancel: %v", class, cancels, resent)
 		}
 		if !resent {
 			continue
 		}
-		gateway.endAttempt("a", 1, server, CalledOff)
-		if a, ok := firstAction[Attempt](gateway); !ok || string(a.Server) == server {
+		gateway.endAttempt("a", 1, server, StatusCancelled)
+		if a, ok := firstAction[Send](gateway); !ok || string(a.Server) == server {
 			t.Errorf("class %s: next attempt at %q, want another server than %s", class, a.Server, server)
 		}
 	}
@@ -72,17 +72,19 @@
 // answer the gateway may have missed because its own process was held up.
 func TestSilence_LivenessSignal(t *testing.T) {
 	for name, signal := range map[string]func(gateway *testGateway, server ServerID){
-		"probe answered": func(gateway *testGateway, server ServerID) { gateway.handle(Probed{Server: server, Status: Served}) },
+		"probe answered": func(gateway *testGateway, server ServerID) {
+			gateway.handle(ProbeResult{Server: server, Status: StatusServed})
+		},
 		"probe answered with an error": func(gateway *testGateway, server ServerID) {
-			gateway.handle(Probed{Server: server, Status: ServerError})
+			gateway.handle(ProbeResult{Server: server, Status: StatusServerError})
 		},
-		"gateway was held up": func(gateway *testGateway, _ ServerID) { gateway.now += signAnswerWrite + 2*signHeldUp },
+		"gateway was held up": func(gateway *testGateway, _ ServerID) { gateway.now += livenessTimeoutDecode + 2*maxTimerLateness },
 	} {
 		gateway, server := pendingAtDecodeServer(t, "chat")
-		gateway.runTimers(signWaitWrite)
+		gateway.runTimers(livenessWaitDecode)
 		gateway.now += 10 * ms
 		signal(gateway, ServerID(server))
-		actions := gateway.runTimers(signEvery + signWaitWrite)
+		actions := gateway.runTimers(livenessInterval + livenessWaitDecode)
 		probeIndex := slices.IndexFunc(actions, func(a Action) bool { _, ok := a.(Probe); return ok })
 		cancelIndex := slices.IndexFunc(actions, func(a Action) bool { _, ok := a.(Cancel); return ok })
 		if probeIndex < 0 || cancelIndex >= 0 && cancelIndex < probeIndex {
@@ -98,8 +100,8 @@
 	settings.Classes[2].Aim = 5 * time.Second // the attempt must not be overdue before
 	gateway := newGateway(t, settings, prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
 	gateway.handle(Request{ID: "a", Class: "pay", Session: 1, PromptTokens: 320, TimeLeft: 5 * time.Second})
-	gateway.runTimers(signWaitRead)
-	if len(actionsOf[Cancel](gateway.runTimers(signAnswerRead))) != 1 {
+	gateway.runTimers(livenessWaitPrefill)
+	if len(actionsOf[Cancel](gateway.runTimers(livenessTimeoutPrefill))) != 1 {
 		t.Errorf("prefill not cancelled exactly once; last actions %v", gateway.actions)
 	}
 }
@@ -108,17 +110,17 @@
 // yet has not stopped. One that still has not a moment later (backWait) has.
 func TestSilence_ServerJustBack(t *testing.T) {
 	gateway, serverID := pendingAtDecodeServer(t, "chat")
-	gateway.handle(First{ID: "a", Attempt: 1, Server: ServerID(serverID)})
-	server, req, since := gateway.scheduler.servers[ServerID(serverID)], gateway.scheduler.reqs["a"], gateway.now
+	gateway.handle(AnswerStarted{ID: "a", Attempt: 1, Server: ServerID(serverID)})
+	server, req, since := gateway.scheduler.servers[ServerID(serverID)], gateway.scheduler.requests["a"], gateway.now
 	gateway.now += 4 * time.Second
-	server.began[writing] = since + ms // the answer to a later request begins
-	server.hear(gateway.now)
+	server.latestStartedSend[stageDecode] = since + ms // the answer to a later request begins
+	server.recordResponse(gateway.now)
 	for _, tt := range []struct {
 		after time.Duration
 		want  bool
-	}{{0, false}, {backWait, true}} {
+	}{{0, false}, {recoveryGrace, true}} {
 		gateway.scheduler.now = gateway.now + tt.after
-		if stopped, _ := gateway.scheduler.stopped(req, 1, server, since, since, false); stopped != tt.want {
+		if stopped, _ := gateway.scheduler.answerStalled(req, 1, server, since, since, false); stopped != tt.want {
 			t.Errorf("%v after the server sent again: answer stopped %v, want %v", tt.after, stopped, tt.want)
 		}
 	}
--- a/size_test.go
+++ b/size_test.go
@@ -38,7 +38,7 @@
 	for _, nodes := range []int{50, 300} {
 		gateway := newGateway(t, settingsForGateways(nodes), newFleet(30, 30)...)
 		gateway.requestChat("a", 1, 7)
-		first, _ := firstAction[Attempt](gateway)
+		first, _ := firstAction[Send](gateway)
 		gateway.requestChat("b", 1, 7)
 		gateway.expectSentTo(string(first.Server))
 	}
@@ -52,8 +52,8 @@
 		settings.Reports = ReportInline
 		gateway := newGateway(t, settings, newFleet(30, 0)...)
 		gateway.requestChat("a", 1, 7)
-		first, _ := firstAction[Attempt](gateway)
-		for _, v := range gateway.scheduler.order {
+		first, _ := firstAction[Send](gateway)
+		for _, v := range gateway.scheduler.sortedServers {
 			switch v.ID {
 			case first.Server: // it holds the prefix and is busy
 				v.report, v.reportAt = Report{ReportInFlight: 2}, gateway.now
@@ -61,18 +61,18 @@
 				v.report, v.reportAt = Report{ReportInFlight: 3}, gateway.now
 			}
 		}
-		gateway.scheduler.servers[first.Server].reads = 0 // the gateway's own requests in flight must not matter
-		for key := uint64(2); ; key++ {                   // find a session with the same affinity target
+		gateway.scheduler.servers[first.Server].pendingPrefills = 0 // the gateway's own requests in flight must not matter
+		for key := uint64(2); ; key++ {                             // find a session with the same affinity target
 			otherGateway := newGateway(t, settings, newFleet(30, 0)...)
 			otherGateway.requestChat("b", key, 7)
-			if a, _ := firstAction[Attempt](otherGateway); a.Server == first.Server {
+			if a, _ := firstAction[Send](otherGateway); a.Server == first.Server {
 				gateway.requestChat("b", key, 7)
 				gateway.expectSentTo(string(first.Server))
 				break
 			}
 		}
 		gateway.scheduler.servers[first.Server].report = Report{ReportInFlight: 30}
-		if gateway.requestChat("c", 1, 7); slices.Contains(gateway.actions, Action(Attempt{ID: "c", Server: first.Server, Timeout: 5 * time.Second})) {
+		if gateway.requestChat("c", 1, 7); slices.Contains(gateway.actions, Action(Send{ID: "c", Server: first.Server, Timeout: 5 * time.Second})) {
 			t.Errorf("%d gateways: request sent to an overloaded affinity target", nodes)
 		}
 	}
@@ -87,11 +87,11 @@
 		low, high float64
 	}{
 		{1, 3, 1, 3, 3}, {2, 3, 1, 6, 6}, // own counts are reliable
-		{50, 1, 0.04, 1, countGap}, {300, 1, 0.01, 1, countGap}, // chance
+		{50, 1, 0.04, 1, maxLoadGap}, {300, 1, 0.01, 1, maxLoadGap}, // chance
 		{50, 20, 2, 300, 1000}, // more than chance gives
 		{50, 0, 0, 0, 0},
 	} {
-		if got := trend.Fleet(tt.nodes, tt.own, tt.mean, 1); got < tt.low || got > tt.high {
+		if got := trend.FleetTotal(tt.nodes, tt.own, tt.mean, 1); got < tt.low || got > tt.high {
 			t.Errorf("%d gateways, own count %v, mean %v: estimate %v, want %v to %v", tt.nodes, tt.own, tt.mean, got, tt.low, tt.high)
 		}
 	}
@@ -104,24 +104,24 @@
 		gateway := newGateway(t, settingsForGateways(nodes), newFleet(20, 20)...)
 		for i := 0; i < 30; i++ {
 			gateway.now += time.Second
-			gateway.scheduler.pace[reading].Observe(gateway.now, 50*ms, 320)
+			gateway.scheduler.stageLatency[stagePrefill].Observe(gateway.now, 50*ms, 320)
 		}
 		gateway.requestChat("a", 1, 0)
-		first, _ := firstAction[Attempt](gateway)
+		first, _ := firstAction[Send](gateway)
 		gateway.now += 600 * ms
-		gateway.scheduler.now, gateway.scheduler.out = gateway.now, nil
-		gateway.scheduler.overdue(gateway.scheduler.reqs["a"], 0)
-		gateway.actions = gateway.scheduler.out
+		gateway.scheduler.now, gateway.scheduler.actions = gateway.now, nil
+		gateway.scheduler.handleOverdue(gateway.scheduler.requests["a"], 0)
+		gateway.actions = gateway.scheduler.actions
 		if _, got := firstAction[Cancel](gateway); got != want {
 			t.Errorf("%d gateways: cancelled %v, want %v", nodes, got, want)
 		}
 		gateway.now += time.Second
-		gateway.scheduler.now, gateway.scheduler.out = gateway.now, nil
-		gateway.scheduler.overdue(gateway.scheduler.reqs["a"], 0)
-		gateway.actions = gateway.scheduler.out
+		gateway.scheduler.now, gateway.scheduler.actions = gateway.now, nil
+		gateway.scheduler.handleOverdue(gateway.scheduler.requests["a"], 0)
+		gateway.actions = gateway.scheduler.actions
 		expectAction[Cancel](gateway) // the answer may never come although the server serves others
-		gateway.endAttempt("a", 0, string(first.Server), CalledOff)
-		if second, _ := firstAction[Attempt](gateway); second.Server == first.Server || second.Server == "" {
+		gateway.endAttempt("a", 0, string(first.Server), StatusCancelled)
+		if second, _ := firstAction[Send](gateway); second.Server == first.Server || second.Server == "" {
 			t.Errorf("%d gateways: first attempt at %s, second at %q, want another server", nodes, first.Server, second.Server)
 		}
 	}
@@ -141,7 +141,7 @@
 	} {
 		gateway := newGateway(t, settingsForGateways(tt.nodes), newFleet(20, 20)...)
 		for i := 0; i < 30; i++ {
-			gateway.scheduler.pace[reading].Observe(gateway.now, tt.latency, 320)
+			gateway.scheduler.stageLatency[stagePrefill].Observe(gateway.now, tt.latency, 320)
 		}
 		gateway.now += tt.age
 		gateway.requestChat("a", 1, 0)
@@ -157,9 +157,9 @@
 	for latency, usableForOthers := range map[time.Duration]bool{2 * ms: false, 300 * ms: true} {
 		gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
 		gateway.requestChat("a", 1, 7)
-		first, _ := firstAction[Attempt](gateway)
-		gateway.handle(Outcome{ID: "a", Server: first.Server, Status: TurnedAway, Latency: latency})
-		second, _ := firstAction[Attempt](gateway)
+		first, _ := firstAction[Send](gateway)
+		gateway.handle(Outcome{ID: "a", Server: first.Server, Status: StatusRejected, Latency: latency})
+		second, _ := firstAction[Send](gateway)
 		if second.Server == first.Server {
 			t.Fatalf("refusal after %v: second attempt at the same server %s", latency, first.Server)
 		}
@@ -167,8 +167,8 @@
 		gateway.expectSentTo(string(second.Server))
 		gateway.handle(Request{ID: "other", Class: "pay", Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 160,
 			TimeLeft: 5 * time.Second})
-		third, _ := firstAction[Attempt](gateway)
-		if got := gateway.scheduler.usable(&request{class: gateway.scheduler.classes["pay"]}, gateway.scheduler.servers[first.Server]); got != usableForOthers {
+		third, _ := firstAction[Send](gateway)
+		if got := gateway.scheduler.usable(&trackedRequest{class: gateway.scheduler.classes["pay"]}, gateway.scheduler.servers[first.Server]); got != usableForOthers {
 			t.Errorf("refusal after %v: usable for other classes %v, want %v; another class was sent to %s",
 				latency, got, usableForOthers, third.Server)
 		}
@@ -181,13 +181,13 @@
 func TestSlowStartBudget_MostServersReplaced(t *testing.T) {
 	const nodes, perSecond, seconds = 80, 90, 12
 	settings := settingsForGateways(nodes)
-	settings.Rules.FallMultiple, settings.Rules.ColdFrom, settings.Rules.ColdTime = 2.5, 0.31, 12*time.Second
+	settings.Rules.SlowStartMultiple, settings.Rules.SlowStartCapacity, settings.Rules.SlowStartDuration = 2.5, 0.31, 12*time.Second
 	old := newFleet(24, 36)
 	patch := []Server{}
 	for i, v := range old {
 		if i%5 < 3 {
 			removed := v
-			removed.State = StateOff
+			removed.State = StateRemoved
 			replacement := v
 			replacement.ID, replacement.Started = "new-"+v.ID, time.Hour
 			patch = append(patch, removed, replacement)
@@ -198,7 +198,7 @@
 		gateway := newGateway(t, settings, old...)
 		gateway.scheduler.rng.Seed(int64(i))
 		gateway.now = time.Hour
-		gateway.handle(Members{Form: ListPatch, Entries: patch})
+		gateway.handle(MembershipUpdate{Form: MembershipDelta, Entries: patch})
 		gateways = append(gateways, gateway)
 	}
 	sent := map[ServerID][]time.Duration{}
@@ -207,15 +207,15 @@
 		gateway.now = time.Hour + time.Duration(k)*time.Second/perSecond
 		id := fmt.Sprint("q", k)
 		gateway.requestChat(id, uint64(k), uint64(k%40+1))
-		prefillAttempt, _ := firstAction[Attempt](gateway)
-		gateway.endAttempt(id, 0, string(prefillAttempt.Server), Parsed)
-		decodeAttempt, _ := firstAction[Attempt](gateway)
-		gateway.handle(Outcome{ID: RequestID(id), Attempt: 1, Server: decodeAttempt.Server, Status: Served, Done: true, Latency: 9 * ms})
+		prefillAttempt, _ := firstAction[Send](gateway)
+		gateway.endAttempt(id, 0, string(prefillAttempt.Server), StatusPrefilled)
+		decodeAttempt, _ := firstAction[Send](gateway)
+		gateway.handle(Outcome{ID: RequestID(id), Attempt: 1, Server: decodeAttempt.Server, Status: StatusServed, RequestDone: true, Latency: 9 * ms})
 		sent[prefillAttempt.Server], sent[decodeAttempt.Server] = append(sent[prefillAttempt.Server], gateway.now), append(sent[decodeAttempt.Server], gateway.now)
 	}
-	slowStartShare := settings.Rules.FallMultiple * settings.Rules.ColdFrom
+	slowStartShare := settings.Rules.SlowStartMultiple * settings.Rules.SlowStartCapacity
 	total := map[Role]int{}
-	for _, v := range gateways[0].scheduler.order {
+	for _, v := range gateways[0].scheduler.sortedServers {
 		if v.Started == 0 {
 			continue
 		}
@@ -228,7 +228,7 @@
 		if maxRequests := capacity*seconds + nodes*2/3; float64(len(got)) > maxRequests { // each gateway may hold credit for a send
 			t.Errorf("%s got %d requests, limit %.0f", v.ID, len(got), maxRequests)
 		}
-		if inWindow := maxWithinWindow(got, settings.Rules.FallWindow); float64(inWindow) > slowStartLimit(capacity) {
+		if inWindow := maxWithinWindow(got, settings.Rules.SlowStartWindow); float64(inWindow) > slowStartLimit(capacity) {
 			t.Errorf("%s got %d requests within a second, more than its slow-start budget of %.1f and the margin for chance", v.ID, inWindow, capacity)
 		}
 	}
@@ -260,15 +260,15 @@
 					continue
 				}
 				probes++
-				if lastAt, probedBefore := lastProbe[probe.Server]; probedBefore && gateway.now-lastAt < probeEvery {
+				if lastAt, probedBefore := lastProbe[probe.Server]; probedBefore && gateway.now-lastAt < loadProbeInterval {
 					t.Errorf("%s is probed again after %v", probe.Server, gateway.now-lastAt)
 				}
 				lastProbe[probe.Server] = gateway.now
-				gateway.handle(Probed{Server: probe.Server, Status: Served, Report: Report{ReportInFlight: 1}})
+				gateway.handle(ProbeResult{Server: probe.Server, Status: StatusServed, Report: Report{ReportInFlight: 1}})
 			}
 		}
 	}
-	if probes == 0 || probes > probesAtOnce*requests {
+	if probes == 0 || probes > maxProbesPerChoice*requests {
 		t.Errorf("%d probes for %d requests", probes, requests)
 	}
 }
@@ -289,12 +289,12 @@
 			gateway.scheduler.rng.Seed(seed)
 			for i := range 5 {
 				gateway.requestChat(fmt.Sprint(i), uint64(i), 0)
-				gateway.endAttempt(fmt.Sprint(i), 0, "r1", Parsed)
-				decodeAttempt, _ := firstAction[Attempt](gateway)
+				gateway.endAttempt(fmt.Sprint(i), 0, "r1", StatusPrefilled)
+				decodeAttempt, _ := firstAction[Send](gateway)
 				if answers++; decodeAttempt.Server == "small" {
 					small++
 				}
-				gateway.handle(Outcome{ID: RequestID(fmt.Sprint(i)), Attempt: 1, Server: decodeAttempt.Server, Status: Served, Done: true, Latency: 9 * ms})
+				gateway.handle(Outcome{ID: RequestID(fmt.Sprint(i)), Attempt: 1, Server: decodeAttempt.Server, Status: StatusServed, RequestDone: true, Latency: 9 * ms})
 			}
 		}
 		if share := float64(small) / float64(answers); share < minShare || share > 0.45 || nodes == 3 && share > 0 {
@@ -316,10 +316,10 @@
 		settings.Reports, settings.Limits.Probes = ReportInline, true
 		gateway := newGateway(t, settings, newFleet(6, 6)...)
 		for i := range 6 {
-			gateway.handle(Probed{Server: ServerID(fmt.Sprint("r", i)), Status: Served, Report: Report{ReportInFlight: 2}})
+			gateway.handle(ProbeResult{Server: ServerID(fmt.Sprint("r", i)), Status: StatusServed, Report: Report{ReportInFlight: 2}})
 		}
-		gateway.handle(Probed{Server: "r3", Status: Served, Report: Report{ReportInFlight: tt.inflight}})
-		pool := gateway.scheduler.pool(&request{class: gateway.scheduler.classes["chat"]}, reads)
+		gateway.handle(ProbeResult{Server: "r3", Status: StatusServed, Report: Report{ReportInFlight: tt.inflight}})
+		pool := gateway.scheduler.eligibleServers(&trackedRequest{class: gateway.scheduler.classes["chat"]}, isPrefill)
 		if excluded := len(pool) == 5; excluded != tt.excluded {
 			t.Errorf("%+v: %d of 6 prefill servers to choose from", tt, len(pool))
 		}
@@ -333,17 +333,17 @@
 		gateway.now += 200 * ms
 		id := fmt.Sprint("q", i)
 		gateway.requestChat(id, uint64(i), uint64(i))
-		prefillAttempt, _ := firstAction[Attempt](gateway)
-		gateway.endAttempt(id, 0, string(prefillAttempt.Server), Parsed)
-		decodeAttempt, _ := firstAction[Attempt](gateway)
-		gateway.handle(Outcome{ID: RequestID(id), Attempt: 1, Server: decodeAttempt.Server, Status: Served, Done: true, Latency: 9 * ms})
+		prefillAttempt, _ := firstAction[Send](gateway)
+		gateway.endAttempt(id, 0, string(prefillAttempt.Server), StatusPrefilled)
+		decodeAttempt, _ := firstAction[Send](gateway)
+		gateway.handle(Outcome{ID: RequestID(id), Attempt: 1, Server: decodeAttempt.Server, Status: StatusServed, RequestDone: true, Latency: 9 * ms})
 	}
-	if maxRuns := int(2 * 2 * blockExpiry / (200 * ms)); gateway.scheduler.table.Len() > maxRuns || len(gateway.scheduler.reqs) > 0 {
+	if maxRuns := int(2 * 2 * blockExpiry / (200 * ms)); gateway.scheduler.prefixTable.Len() > maxRuns || len(gateway.scheduler.requests) > 0 {
 		t.Errorf("%d runs and %d requests remembered, want at most %d runs and no request",
-			gateway.scheduler.table.Len(), len(gateway.scheduler.reqs), maxRuns)
+			gateway.scheduler.prefixTable.Len(), len(gateway.scheduler.requests), maxRuns)
 	}
-	if math.Abs(gateway.scheduler.table.Uses()-float64(gateway.scheduler.table.Len()/2)) > 1 {
-		t.Errorf("%v uses counted for %d runs, want half as many", gateway.scheduler.table.Uses(), gateway.scheduler.table.Len())
+	if math.Abs(gateway.scheduler.prefixTable.TotalUses()-float64(gateway.scheduler.prefixTable.Len()/2)) > 1 {
+		t.Errorf("%v uses counted for %d runs, want half as many", gateway.scheduler.prefixTable.TotalUses(), gateway.scheduler.prefixTable.Len())
 	}
 }
 
@@ -354,7 +354,7 @@
 		b.Fatal(err)
 	}
 	now := time.Hour
-	actions := scheduler.Handle(now, Members{Form: ListStale, Entries: newFleet(40, 60)}, nil)
+	actions := scheduler.Handle(now, MembershipUpdate{Form: MembershipStale, Entries: newFleet(40, 60)}, nil)
 	for i := 0; b.Loop(); i++ {
 		now += 500 * ms
 		id := RequestID(fmt.Sprint("q", i))
@@ -362,9 +362,9 @@
 			PromptTokens: 4000, TimeLeft: 5 * time.Second}, actions[:0])
 		for number := 0; number < 2; number++ {
 			for _, a := range actions {
-				if a, ok := a.(Attempt); ok {
-					status := []Status{Parsed, Served}[number]
-					actions = scheduler.Handle(now, Outcome{ID: id, Attempt: number, Server: a.Server, Status: status, Done: number == 1,
+				if a, ok := a.(Send); ok {
+					status := []Status{StatusPrefilled, StatusServed}[number]
+					actions = scheduler.Handle(now, Outcome{ID: id, Attempt: number, Server: a.Server, Status: status, RequestDone: number == 1,
 						Latency: 50 * ms}, nil)
 					break
 				}
--- a/storm_test.go
+++ b/storm_test.go
@@ -38,7 +38,7 @@
 var randomEventServers = []Server{
 	prefillServer("r1"), prefillServer("r2"), prefillServer("r3"),
 	decodeServer("w1", 0), decodeServer("w2", 0), decodeServer("w3", 1),
-	{ID: "m1", Zone: "b", Cell: 2, Kind: "mixed", State: StateOn},
+	{ID: "m1", Zone: "b", Cell: 2, Kind: "mixed", State: StateActive},
 }
 
 // isPrefillID reports whether a server of randomEventServers is a prefill server.
@@ -49,7 +49,7 @@
 	checker := &ruleChecker{t: t, rng: rand.New(rand.NewSource(seed)), gateway: newGateway(t, settings, randomEventServers...),
 		requests: map[RequestID]*requestRecord{}, states: map[ServerID]ServerState{}}
 	for _, server := range randomEventServers {
-		checker.states[server.ID] = StateOn
+		checker.states[server.ID] = StateActive
 	}
 	checker.checkActions()
 	for i := 0; i < 3000; i++ {
@@ -85,10 +85,10 @@
 			s.Nodes, s.Reports, s.Limits = 20, ReportNone, Limits{MaxAttempts: 4}
 		},
 		"no slow start": func(s *Settings) {
-			s.Nodes, s.Rules = 300, Rules{Release: time.Second}
+			s.Nodes, s.Rules = 300, Rules{ReleaseTimeout: time.Second}
 		},
 		"slow start without a share": func(s *Settings) {
-			s.Nodes, s.Rules.ColdFrom = 300, 0
+			s.Nodes, s.Rules.SlowStartCapacity = 300, 0
 		},
 		"memory of one token": func(s *Settings) {
 			for i := range s.Kinds {
@@ -151,23 +151,23 @@
 		server := randomEventServers[c.rng.Intn(len(randomEventServers))]
 		server.State = ServerState(1 + c.rng.Intn(3))
 		if c.rng.Intn(2) == 0 {
-			server.State = StateOn
+			server.State = StateActive
 			server.Started = c.gateway.now
 		}
 		c.states[server.ID] = server.State
-		c.handle(Members{Form: ListPatch, Entries: []Server{server}})
+		c.handle(MembershipUpdate{Form: MembershipDelta, Entries: []Server{server}})
 	case k == 15:
-		c.handle(Timer{c.rng.Uint64()})
-		c.handle(Outcome{ID: "none", Server: "r1", Status: Parsed})
-		c.handle(Probed{Server: "w1", Status: Served, Report: Report{ReportMemory: c.rng.Float64()}})
+		c.handle(TimerFired{c.rng.Uint64()})
+		c.handle(Outcome{ID: "none", Server: "r1", Status: StatusPrefilled})
+		c.handle(ProbeResult{Server: "w1", Status: StatusServed, Report: Report{ReportMemory: c.rng.Float64()}})
 	case k == 16:
 		if id, _, ok := c.randomInFlight(); ok && !c.requests[id].ended && !c.requests[id].answerBegun && c.requests[id].finalAnswers == 0 {
 			c.requests[id].ended = true
-			c.handle(Gone{id})
+			c.handle(ClientDisconnected{id})
 		}
 	case k == 17:
 		if id, number, ok := c.randomInFlight(); ok && isPrefillID(c.requests[id].attempts[number]) {
-			c.handle(PlaceNote{ID: id, Attempt: number, Server: "w1", Held: c.rng.Intn(2) == 0})
+			c.handle(ReservationResult{ID: id, Attempt: number, Server: "w1", Held: c.rng.Intn(2) == 0})
 		}
 	}
 }
@@ -178,10 +178,10 @@
 		record := c.requests[RequestID(fmt.Sprint("q", i))]
 		for number := range record.attempts {
 			if record.inFlight[number] && !record.answerBegun && c.gateway.now >= record.deadline {
-				c.endAttempt(RequestID(fmt.Sprint("q", i)), number, NoAnswer)
+				c.endAttempt(RequestID(fmt.Sprint("q", i)), number, StatusTimedOut)
 			}
 		}
-		if record.hasHolds && len(record.inFlight) == 0 && c.gateway.now-record.lastActivity > c.gateway.scheduler.set.Rules.Release+40*ms {
+		if record.hasHolds && len(record.inFlight) == 0 && c.gateway.now-record.lastActivity > c.gateway.scheduler.settings.Rules.ReleaseTimeout+40*ms {
 			c.t.Errorf("rule 5: what is held for q%d not released %v after its last outcome", i, c.gateway.now-record.lastActivity)
 			record.hasHolds = false
 		}
@@ -208,7 +208,7 @@
 		id := RequestID(fmt.Sprint("q", i))
 		for number := 0; number < len(c.requests[id].attempts); number++ {
 			if c.requests[id].inFlight[number] {
-				c.endAttempt(id, number, NoAnswer)
+				c.endAttempt(id, number, StatusTimedOut)
 			}
 		}
 	}
@@ -217,17 +217,17 @@
 // endRandomly begins the answer of an attempt, or ends the attempt with a random status.
 func (c *ruleChecker) endRandomly(id RequestID, number int) {
 	record := c.requests[id]
-	status := []Status{ServerError, TurnedAway, NoConnection, ConnectionLost, Parsed, Served}[c.rng.Intn(6)]
+	status := []Status{StatusServerError, StatusRejected, StatusConnectFailed, StatusConnectionLost, StatusPrefilled, StatusServed}[c.rng.Intn(6)]
 	prefill := isPrefillID(record.attempts[number])
-	if prefill && (status == Served || c.rng.Intn(2) == 0) {
-		status = Parsed
+	if prefill && (status == StatusServed || c.rng.Intn(2) == 0) {
+		status = StatusPrefilled
 	}
-	if !prefill && (status == Parsed || c.rng.Intn(2) == 0) {
-		status = Served
+	if !prefill && (status == StatusPrefilled || c.rng.Intn(2) == 0) {
+		status = StatusServed
 	}
-	if status == Served && !record.answerBegun && record.finalAnswers == 0 && !record.ended {
+	if status == StatusServed && !record.answerBegun && record.finalAnswers == 0 && !record.ended {
 		record.answerBegun, record.ended, record.hasHolds = true, true, false
-		c.handle(First{ID: id, Attempt: number, Server: record.attempts[number], Latency: 20 * ms})
+		c.handle(AnswerStarted{ID: id, Attempt: number, Server: record.attempts[number], Latency: 20 * ms})
 		return
 	}
 	c.endAttempt(id, number, status)
@@ -239,15 +239,15 @@
 	delete(record.inFlight, number)
 	record.lastActivity = c.gateway.now
 	switch {
-	case status == Parsed:
+	case status == StatusPrefilled:
 		record.hasHolds = true
-	case !isPrefillID(record.attempts[number]) && status != TurnedAway && status != NoConnection && status != NotSent:
+	case !isPrefillID(record.attempts[number]) && status != StatusRejected && status != StatusConnectFailed && status != StatusNotSent:
 		record.mayHaveRun = true
 	}
-	if status == Served {
+	if status == StatusServed {
 		record.ended, record.hasHolds = true, false
 	}
-	c.handle(Outcome{ID: id, Attempt: number, Server: record.attempts[number], Status: status, Done: record.ended || record.finalAnswers > 0,
+	c.handle(Outcome{ID: id, Attempt: number, Server: record.attempts[number], Status: status, RequestDone: record.ended || record.finalAnswers > 0,
 		Latency: 30 * ms, Report: Report{ReportMemory: c.rng.Float64() / 2}})
 }
 
@@ -255,7 +255,7 @@
 func (c *ruleChecker) fireTimer(i int) {
 	timer := c.timers[i]
 	c.timers = append(c.timers[:i], c.timers[i+1:]...)
-	c.handle(Timer{timer.Token})
+	c.handle(TimerFired{timer.Token})
 }
 
 // checkActions checks the actions of the last event and keeps its timers.
@@ -271,9 +271,9 @@
 			if c.gateway.now < 2*time.Hour && len(c.timers) < 20000 {
 				c.timers = append(c.timers, a)
 			}
-		case Attempt:
+		case Send:
 			c.checkAttempt(a)
-		case Ahead:
+		case Reserve:
 			c.expectActive(a.Server)
 			c.requests[a.ID].hasHolds, c.requests[a.ID].lastActivity = true, c.gateway.now
 		case Release:
@@ -295,13 +295,13 @@
 
 // expectActive checks rule 3 for a server that gets work.
 func (c *ruleChecker) expectActive(v ServerID) {
-	if c.states[v] != StateOn {
+	if c.states[v] != StateActive {
 		c.t.Errorf("rule 3: server %s gets work in state %v", v, c.states[v])
 	}
 }
 
 // checkAttempt checks rules 1 to 3, the attempt limit and the timeout for a new attempt, and keeps it.
-func (c *ruleChecker) checkAttempt(a Attempt) {
+func (c *ruleChecker) checkAttempt(a Send) {
 	record := c.requests[a.ID]
 	c.expectActive(a.Server)
 	switch {
--- a/waits_test.go
+++ b/waits_test.go
@@ -11,28 +11,28 @@
 func TestLatencyEstimate_LaterSendAnsweredFirst(t *testing.T) {
 	for _, overtaken := range []bool{true, false} {
 		gateway := newGateway(t, testSettings(), prefillServer("r"), decodeServer("w", 0))
-		gateway.scheduler.pace[writing].Observe(gateway.now, 50*ms, 320)
+		gateway.scheduler.stageLatency[stageDecode].Observe(gateway.now, 50*ms, 320)
 		gateway.requestChat("a", 1, 0)
-		gateway.endAttempt("a", 0, "r", Parsed)
-		attempt := gateway.scheduler.reqs["a"].attempts[1]
-		limit := gateway.scheduler.limit(gateway.scheduler.reqs["a"], attempt)
+		gateway.endAttempt("a", 0, "r", StatusPrefilled)
+		attempt := gateway.scheduler.requests["a"].attempts[1]
+		limit := gateway.scheduler.overdueAfter(gateway.scheduler.requests["a"], attempt)
 		server := gateway.scheduler.servers["w"]
-		server.alive = gateway.now + 100*ms // the server has finished other work since
+		server.lastProgressAt = gateway.now + 100*ms // the server has finished other work since
 		if overtaken {
-			server.began[writing] = gateway.now + 50*ms
+			server.latestStartedSend[stageDecode] = gateway.now + 50*ms
 		}
 		checkAfter := func(after time.Duration) bool {
-			gateway.now = attempt.sent + after
-			gateway.scheduler.now, gateway.scheduler.out = gateway.now, nil
-			gateway.scheduler.overdue(gateway.scheduler.reqs["a"], 1)
-			gateway.actions = gateway.scheduler.out
+			gateway.now = attempt.sentAt + after
+			gateway.scheduler.now, gateway.scheduler.actions = gateway.now, nil
+			gateway.scheduler.handleOverdue(gateway.scheduler.requests["a"], 1)
+			gateway.actions = gateway.scheduler.actions
 			_, cancelled := firstAction[Cancel](gateway)
 			return cancelled
 		}
 		if checkAfter(limit + limit/2) {
 			t.Errorf("later request answered first %v: cancelled before twice the limit", overtaken)
 		}
-		slower := gateway.scheduler.limit(gateway.scheduler.reqs["a"], attempt) > limit
+		slower := gateway.scheduler.overdueAfter(gateway.scheduler.requests["a"], attempt) > limit
 		if cancelled := checkAfter(2*limit + ms); cancelled != overtaken || slower == overtaken {
 			t.Errorf("later request answered first %v: cancelled %v after twice the limit, latency estimate raised %v", overtaken, cancelled, slower)
 		}
@@ -46,18 +46,18 @@
 	for _, overtaken := range []bool{true, false} {
 		gateway := newGateway(t, testSettings(), prefillServer("r"), decodeServer("w", 0))
 		for range 20 {
-			gateway.scheduler.pace[writing].Observe(gateway.now, 50*ms, 320)
+			gateway.scheduler.stageLatency[stageDecode].Observe(gateway.now, 50*ms, 320)
 		}
 		gateway.handle(Request{ID: "order", Class: "pay", PromptTokens: 320, TimeLeft: 5 * time.Second})
-		gateway.endAttempt("order", 0, "r", Parsed)
-		attempt := gateway.scheduler.reqs["order"].attempts[1]
+		gateway.endAttempt("order", 0, "r", StatusPrefilled)
+		attempt := gateway.scheduler.requests["order"].attempts[1]
 		if overtaken {
-			gateway.scheduler.servers["w"].began[writing] = attempt.sent + 50*ms
+			gateway.scheduler.servers["w"].latestStartedSend[stageDecode] = attempt.sentAt + 50*ms
 		}
-		before := gateway.scheduler.limit(gateway.scheduler.reqs["order"], attempt)
+		before := gateway.scheduler.overdueAfter(gateway.scheduler.requests["order"], attempt)
 		gateway.now += 5 * time.Second
-		gateway.handle(Outcome{ID: "order", Attempt: 1, Server: "w", Status: NoAnswer, Latency: 5 * time.Second})
-		after := gateway.scheduler.limit(&request{class: gateway.scheduler.classes["pay"]}, attempt)
+		gateway.handle(Outcome{ID: "order", Attempt: 1, Server: "w", Status: StatusTimedOut, Latency: 5 * time.Second})
+		after := gateway.scheduler.overdueAfter(&trackedRequest{class: gateway.scheduler.classes["pay"]}, attempt)
 		if slower := after > before; slower == overtaken {
 			t.Errorf("later request answered first %v: overdue after %v, before the outcome after %v", overtaken, after, before)
 		}
