--- a/cold_test.go
+++ b/cold_test.go
@@ -10,197 +10,198 @@
 	"time"
 )
 
-// What all gateways send a reader in slow start stays within the operators' terms: n requests in
-// a window by what the settings allow of what it can do, and so many more for chance, at the
-// highest load that sites name for busy days and with the least that readers can do beyond
-// writers there. It is not starved either: it warms by requests. The traffic is uneven, its shared
-// prefixes are so few that some draw most of it to that reader, and the start is notified to one
-// gateway after the other; what those send that have not been notified does not count.
+// All gateways together send a prefill server in slow start no more than the operators' bound: n requests in a window,
+// which is the share of its capacity that the settings allow, and a margin for chance (slowStartLimit). The load, 0.8, is
+// the highest that sites name for busy days, and the capacity of prefill servers there is at least 1.3 times that of decode
+// servers. The server must not be starved either, as it warms up by serving requests. The hard cases are played:
+// uneven traffic, so few shared prefixes that some have that server as affinity target and draw most requests to it, and
+// a start of which the gateways are notified one after the other. Sends of gateways not yet notified don't count.
 func TestSlowStartBudget_SumOverGateways(t *testing.T) {
-	const readers, load, spare = 6, 0.8, 1.3
+	const prefillServers, load, spareCapacity = 6, 0.8, 1.3
 	for _, nodes := range []int{1, 3, 8, 9, 20, 30, 300} {
 		for _, starts := range []int{1, 2} {
 			perSecond, seeds := 60.0, 100
 			if starts == 2 {
-				perSecond, seeds = 180, 25 // so that n is over 30
+				perSecond, seeds = 180, 25 // so that n is over 30, where the margin is smaller
 			}
 			if testing.Short() {
 				seeds /= 10
 			}
-			t.Run(fmt.Sprintf("%d gateways, %d starts, %v a second", nodes, starts, perSecond), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d gateways, %d starts, %v requests per second", nodes, starts, perSecond), func(t *testing.T) {
 				t.Parallel()
-				set := nodesOf(nodes)
-				set.Rules = Rules{SlowStartMultiple: 2.5, SlowStartWindow: time.Second, SlowStartCapacity: 0.31, SlowStartDuration: 12 * time.Second, ReleaseTimeout: time.Second}
-				n := set.Rules.SlowStartMultiple * set.Rules.SlowStartCapacity * perSecond / readers / load * spare * set.Rules.SlowStartWindow.Seconds()
-				worst, total := 0, 0
+				settings := settingsForGateways(nodes)
+				settings.Rules = Rules{SlowStartMultiple: 2.5, SlowStartWindow: time.Second, SlowStartCapacity: 0.31, SlowStartDuration: 12 * time.Second, ReleaseTimeout: time.Second}
+				allowed := settings.Rules.SlowStartMultiple * settings.Rules.SlowStartCapacity * perSecond / prefillServers / load * spareCapacity * settings.Rules.SlowStartWindow.Seconds()
+				maxInWindow, total := 0, 0
 				for seed := range seeds {
-					for id, sent := range slowStartSends(t, set, int64(seed), perSecond, readers, starts) {
-						in := mostWithin(sent, set.Rules.SlowStartWindow)
-						worst, total = max(worst, in), total+len(sent)
-						if float64(in) > slowStartLimit(n) {
-							t.Errorf("seed %d, %s: %d sends in a window, at most %.1f", seed, id, in, slowStartLimit(n))
+					for id, sent := range simulateSlowStart(t, settings, int64(seed), perSecond, prefillServers, starts) {
+						inWindow := maxWithinWindow(sent, settings.Rules.SlowStartWindow)
+						maxInWindow, total = max(maxInWindow, inWindow), total+len(sent)
+						if float64(inWindow) > slowStartLimit(allowed) {
+							t.Errorf("seed %d, %s: %d sends in a window, limit %.1f", seed, id, inWindow, slowStartLimit(allowed))
 						}
 					}
 				}
-				each := float64(total) / float64(seeds*starts)
-				t.Logf("%d seeds: at most %d sends in a window of %.1f allowed, %.0f a start", seeds, worst, slowStartLimit(n), each)
-				if least := set.Rules.SlowStartDuration.Seconds() / 2; each < least {
-					t.Errorf("%.1f sends to a server in slow start, at least %.1f wanted", each, least)
+				sendsPerStart := float64(total) / float64(seeds*starts)
+				t.Logf("%d seeds: at most %d sends in a window, limit %.1f; %.0f sends per start", seeds, maxInWindow, slowStartLimit(allowed), sendsPerStart)
+				if minSends := settings.Rules.SlowStartDuration.Seconds() / 2; sendsPerStart < minSends {
+					t.Errorf("%.1f sends to a server during its slow start, want at least %.1f", sendsPerStart, minSends)
 				}
 			})
 		}
 	}
 }
 
-// slowStartSends plays a fleet through the slow start of some readers, half a second apart: when
-// gateways that had been notified sent to each.
-func slowStartSends(t *testing.T, set Settings, seed int64, perSecond float64, readers, starts int) map[ServerID][]time.Duration {
-	const warm = 10 * time.Second
-	r := rand.New(rand.NewSource(seed))
-	gateways := make([]*node, set.Nodes)
-	share, total := make([]float64, set.Nodes), 0.0
+// simulateSlowStart simulates a fleet in which some prefill servers start, half a second apart. It returns, for each of
+// them, the times of sends by gateways that had been notified of its start.
+func simulateSlowStart(t *testing.T, settings Settings, seed int64, perSecond float64, prefillServers, starts int) map[ServerID][]time.Duration {
+	const warmPeriod = 10 * time.Second
+	rng := rand.New(rand.NewSource(seed))
+	gateways := make([]*testGateway, settings.Nodes)
+	cumulativeShare, total := make([]float64, settings.Nodes), 0.0
 	for i := range gateways {
-		gateways[i] = newNode(t, set, evenFleet(readers)...)
-		gateways[i].s.rng.Seed(seed*1000 + int64(i))
-		total += 0.3 + r.ExpFloat64() // some get several times the mean
-		share[i] = total
+		gateways[i] = newGateway(t, settings, balancedFleet(prefillServers)...)
+		gateways[i].scheduler.rng.Seed(seed*1000 + int64(i))
+		total += 0.3 + rng.ExpFloat64() // some gateways get several times the mean
+		cumulativeShare[i] = total
 	}
-	begun := time.Hour + warm
+	firstStart := time.Hour + warmPeriod
 	type notice struct {
 		at     time.Duration
 		server Server
 	}
-	notices := make([][]notice, set.Nodes) // not notified yet, by gateway
+	notices := make([][]notice, settings.Nodes) // by gateway, starts of which it is still to be notified
 	for k := range starts {
-		server := reader(fmt.Sprint("r", k))
-		server.Started = begun + time.Duration(k)*500*time.Millisecond
+		server := prefillServer(fmt.Sprint("r", k))
+		server.Started = firstStart + time.Duration(k)*500*time.Millisecond
 		for i := range notices {
-			late := time.Duration(r.Float64() * float64(2*time.Second))
-			notices[i] = append(notices[i], notice{server.Started + late, server})
+			delay := time.Duration(rng.Float64() * float64(2*time.Second))
+			notices[i] = append(notices[i], notice{server.Started + delay, server})
 		}
 	}
-	prefixes := []uint64{r.Uint64(), r.Uint64(), r.Uint64()}
+	prefixes := []uint64{rng.Uint64(), rng.Uint64(), rng.Uint64()}
 	sent := map[ServerID][]time.Duration{}
 	now := time.Hour
-	for k := 0; now < begun+set.Rules.SlowStartDuration; k++ {
-		now += time.Duration(r.ExpFloat64() / perSecond * float64(time.Second))
+	for k := 0; now < firstStart+settings.Rules.SlowStartDuration; k++ {
+		now += time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))
 		for i, gateway := range gateways {
 			gateway.now = now
-			notices[i] = slices.DeleteFunc(notices[i], func(n notice) bool {
-				if now >= n.at {
-					gateway.do(MembershipUpdate{Form: MembershipDelta, Entries: []Server{n.server}})
+			notices[i] = slices.DeleteFunc(notices[i], func(pending notice) bool {
+				if now >= pending.at {
+					gateway.handle(MembershipUpdate{Form: MembershipDelta, Entries: []Server{pending.server}})
 				}
-				return now >= n.at
+				return now >= pending.at
 			})
 		}
-		gateway := gateways[sort.SearchFloat64s(share, r.Float64()*total)]
+		gateway := gateways[sort.SearchFloat64s(cumulativeShare, rng.Float64()*total)]
 		id := fmt.Sprint("q", k)
-		key := prefixes[r.Intn(len(prefixes))]
-		if starts > 1 && k%4 == 0 { // of a beginning of its own: something hashes to every reader
-			key = r.Uint64()
+		key := prefixes[rng.Intn(len(prefixes))]
+		if starts > 1 && k%4 == 0 { // a prompt without a shared prefix: some of these hash to each server
+			key = rng.Uint64()
 		}
-		gateway.ask(id, key, 0)
-		read, ok := pick[Send](gateway)
+		gateway.requestChat(id, key, 0)
+		prefillAttempt, ok := firstAction[Send](gateway)
 		if !ok {
 			continue
 		}
-		if gateway.s.servers[read.Server].Started > 0 {
-			sent[read.Server] = append(sent[read.Server], now)
+		if gateway.scheduler.servers[prefillAttempt.Server].Started > 0 {
+			sent[prefillAttempt.Server] = append(sent[prefillAttempt.Server], now)
 		}
-		gateway.end(id, 0, string(read.Server), StatusPrefilled)
-		if write, ok := pick[Send](gateway); ok {
-			gateway.do(Outcome{ID: RequestID(id), Attempt: 1, Server: write.Server, Status: StatusServed, RequestDone: true, Latency: 9 * ms})
+		gateway.endAttempt(id, 0, string(prefillAttempt.Server), StatusPrefilled)
+		if decodeAttempt, ok := firstAction[Send](gateway); ok {
+			gateway.handle(Outcome{ID: RequestID(id), Attempt: 1, Server: decodeAttempt.Server, Status: StatusServed, RequestDone: true, Latency: 9 * ms})
 		}
 	}
 	return sent
 }
 
-// mostWithin gives the most times, in order, that lie within one window.
-func mostWithin(times []time.Duration, window time.Duration) (most int) {
+// maxWithinWindow returns the largest number of times, given in order, that lie within one window.
+func maxWithinWindow(times []time.Duration, window time.Duration) (maxCount int) {
 	for i := range times {
-		in := 0
+		count := 0
 		for _, at := range times[i:] {
 			if at-times[i] < window {
-				in++
+				count++
 			}
 		}
-		most = max(most, in)
+		maxCount = max(maxCount, count)
 	}
-	return most
+	return maxCount
 }
 
-// evenFleet has so many readers and as many writers, in cells of both: readers bear the same load.
-func evenFleet(readers int) []Server {
-	fleet := fleetOf(readers, readers)
-	for i := range readers {
-		fleet[i].Cell = fleet[readers+i].Cell
+// balancedFleet returns as many decode servers as prefill servers, with both in each cell, so that all prefill servers
+// get the same load.
+func balancedFleet(prefillServers int) []Server {
+	fleet := newFleet(prefillServers, prefillServers)
+	for i := range prefillServers {
+		fleet[i].Cell = fleet[prefillServers+i].Cell
 	}
 	return fleet
 }
 
-// Rule 4 is about the sum: what all nodes send a cold server in any window
-// stays under what it can then do times the multiple.
-func TestColdBudgetHoldsForTheSumOfNodes(t *testing.T) {
+// The slow-start budget (rule 4) bounds the sum over all gateways: what they send a server in slow start in any window is
+// at most its capacity at that time, times the multiple of the settings. Here the requests go to the gateways in turn.
+func TestSlowStartBudget_EvenTraffic(t *testing.T) {
 	for _, nodes := range []int{2, 40, 300} {
-		set := nodesOf(nodes)
-		perSecond := 60.0 // of the whole fleet, six readers: ten a second each, as each cell has its writers
-		fleet := evenFleet(6)
-		var all []*node
+		settings := settingsForGateways(nodes)
+		perSecond := 60.0 // of the whole fleet: ten per second for each of six prefill servers, as each cell has decode servers
+		fleet := balancedFleet(6)
+		var gateways []*testGateway
 		for i := 0; i < nodes; i++ {
-			n := newNode(t, set, fleet...)
-			n.s.rng.Seed(int64(i))
-			all = append(all, n)
+			gateway := newGateway(t, settings, fleet...)
+			gateway.scheduler.rng.Seed(int64(i))
+			gateways = append(gateways, gateway)
 		}
 		var sent []time.Duration
-		count := 0
+		restarts := 0
 		now := time.Hour
 		for k := 0; now < time.Hour+30*time.Second; k++ {
 			now += time.Duration(float64(time.Second) / perSecond)
-			n := all[k%nodes]
-			n.now = now
-			if now >= time.Hour+20*time.Second && count == 0 {
-				count = 1
-				for _, o := range all {
-					v := reader("r0")
-					v.Started = now
-					o.now = now
-					o.do(MembershipUpdate{Form: MembershipDelta, Entries: []Server{v}})
+			gateway := gateways[k%nodes]
+			gateway.now = now
+			if now >= time.Hour+20*time.Second && restarts == 0 {
+				restarts = 1
+				for _, peer := range gateways {
+					restarted := prefillServer("r0")
+					restarted.Started = now
+					peer.now = now
+					peer.handle(MembershipUpdate{Form: MembershipDelta, Entries: []Server{restarted}})
 				}
 			}
 			id := fmt.Sprint("q", k)
-			n.ask(id, uint64(k), 0)
-			a, ok := pick[Send](n)
+			gateway.requestChat(id, uint64(k), 0)
+			prefillAttempt, ok := firstAction[Send](gateway)
 			if !ok {
 				continue
 			}
-			if count > 0 && a.Server == "r0" {
+			if restarts > 0 && prefillAttempt.Server == "r0" {
 				sent = append(sent, now)
 			}
-			n.end(id, 0, string(a.Server), StatusPrefilled)
-			if b, ok := pick[Send](n); ok {
-				n.do(Outcome{ID: RequestID(id), Attempt: 1, Server: b.Server, Status: StatusServed, RequestDone: true, Latency: 9 * ms})
+			gateway.endAttempt(id, 0, string(prefillAttempt.Server), StatusPrefilled)
+			if decodeAttempt, ok := firstAction[Send](gateway); ok {
+				gateway.handle(Outcome{ID: RequestID(id), Attempt: 1, Server: decodeAttempt.Server, Status: StatusServed, RequestDone: true, Latency: 9 * ms})
 			}
 		}
-		worst := mostWithin(sent, set.Rules.SlowStartWindow)
-		limit := set.Rules.SlowStartMultiple * set.Rules.SlowStartCapacity * perSecond / 6
-		if nodes > manyNodes { // and what the rule grants to chance
-			n := limit * 6 / 5 // which peers finish beside one that gets less
-			limit = n + 2*math.Sqrt(n) + 2
+		maxInWindow := maxWithinWindow(sent, settings.Rules.SlowStartWindow)
+		limit := settings.Rules.SlowStartMultiple * settings.Rules.SlowStartCapacity * perSecond / 6
+		if nodes > manyNodes { // with the margin for chance
+			allowed := limit * 6 / 5 // five peers finish what the server in slow start doesn't get
+			limit = allowed + 2*math.Sqrt(allowed) + 2
 		}
-		if float64(worst) > limit {
-			t.Errorf("%d nodes: %d of %d sends in a window, at most %v: %v", nodes, worst, len(sent), limit, sent)
+		if float64(maxInWindow) > limit {
+			t.Errorf("%d gateways: %d of %d sends in a window, limit %v: %v", nodes, maxInWindow, len(sent), limit, sent)
 		}
 		if len(sent) == 0 {
-			t.Errorf("%d nodes: the cold server got nothing", nodes)
+			t.Errorf("%d gateways: the server in slow start got no request", nodes)
 		}
 	}
 }
 
-// slowStartLimit is what all gateways together may send a server in slow start within a
-// window in which the settings allow n requests: n, and so many more for chance.
-func slowStartLimit(n float64) float64 {
-	if n < 30 {
-		return n + 3*math.Sqrt(n) + 3
+// slowStartLimit returns the number of requests that all gateways together may send a server in slow start within a
+// window: those that the settings allow, and a margin for chance of two or, below 30 requests, three standard deviations.
+func slowStartLimit(allowed float64) float64 {
+	if allowed < 30 {
+		return allowed + 3*math.Sqrt(allowed) + 3
 	}
-	return n + 2*math.Sqrt(n) + 2
+	return allowed + 2*math.Sqrt(allowed) + 2
 }
--- a/detour_test.go
+++ b/detour_test.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// detourFleet has one reader and one writer in each of two zones, each a cell of its own: ra and wa in
-// the node's, rb and wb in the other.
-func detourFleet() []Server {
-	list := []Server{reader("ra"), reader("rb"), writer("wa", 0), writer("wb", 1)}
-	list[1].Zone, list[1].Cell, list[3].Zone = "b", 1, "b"
-	return list
+// twoZoneFleet returns one prefill and one decode server in each of two zones, which are a cell each: ra and wa in the
+// gateway's zone, rb and wb in the other.
+func twoZoneFleet() []Server {
+	servers := []Server{prefillServer("ra"), prefillServer("rb"), decodeServer("wa", 0), decodeServer("wb", 1)}
+	servers[1].Zone, servers[1].Cell, servers[3].Zone = "b", 1, "b"
+	return servers
 }
 
-// A prompt that no reader has waits behind a few more reads in its own zone rather than cross to another, and
-// behind more where its state would have to leave the cell for want of a writer with room. How many these
-// are follows from what a read takes of the shortest aim of 1 s: with 20 ms, five for a zone and 12.5 for a move.
-func TestDetours_NearReadersAreWaitedFor(t *testing.T) {
+// A prompt of which no server has the prefix in its cache goes to a server in the gateway's own zone, even if a few more
+// prefills are in flight there than in another zone, and to a cell where a decode server has free memory, even if still
+// more are in flight there. How many more follows from the share that a prefill takes of the shortest aim, 1 s: with a
+// prefill of 20 ms, 5 for another zone and 12.5 for a transfer of the KV state to another cell.
+func TestPrefillChoice_DistanceAgainstLoad(t *testing.T) {
 	for _, tt := range []struct {
-		read  time.Duration // 0 = none has been seen
-		ahead int           // unfinished reads at ra more than at rb
-		full  string        // this writer is
-		want  string
+		prefillTime    time.Duration // 0 = no prefill has been observed
+		moreUnfinished int           // prefills in flight at ra beyond those at rb
+		full           string        // decode server without free memory
+		want           string
 	}{
 		{20 * ms, 0, "", "ra"},
 		{20 * ms, 4, "", "ra"},
@@ -34,39 +35,39 @@
 		{20 * ms, 12, "wb", "ra"},
 	} {
 		t.Run(fmt.Sprint(tt), func(t *testing.T) {
-			set := settings()
-			set.Reports = ReportNone
-			n := newNode(t, set, detourFleet()...)
-			if tt.read > 0 {
-				n.s.stageLatency[stagePrefill].Observe(n.now, tt.read, 320)
+			settings := testSettings()
+			settings.Reports = ReportNone
+			gateway := newGateway(t, settings, twoZoneFleet()...)
+			if tt.prefillTime > 0 {
+				gateway.scheduler.stageLatency[stagePrefill].Observe(gateway.now, tt.prefillTime, 320)
 			}
-			for _, v := range n.s.sortedServers {
+			for _, v := range gateway.scheduler.sortedServers {
 				switch string(v.ID) {
 				case tt.full:
 					v.decodeTokens, v.sentSinceReport = v.memoryTokens, v.memoryTokens
 				case "ra":
-					v.pendingPrefills = tt.ahead
+					v.pendingPrefills = tt.moreUnfinished
 				}
 			}
-			r := &trackedRequest{
+			req := &trackedRequest{
 				Request: Request{ID: "q", Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 320},
-				class:   n.s.classes["chat"], tried: map[*trackedServer]bool{},
+				class:   gateway.scheduler.classes["chat"], tried: map[*trackedServer]bool{},
 			}
-			if got := n.s.pickByPrefix(r, n.s.eligibleServers(r, isPrefill)); string(got.ID) != tt.want {
-				t.Errorf("read at %s, want %s", got.ID, tt.want)
+			if got := gateway.scheduler.pickByPrefix(req, gateway.scheduler.eligibleServers(req, isPrefill)); string(got.ID) != tt.want {
+				t.Errorf("prefill at %s, want %s", got.ID, tt.want)
 			}
 		})
 	}
 }
 
-// What was seen (overload on a fleet with mixed engines, whose memory is large and whose slots are few): of 1,376 late answers
-// 1,225 went to a writer chosen by its room in memory, where 2.27 s were expected in the mean behind the own tokens that waited, while
-// another was expected to begin in less than half the time.
-
-// A writer is left where the answer would begin later by a tenth of the aim than at another, whatever room it has; by less it is not.
-func TestWriters_LaterOnesAreLeft(t *testing.T) {
+// A decode server is not chosen, however much free memory it has, if the answer is expected to begin there later than at
+// another one by over a tenth of the aim. This guards against choosing by free memory alone: under overload, on a fleet
+// with mixed engines, which have much memory and few slots, 1,225 of 1,376 late answers had gone to a server chosen by its
+// free memory, where the mean wait expected behind the gateway's own waiting tokens was 2.27 s, while another server was
+// expected to begin in less than half the time.
+func TestDecodeChoice_ExpectedWait(t *testing.T) {
 	for _, tt := range []struct {
-		waiting map[string]float64 // tokens sent there that no answer has begun for
+		waiting map[string]float64 // by server, tokens sent there whose answers have not begun
 		want    string
 	}{
 		{map[string]float64{}, "mixed"},
@@ -76,21 +77,21 @@
 		{map[string]float64{"wa": 20000}, "mixed"},
 	} {
 		t.Run(fmt.Sprint(tt), func(t *testing.T) {
-			set := settings()
-			set.Kinds[2].MemoryTokens = 2 * set.Kinds[1].MemoryTokens
+			settings := testSettings()
+			settings.Kinds[2].MemoryTokens = 2 * settings.Kinds[1].MemoryTokens
 			mixed := Server{ID: "mixed", Zone: "a", Kind: "mixed", State: StateActive}
-			n := newNode(t, set, reader("ra"), writer("wa", 0), mixed)
+			gateway := newGateway(t, settings, prefillServer("ra"), decodeServer("wa", 0), mixed)
 			for tokens := 320.0; tokens < 30000; tokens *= 2 {
-				n.s.stageLatency[stageDecode].Observe(n.now, time.Duration(tokens/50)*ms, tokens)
+				gateway.scheduler.stageLatency[stageDecode].Observe(gateway.now, time.Duration(tokens/50)*ms, tokens)
 			}
-			for _, v := range n.s.sortedServers {
+			for _, v := range gateway.scheduler.sortedServers {
 				v.queuedTokens = tt.waiting[string(v.ID)]
 			}
-			r := &trackedRequest{
-				Request: Request{ID: "q", Session: 1, PromptTokens: 320}, class: n.s.classes["chat"], tried: map[*trackedServer]bool{},
+			req := &trackedRequest{
+				Request: Request{ID: "q", Session: 1, PromptTokens: 320}, class: gateway.scheduler.classes["chat"], tried: map[*trackedServer]bool{},
 			}
-			if got := n.s.pickDecode(r, n.s.servers["ra"]); string(got.ID) != tt.want {
-				t.Errorf("answered at %s, want %s", got.ID, tt.want)
+			if got := gateway.scheduler.pickDecode(req, gateway.scheduler.servers["ra"]); string(got.ID) != tt.want {
+				t.Errorf("decode at %s, want %s", got.ID, tt.want)
 			}
 		})
 	}
--- a/facade_test.go
+++ b/facade_test.go
@@ -10,123 +10,126 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// stopped is a clock that tests set.
-type stopped struct{ now float64 }
+// manualClock is a clock that stands still until a test sets it, in milliseconds.
+type manualClock struct{ now float64 }
 
-func (c *stopped) Now() float64 { return c.now }
+func (clock *manualClock) Now() float64 { return clock.now }
 
-func newRouter(t *testing.T, set Settings, list ...Server) (*Router, *stopped) {
+// newTestRouter returns a router with a snapshot of servers, and its clock at 1e12 ms.
+func newTestRouter(t *testing.T, settings Settings, servers ...Server) (*Router, *manualClock) {
 	t.Helper()
-	c := &stopped{1e12}
-	r, err := NewRouter(set, 1, c, func(Server) {})
+	clock := &manualClock{1e12}
+	router, err := NewRouter(settings, 1, clock, func(Server) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Update(MembershipSnapshot, list)
-	return r, c
+	router.Update(MembershipSnapshot, servers)
+	return router, clock
 }
 
-func call(id, class string) RequestInfo {
+// testCall returns a request of a class with 3 s left.
+func testCall(id, class string) RequestInfo {
 	return RequestInfo{ID: RequestID(id), Class: class, Session: 1, PromptTokens: 320, Remaining: 3000}
 }
 
-// same compares steps, their contexts aside.
-func same(t *testing.T, want, got Step) {
+// expectStep compares steps except for their contexts.
+func expectStep(t *testing.T, want, got Step) {
 	t.Helper()
 	if diff := cmp.Diff(want, got, cmpopts.IgnoreFields(Step{}, "Context")); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-func TestRouterTakesARequestThroughItsLife(t *testing.T) {
-	r, c := newRouter(t, settings(), reader("r1"), writer("w1", 0))
-	step, err := r.Pick(context.Background(), call("a", "chat"))
+// A request goes through prefill, reservation and decode to its end, and leaves nothing behind.
+func TestRouter_RequestLifecycle(t *testing.T) {
+	router, clock := newTestRouter(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	step, err := router.Pick(context.Background(), testCall("a", "chat"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	same(t, Step{Kind: StepSend, Engine: reader("r1"), Prefill: true, Timeout: 3000, ReserveAt: writer("w1", 0)}, step)
-	if _, err := r.Pick(context.Background(), call("a", "chat")); !errors.Is(err, ErrDuplicate) {
+	expectStep(t, Step{Kind: StepSend, Engine: prefillServer("r1"), Prefill: true, Timeout: 3000, ReserveAt: decodeServer("w1", 0)}, step)
+	if _, err := router.Pick(context.Background(), testCall("a", "chat")); !errors.Is(err, ErrDuplicate) {
 		t.Error(err)
 	}
-	if next, ok := r.ReportReservation("a", 0, "w1", true); ok {
-		t.Errorf("another place at %s", next.ID)
+	if next, ok := router.ReportReservation("a", 0, "w1", true); ok {
+		t.Errorf("second reservation at %s, want none after the first was granted", next.ID)
 	}
-	c.now += 80.25
-	same(t, Step{Kind: StepSend, Attempt: 1, Engine: writer("w1", 0), Timeout: 2919.75},
-		r.ReportResult("a", 0, Result{Status: StatusPrefilled}))
-	if !r.AnswerStarted("a", 1) || r.AnswerStarted("a", 1) {
-		t.Error("an answer begins once")
+	clock.now += 80.25
+	expectStep(t, Step{Kind: StepSend, Attempt: 1, Engine: decodeServer("w1", 0), Timeout: 2919.75},
+		router.ReportResult("a", 0, Result{Status: StatusPrefilled}))
+	if !router.AnswerStarted("a", 1) || router.AnswerStarted("a", 1) {
+		t.Error("Begun doesn't report exactly one beginning of the answer")
 	}
-	same(t, Step{Kind: StepDone}, r.ReportResult("a", 1, Result{Status: StatusServed}))
-	if len(r.flights) != 0 || len(r.scheduler.requests) != 0 {
-		t.Errorf("left: %v, %v", r.flights, r.scheduler.requests)
+	expectStep(t, Step{Kind: StepDone}, router.ReportResult("a", 1, Result{Status: StatusServed}))
+	if len(router.flights) != 0 || len(router.scheduler.requests) != 0 {
+		t.Errorf("still kept after the end: %v, %v", router.flights, router.scheduler.requests)
 	}
 }
 
-// Timers end a request that nobody takes: Pick blocks until Tick runs them.
-func TestTickRefusesInTime(t *testing.T) {
-	set := settings()
-	set.Limits.RetryAfter, set.Limits.MaxRetryAfter = true, 400*ms
-	r, c := newRouter(t, set)
+// A request for which there is no prefill server is refused within its deadline: Pick blocks until Tick runs the timer.
+func TestRouterTick_NoPrefillServer(t *testing.T) {
+	settings := testSettings()
+	settings.Limits.RetryAfter, settings.Limits.MaxRetryAfter = true, 400*ms
+	router, clock := newTestRouter(t, settings)
 	steps := make(chan Step)
 	go func() {
-		step, _ := r.Pick(context.Background(), call("a", "chat"))
+		step, _ := router.Pick(context.Background(), testCall("a", "chat"))
 		steps <- step
 	}()
-	<-r.Wake()
-	for wait := r.Tick(); wait < 1e9; wait = r.Tick() {
-		c.now += wait
+	<-router.Wake()
+	for wait := router.Tick(); wait < 1e9; wait = router.Tick() {
+		clock.now += wait
 	}
-	same(t, Step{Kind: StepRefuse, Release: true, RetryAfter: 400, Reason: ReasonNoPrefillServer}, <-steps)
-	if c.now > 1e12+3000 {
-		t.Errorf("refused after %v ms", c.now-1e12)
+	expectStep(t, Step{Kind: StepRefuse, Release: true, RetryAfter: 400, Reason: ReasonNoPrefillServer}, <-steps)
+	if clock.now > 1e12+3000 {
+		t.Errorf("refused after %v ms, want within 3000", clock.now-1e12)
 	}
 }
 
-// A call-off reaches a running attempt as a cancelled context, and a client
-// that has left is owed no more sends, whenever it leaves.
-func TestClientLeaves(t *testing.T) {
+// A client that leaves cancels the context of the attempt in flight, and no further attempt is made for it, whether it
+// leaves before or after the call of Pick.
+func TestRouter_ClientLeaves(t *testing.T) {
 	ctx, leave := context.WithCancel(context.Background())
-	r, _ := newRouter(t, settings(), reader("r1"), writer("w1", 0))
-	step, _ := r.Pick(ctx, call("a", "pay"))
+	router, _ := newTestRouter(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	step, _ := router.Pick(ctx, testCall("a", "pay"))
 	leave()
 	<-step.Context.Done()
-	if r.AnswerStarted("a", 0) {
-		t.Error("an answer begins for nobody")
+	if router.AnswerStarted("a", 0) {
+		t.Error("an answer begins although the client has left")
 	}
-	same(t, Step{Kind: StepDone, Release: true}, r.ReportResult("a", 0, Result{Status: StatusCancelled}))
-	step, _ = r.Pick(ctx, call("b", "pay")) // it had left before
-	same(t, Step{Kind: StepDone, Release: true}, step)
-	if len(r.flights) != 0 || len(r.scheduler.requests) != 0 {
-		t.Errorf("left: %v, %v", r.flights, r.scheduler.requests)
+	expectStep(t, Step{Kind: StepDone, Release: true}, router.ReportResult("a", 0, Result{Status: StatusCancelled}))
+	step, _ = router.Pick(ctx, testCall("b", "pay")) // the client left before the call
+	expectStep(t, Step{Kind: StepDone, Release: true}, step)
+	if len(router.flights) != 0 || len(router.scheduler.requests) != 0 {
+		t.Errorf("still kept after the end: %v, %v", router.flights, router.scheduler.requests)
 	}
 }
 
-// The module calls off a read that is far overdue at a silent server.
-func TestOverdueReadIsCalledOff(t *testing.T) {
-	r, c := newRouter(t, settings(), reader("r1"), reader("r2"), writer("w1", 0))
-	step, _ := r.Pick(context.Background(), call("a", "chat"))
-	for step.Context.Err() == nil && c.now < 1e12+2900 {
-		c.now += r.Tick()
-	}
-	next := r.ReportResult("a", 0, Result{Status: StatusCancelled})
+// A prefill that is far overdue at a server from which nothing is received is cancelled and goes to another server.
+func TestRouter_OverduePrefill(t *testing.T) {
+	router, clock := newTestRouter(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
+	step, _ := router.Pick(context.Background(), testCall("a", "chat"))
+	for step.Context.Err() == nil && clock.now < 1e12+2900 {
+		clock.now += router.Tick()
+	}
+	next := router.ReportResult("a", 0, Result{Status: StatusCancelled})
 	if step.Context.Err() == nil || next.Kind != StepSend || next.Engine.ID == step.Engine.ID {
-		t.Errorf("after %s: %+v", step.Engine.ID, next)
+		t.Errorf("after the attempt at %s: next step %+v, want the attempt cancelled and one at another server", step.Engine.ID, next)
 	}
 }
 
-// Stray reports must neither panic nor act.
-func TestStrayReports(t *testing.T) {
-	r, _ := newRouter(t, settings(), reader("r1"), writer("w1", 0))
-	same(t, Step{Kind: StepDone}, r.ReportResult("none", 0, Result{Status: StatusPrefilled}))
-	same(t, Step{Kind: StepDone}, r.Next("none"))
-	if _, ok := r.ReportReservation("none", 0, "w1", true); ok || r.AnswerStarted("none", 0) || r.Accepts("none") {
-		t.Error("acted for a request or a server that is not known")
-	}
-	if _, err := r.Pick(context.Background(), call("a", "nosuch")); !errors.Is(err, ErrUnknownClass) {
+// Reports on requests that the router doesn't know must neither panic nor lead to a step.
+func TestRouter_StrayReports(t *testing.T) {
+	router, _ := newTestRouter(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	expectStep(t, Step{Kind: StepDone}, router.ReportResult("none", 0, Result{Status: StatusPrefilled}))
+	expectStep(t, Step{Kind: StepDone}, router.Next("none"))
+	if _, ok := router.ReportReservation("none", 0, "w1", true); ok || router.AnswerStarted("none", 0) || router.Accepts("none") {
+		t.Error("the router acted for an unknown request")
+	}
+	if _, err := router.Pick(context.Background(), testCall("a", "nosuch")); !errors.Is(err, ErrUnknownClass) {
 		t.Error(err)
 	}
 	if got := duration(0.0004); got != 0 || duration(1.5) != 1500*time.Microsecond {
-		t.Errorf("0.0004 ms is %v", got)
+		t.Errorf("duration of 0.0004 ms is %v, want 0; or that of 1.5 ms is not 1500µs", got)
 	}
 }
--- a/fairness_test.go
+++ b/fairness_test.go
@@ -9,149 +9,154 @@
 	"time"
 )
 
-// occasion is something that happens at a time in a simulated fleet.
-type occasion struct {
-	at time.Duration
-	do func()
+// scheduledEvent is something that happens at a time in a simulated fleet.
+type scheduledEvent struct {
+	at  time.Duration
+	run func()
 }
 
-// agenda is a heap of occasions, the earliest first.
-type agenda []occasion
+// eventQueue is a heap of scheduled events, the earliest first.
+type eventQueue []scheduledEvent
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(occasion)) }
-func (a *agenda) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(event any)    { *q = append(*q, event.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// simulation plays gateways against readers that read one prompt after the other, and writers
-// that answer at once. Time is simulated.
-type simulation struct {
-	agenda   agenda
-	now      time.Duration
-	gateways []*node
-	free     map[ServerID]time.Duration // when a reader has read all that it has
-	waiting  map[ServerID]float64       // tokens there
-	speed    float64                    // tokens a second
-	called   map[string]bool            // attempts called off
-	refused  map[RequestID]bool
+// fleetSimulation runs gateways in simulated time against prefill servers that serve one prompt after the other, and
+// decode servers that answer after 5 ms.
+type fleetSimulation struct {
+	queue           eventQueue
+	now             time.Duration
+	gateways        []*testGateway
+	idleAt          map[ServerID]time.Duration // when a prefill server has finished all of its prompts
+	waitingTokens   map[ServerID]float64       // prompt tokens in flight at a prefill server
+	tokensPerSecond float64                    // of each prefill server
+	cancelled       map[string]bool            // attempts, by request and number
+	refused         map[RequestID]bool
 }
 
-func (s *simulation) after(d time.Duration, do func()) {
-	heap.Push(&s.agenda, occasion{s.now + d, do})
+// after schedules something for a time from now.
+func (s *fleetSimulation) after(d time.Duration, do func()) {
+	heap.Push(&s.queue, scheduledEvent{s.now + d, do})
 }
 
-func (s *simulation) report(v ServerID) Report { return Report{ReportWaiting: s.waiting[v] / 1000} }
+// loadReport returns what a server reports of its load.
+func (s *fleetSimulation) loadReport(v ServerID) Report {
+	return Report{ReportWaiting: s.waitingTokens[v] / 1000}
+}
 
-// tell puts an event to a gateway and carries out what it wants done.
-func (s *simulation) tell(gateway *node, e Event) {
+// deliver passes an event to a gateway and carries out its actions.
+func (s *fleetSimulation) deliver(gateway *testGateway, e Event) {
 	gateway.now = s.now
-	for _, action := range gateway.do(e) {
+	for _, action := range gateway.handle(e) {
 		switch a := action.(type) {
 		case Send:
-			s.attempt(gateway, a, len(gateway.s.requests[a.ID].attempts)-1)
+			s.runAttempt(gateway, a, len(gateway.scheduler.requests[a.ID].attempts)-1)
 		case Reserve:
-			s.after(ms, func() { s.tell(gateway, ReservationResult{ID: a.ID, Server: a.Server, Held: true}) })
+			s.after(ms, func() { s.deliver(gateway, ReservationResult{ID: a.ID, Server: a.Server, Held: true}) })
 		case Probe:
 			s.after(2*ms, func() {
-				s.tell(gateway, ProbeResult{Server: a.Server, Status: StatusServed, Report: s.report(a.Server)})
+				s.deliver(gateway, ProbeResult{Server: a.Server, Status: StatusServed, Report: s.loadReport(a.Server)})
 			})
 		case SetTimer:
-			heap.Push(&s.agenda, occasion{a.At, func() { s.tell(gateway, TimerFired{a.Token}) }})
+			heap.Push(&s.queue, scheduledEvent{a.At, func() { s.deliver(gateway, TimerFired{a.Token}) }})
 		case Cancel:
-			s.called[fmt.Sprint(a.ID, a.Attempt)] = true
+			s.cancelled[fmt.Sprint(a.ID, a.Attempt)] = true
 		case Refuse:
 			s.refused[a.ID] = true
 		}
 	}
 }
 
-func (s *simulation) attempt(gateway *node, a Send, number int) {
-	request := gateway.s.requests[a.ID]
-	if gateway.s.servers[a.Server].role != RoleRead {
+// runAttempt simulates an attempt and schedules its outcome.
+func (s *fleetSimulation) runAttempt(gateway *testGateway, a Send, number int) {
+	request := gateway.scheduler.requests[a.ID]
+	if gateway.scheduler.servers[a.Server].role != RoleRead {
 		s.after(5*ms, func() {
-			s.tell(gateway, Outcome{ID: a.ID, Attempt: number, Server: a.Server, Status: StatusServed, RequestDone: true, Latency: 5 * ms})
+			s.deliver(gateway, Outcome{ID: a.ID, Attempt: number, Server: a.Server, Status: StatusServed, RequestDone: true, Latency: 5 * ms})
 		})
 		return
 	}
 	begun, tokens := s.now, request.PromptTokens
-	s.waiting[a.Server] += tokens
-	s.free[a.Server] = max(s.free[a.Server], s.now) + time.Duration(tokens/s.speed*float64(time.Second))
-	heap.Push(&s.agenda, occasion{s.free[a.Server], func() {
-		s.waiting[a.Server] -= tokens
+	s.waitingTokens[a.Server] += tokens
+	s.idleAt[a.Server] = max(s.idleAt[a.Server], s.now) + time.Duration(tokens/s.tokensPerSecond*float64(time.Second))
+	heap.Push(&s.queue, scheduledEvent{s.idleAt[a.Server], func() {
+		s.waitingTokens[a.Server] -= tokens
 		status := StatusPrefilled
-		if s.called[fmt.Sprint(a.ID, number)] {
+		if s.cancelled[fmt.Sprint(a.ID, number)] {
 			status = StatusCancelled
 		}
-		s.tell(gateway, Outcome{
-			ID: a.ID, Attempt: number, Server: a.Server, Status: status, Latency: s.now - begun, Report: s.report(a.Server),
+		s.deliver(gateway, Outcome{
+			ID: a.ID, Attempt: number, Server: a.Server, Status: status, Latency: s.now - begun, Report: s.loadReport(a.Server),
 		})
 	}})
 }
 
-// Under more than the fleet can do, refusals fall on requests, not on sessions: those of which
-// every turn is refused are few more than chance makes them.
-func TestRefusals_SingleOutNoSession(t *testing.T) {
+// Under overload refusals fall on requests, not on sessions: sessions of which every turn is refused are hardly more
+// frequent than chance makes them.
+func TestRefusals_SpreadOverSessions(t *testing.T) {
 	const (
-		readers, sessions, turns = 8, 150, 5
-		tokens, speed            = 1000.0, 10000.0
-		load                     = 1.4
-		allowed                  = 0.12 // of the sessions, more than chance gives; the operators' bound
+		prefillServers, sessions, turns = 8, 150, 5
+		tokens, speed                   = 1000.0, 10000.0
+		load                            = 1.4
+		allowed                         = 0.12 // share of the sessions beyond what chance gives; the operators' bound
 	)
 	for _, nodes := range []int{4, 40} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
-			set := nodesOf(nodes)
-			set.Reports, set.Limits.Probes = ReportInline, true
+			settings := settingsForGateways(nodes)
+			settings.Reports, settings.Limits.Probes = ReportInline, true
 			rng := rand.New(rand.NewSource(1))
-			sim := &simulation{
-				now: time.Hour, free: map[ServerID]time.Duration{}, waiting: map[ServerID]float64{}, speed: speed,
-				called: map[string]bool{}, refused: map[RequestID]bool{},
+			sim := &fleetSimulation{
+				now: time.Hour, idleAt: map[ServerID]time.Duration{}, waitingTokens: map[ServerID]float64{}, tokensPerSecond: speed,
+				cancelled: map[string]bool{}, refused: map[RequestID]bool{},
 			}
 			for i := range nodes {
-				gateway := newNode(t, set, fleetOf(readers, 8)...)
-				gateway.s.rng.Seed(int64(i))
+				gateway := newGateway(t, settings, newFleet(prefillServers, 8)...)
+				gateway.scheduler.rng.Seed(int64(i))
 				sim.gateways = append(sim.gateways, gateway)
 			}
-			perSecond := load * readers * speed / tokens
-			asked := map[int][]RequestID{}
+			perSecond := load * prefillServers * speed / tokens
+			requested := map[int][]RequestID{}
 			for k := range sessions * turns {
-				session := k % sessions // turns of a session come one after the other
+				session := k % sessions // the turns of a session come one after the other
 				id := RequestID(fmt.Sprint("s", session, "t", k/sessions))
-				asked[session] = append(asked[session], id)
+				requested[session] = append(requested[session], id)
 				at := sim.now + time.Duration(float64(k)/perSecond*float64(time.Second))
 				gateway := sim.gateways[rng.Intn(nodes)]
-				heap.Push(&sim.agenda, occasion{at, func() {
-					sim.tell(gateway, Request{ID: id, Class: "chat", Session: uint64(session) + 1, Prefix: uint64(session%10) + 1,
+				heap.Push(&sim.queue, scheduledEvent{at, func() {
+					sim.deliver(gateway, Request{ID: id, Class: "chat", Session: uint64(session) + 1, Prefix: uint64(session%10) + 1,
 						PrefixTokens: tokens / 2, PromptTokens: tokens, TimeLeft: 5 * time.Second})
 				}})
 			}
-			for sim.agenda.Len() > 0 {
-				next := heap.Pop(&sim.agenda).(occasion)
+			for sim.queue.Len() > 0 {
+				next := heap.Pop(&sim.queue).(scheduledEvent)
 				sim.now = max(sim.now, next.at)
-				next.do()
+				next.run()
 			}
 			share := float64(len(sim.refused)) / (sessions * turns)
 			if share < 0.05 || share > 0.9 {
-				t.Fatalf("%.2f of the requests are refused: nothing is shown", share)
+				t.Fatalf("%.2f of the requests are refused; the test needs between 0.05 and 0.9 to show anything", share)
 			}
-			shutOut := 0
-			for _, ids := range asked {
+			refusedSessions := 0
+			for _, ids := range requested {
 				all := true
 				for _, id := range ids {
 					all = all && sim.refused[id]
 				}
 				if all {
-					shutOut++
+					refusedSessions++
 				}
 			}
 			chance := math.Pow(share, turns)
-			t.Logf("%.2f of the requests refused, all of %d of %d sessions", share, shutOut, sessions)
-			if got := float64(shutOut) / sessions; got > chance+allowed {
-				t.Errorf("all turns of %.2f of the sessions are refused, chance gives %.2f", got, chance)
+			t.Logf("%.2f of the requests refused, every turn of %d of %d sessions", share, refusedSessions, sessions)
+			if got := float64(refusedSessions) / sessions; got > chance+allowed {
+				t.Errorf("every turn is refused of %.2f of the sessions; chance gives %.2f", got, chance)
 			}
 		})
 	}
--- a/health_test.go
+++ b/health_test.go
@@ -6,278 +6,283 @@
 	"time"
 )
 
-// A full or dead server answers at once; without a growing pause requests
-// burn all their attempts on it.
-func TestRefusingServerIsShunned(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-	last := time.Duration(0)
+// A full or dead server answers at once. Without a pause that grows with each refusal, requests would use up all their
+// attempts on it.
+func TestPause_RepeatedRefusals(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	lastPause := time.Duration(0)
 	for i := 0; i < 4; i++ {
-		n.now = max(n.now, n.s.servers["r1"].pausedUntil)
-		n.s.now = n.now
-		n.s.pauseSends(n.s.servers["r1"])
-		pause := n.s.servers["r1"].pausedUntil - n.now
-		if pause <= last {
-			t.Fatalf("pause %v after %v", pause, last)
+		gateway.now = max(gateway.now, gateway.scheduler.servers["r1"].pausedUntil)
+		gateway.scheduler.now = gateway.now
+		gateway.scheduler.pauseSends(gateway.scheduler.servers["r1"])
+		pause := gateway.scheduler.servers["r1"].pausedUntil - gateway.now
+		if pause <= lastPause {
+			t.Fatalf("pause of %v after one of %v, want a longer one", pause, lastPause)
 		}
-		last = pause
+		lastPause = pause
 	}
-	n.ask("a", 1, 0)
-	n.sentTo("")
-	n.now += last
-	x, _ := pick[SetTimer](n)
-	_ = x
-	n.ask("b", 2, 0)
-	n.sentTo("r1")
+	gateway.requestChat("a", 1, 0)
+	gateway.expectSentTo("")
+	gateway.now += lastPause
+	timer, _ := firstAction[SetTimer](gateway)
+	_ = timer
+	gateway.requestChat("b", 2, 0)
+	gateway.expectSentTo("r1")
 }
 
-// Refusals of what was sent before the first of them came, as in a burst, are
-// one sign and not many: seven at once used to close a writer for two seconds,
-// longer than a read state may wait for it.
-func TestABurstOfRefusalsIsOnePause(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
+// Refusals of requests that were sent before the first refusal came, as in a burst, count as one. When each of seven
+// counted, they paused a decode server for two seconds, longer than KV state may wait for it.
+func TestPause_BurstOfRefusals(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 	pauses := map[time.Duration]bool{}
 	for i := range 7 {
-		n.ask(fmt.Sprint(i), uint64(i), 0)
-		n.sentTo("r1")
+		gateway.requestChat(fmt.Sprint(i), uint64(i), 0)
+		gateway.expectSentTo("r1")
 	}
 	for i := range 7 {
-		n.end(fmt.Sprint(i), 0, "r1", StatusRejected)
-		pauses[n.s.servers["r1"].pausedUntil-n.now] = true
+		gateway.endAttempt(fmt.Sprint(i), 0, "r1", StatusRejected)
+		pauses[gateway.scheduler.servers["r1"].pausedUntil-gateway.now] = true
 	}
 	if len(pauses) != 1 || pauses[0] {
-		t.Errorf("pauses %v, want the first alone", pauses)
+		t.Errorf("pauses %v, want only that of the first refusal", pauses)
 	}
 }
 
-func fail(n *node, v string, times int) {
+// failRequests has a number of requests fail at a server.
+func failRequests(gateway *testGateway, server string, times int) {
 	for i := 0; i < times; i++ {
-		n.s.now = n.now
-		n.s.updateHealth(n.s.servers[ServerID(v)], &trackedRequest{Request: Request{ID: "x"}}, false)
+		gateway.scheduler.now = gateway.now
+		gateway.scheduler.updateHealth(gateway.scheduler.servers[ServerID(server)], &trackedRequest{Request: Request{ID: "x"}}, false)
 	}
 }
 
-// A server that fails fast looks idle; two failures in a row eject it, where
-// three cost far more, and it comes back by a single trial.
-func TestFailingServerIsEjectedAndTried(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), reader("r2"), reader("r3"), writer("w1", 0))
-	fail(n, "r1", 2)
-	if !n.s.servers["r1"].ejected {
-		t.Fatal("not ejected after two failures")
+// A server that fails at once looks idle and draws more requests. Two failures in a row eject it, as waiting for three
+// costs far more. After the backoff it is tried again with a single request.
+func TestEjection_FailingServer(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), decodeServer("w1", 0))
+	failRequests(gateway, "r1", 2)
+	if !gateway.scheduler.servers["r1"].ejected {
+		t.Fatal("server not ejected after two failures")
 	}
 	for i := uint64(0); i < 20; i++ {
-		n.ask(fmt.Sprint(i), i, 0)
-		if a, _ := pick[Send](n); a.Server == "r1" {
-			t.Fatal("an ejected server was sent a request")
+		gateway.requestChat(fmt.Sprint(i), i, 0)
+		if a, _ := firstAction[Send](gateway); a.Server == "r1" {
+			t.Fatal("an ejected server was sent a request before its backoff ended")
 		}
 	}
-	n.now += minBackoff
-	n.ask("trial", 100, 0)
-	n.sentTo("r1")
-	n.ask("next", 101, 0)
-	if a, _ := pick[Send](n); a.Server == "r1" {
-		t.Fatal("more than a single trial")
+	gateway.now += minBackoff
+	gateway.requestChat("trial", 100, 0)
+	gateway.expectSentTo("r1")
+	gateway.requestChat("next", 101, 0)
+	if a, _ := firstAction[Send](gateway); a.Server == "r1" {
+		t.Fatal("a second request was sent to an ejected server during its trial")
 	}
-	n.end("trial", 0, "r1", StatusPrefilled)
-	if n.s.servers["r1"].ejected {
-		t.Error("not readmitted after its trial")
+	gateway.endAttempt("trial", 0, "r1", StatusPrefilled)
+	if gateway.scheduler.servers["r1"].ejected {
+		t.Error("server still ejected after its trial succeeded")
 	}
 }
 
-func TestTroubleOfAllEjectsAtMostHalf(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), reader("r2"), reader("r3"), reader("r4"), writer("w1", 0))
+// Trouble that all servers share ejects at most half of them.
+func TestEjection_AllServersFail(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), prefillServer("r4"), decodeServer("w1", 0))
 	for i := 0; i < 20; i++ {
 		for _, v := range []string{"r1", "r2", "r3", "r4"} {
-			fail(n, v, 1)
+			failRequests(gateway, v, 1)
 		}
 	}
-	gone := 0
-	for _, v := range n.s.sortedServers {
+	ejected := 0
+	for _, v := range gateway.scheduler.sortedServers {
 		if v.ejected {
-			gone++
+			ejected++
 		}
 	}
-	if gone > 2 {
-		t.Errorf("%d of 4 readers ejected", gone)
+	if ejected > 2 {
+		t.Errorf("%d of 4 prefill servers ejected, want at most 2", ejected)
 	}
 }
 
-// A zone that fails as a whole while the own zone is well is a bad path.
-func TestBadPathIsLeftAsAWhole(t *testing.T) {
-	list := []Server{reader("r1"), reader("r2"), reader("r3"), writer("w1", 0)}
+// A zone of which all servers fail, while those of the gateway's own zone do not, is ejected as a whole: the path to it
+// is broken. One failing server ejects no zone.
+func TestEjection_ZoneUnreachable(t *testing.T) {
+	servers := []Server{prefillServer("r1"), prefillServer("r2"), prefillServer("r3"), decodeServer("w1", 0)}
 	for _, id := range []string{"f1", "f2"} {
-		v := reader(id)
-		v.Zone = "b"
-		list = append(list, v)
+		remote := prefillServer(id)
+		remote.Zone = "b"
+		servers = append(servers, remote)
 	}
-	n := newNode(t, settings(), list...)
+	gateway := newGateway(t, testSettings(), servers...)
 	for i := 0; i < 6; i++ {
-		fail(n, "f1", 1)
-		fail(n, "f2", 1)
+		failRequests(gateway, "f1", 1)
+		failRequests(gateway, "f2", 1)
 	}
-	if !n.s.zonePaths["b"].ejected {
-		t.Error("the path to a lost zone is still trusted")
+	if !gateway.scheduler.zonePaths["b"].ejected {
+		t.Error("a zone of which all servers fail is not ejected")
 	}
-	n = newNode(t, settings(), list...)
-	fail(n, "f1", 12)
-	if n.s.zonePaths["b"].ejected {
-		t.Error("one bad server condemns its zone")
+	gateway = newGateway(t, testSettings(), servers...)
+	failRequests(gateway, "f1", 12)
+	if gateway.scheduler.zonePaths["b"].ejected {
+		t.Error("one failing server ejected its zone")
 	}
 }
 
-// Of many nodes, each meets few engines of a zone that is cut off: a request that met a silent
-// connect there goes on in its own zone, and one that met a refused connect goes where it would.
-func TestRequestLeavesASilentZone(t *testing.T) {
+// Each of many gateways sends to few engines of a zone that is cut off, so it can't eject the zone. A request whose
+// connect timed out in another zone goes on in the gateway's own zone; one whose connect was refused at once may go to
+// any zone.
+func TestRetry_ConnectTimeoutInOtherZone(t *testing.T) {
 	for _, tt := range []struct {
-		nodes   int
-		latency time.Duration
-		home    bool
+		nodes      int
+		latency    time.Duration
+		leavesZone bool
 	}{{300, 100 * ms, true}, {300, ms, false}, {4, 100 * ms, false}} {
-		home := 0
+		inOwnZone := 0
 		for key := range uint64(20) {
-			set, list := settings(), []Server{reader("own")}
-			set.Nodes, set.Reservations = tt.nodes, false
+			settings, servers := testSettings(), []Server{prefillServer("own")}
+			settings.Nodes, settings.Reservations = tt.nodes, false
 			for i := range 20 {
-				far := reader(fmt.Sprint("far", i))
-				far.Zone = "b"
-				list = append(list, far)
+				remote := prefillServer(fmt.Sprint("far", i))
+				remote.Zone = "b"
+				servers = append(servers, remote)
 			}
-			n := newNode(t, set, list...)
-			for _, v := range n.s.sortedServers { // its own zone's is busy, so that it goes to another first
-				v.report, v.reportAt = Report{ReportInFlight: 0}, n.now
+			gateway := newGateway(t, settings, servers...)
+			// The server of its own zone is busy, so the first attempt goes to another zone.
+			for _, v := range gateway.scheduler.sortedServers {
+				v.report, v.reportAt = Report{ReportInFlight: 0}, gateway.now
 			}
-			n.s.servers["own"].report = Report{ReportInFlight: 10}
-			n.ask("q", key+1, key+1)
-			a, _ := pick[Send](n)
+			gateway.scheduler.servers["own"].report = Report{ReportInFlight: 10}
+			gateway.requestChat("q", key+1, key+1)
+			a, _ := firstAction[Send](gateway)
 			if a.Server == "own" {
-				t.Errorf("%d nodes: sent to the busy reader", tt.nodes)
+				t.Errorf("%d gateways: first attempt sent to the busy server", tt.nodes)
 			}
-			n.do(Outcome{ID: "q", Server: a.Server, Status: StatusConnectFailed, Latency: tt.latency})
-			if a, _ := pick[Send](n); a.Server == "own" {
-				home++
+			gateway.handle(Outcome{ID: "q", Server: a.Server, Status: StatusConnectFailed, Latency: tt.latency})
+			if a, _ := firstAction[Send](gateway); a.Server == "own" {
+				inOwnZone++
 			}
 		}
-		if tt.home != (home >= 15) {
-			t.Errorf("%d nodes, after %v: %d of 20 went on in their own zone", tt.nodes, tt.latency, home)
+		if tt.leavesZone != (inOwnZone >= 15) {
+			t.Errorf("%d gateways, connect failed after %v: %d of 20 second attempts in the own zone, want 15 or more: %v",
+				tt.nodes, tt.latency, inOwnZone, tt.leavesZone)
 		}
 	}
 }
 
-// An overdue attempt costs a silent server trust and, later, the attempt; a
-// server that finishes other work keeps both.
-func TestOverdueAttempts(t *testing.T) {
+// An overdue attempt counts against a server from which nothing is received and, later, is cancelled. At a server that
+// finishes other work it does neither.
+func TestOverdueAttempt_SilentOrBusyServer(t *testing.T) {
 	for _, busy := range []bool{false, true} {
-		n := newNode(t, settings(), reader("r1"), reader("r2"), writer("w1", 0))
-		n.ask("a", 1, 0)
-		a, _ := pick[Send](n)
-		v := n.s.servers[a.Server]
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
+		gateway.requestChat("a", 1, 0)
+		attempt, _ := firstAction[Send](gateway)
+		server := gateway.scheduler.servers[attempt.Server]
 		for i := 0; i < 2; i++ {
-			n.now += 500 * ms
+			gateway.now += 500 * ms
 			if busy {
-				v.lastProgressAt = n.now
+				server.lastProgressAt = gateway.now
 			}
-			n.s.now, n.s.actions = n.now, nil
-			n.s.handleOverdue(n.s.requests["a"], 0)
-			n.out = n.s.actions
+			gateway.scheduler.now, gateway.scheduler.actions = gateway.now, nil
+			gateway.scheduler.handleOverdue(gateway.scheduler.requests["a"], 0)
+			gateway.actions = gateway.scheduler.actions
 		}
-		if _, cancelled := pick[Cancel](n); cancelled == busy || (v.failureRate > 0) == busy {
-			t.Errorf("busy %v: cancelled %v, fail %v", busy, cancelled, v.failureRate)
+		if _, cancelled := firstAction[Cancel](gateway); cancelled == busy || (server.failureRate > 0) == busy {
+			t.Errorf("server busy with other work %v: cancelled %v, failure rate %v", busy, cancelled, server.failureRate)
 		}
 	}
 }
 
-// A connection may fall silent while its engine works on. What it has begun that
-// was sent later tells; the attempt is called off without harm to the engine, but
-// for an order that may have run.
-func TestOvertakenAttempts(t *testing.T) {
+// A connection may go silent while its engine works on, which shows when the engine has begun to answer a later request.
+// The attempt is then cancelled, without counting against the engine, unless it is a side effect that may have run.
+func TestOverdueAttempt_LaterSendAnsweredFirst(t *testing.T) {
 	for _, tt := range []struct {
-		name          string
-		class         string
-		writes, later bool
-		cancelled     bool
+		name                string
+		class               string
+		decoding, sentLater bool
+		cancelled           bool
 	}{
-		{"read", "pay", false, true, true},
-		{"read, the other was sent before", "pay", false, false, false},
-		{"order written", "pay", true, true, false},
-		{"written", "chat", true, true, true},
+		{"prefill", "pay", false, true, true},
+		{"prefill, the other was sent before", "pay", false, false, false},
+		{"side effect, decode", "pay", true, true, false},
+		{"pure, decode", "chat", true, true, true},
 	} {
-		n := newNode(t, settings(), reader("r1"), writer("w1", 0))
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
 		send := func(id string) {
-			n.do(Request{ID: RequestID(id), Class: tt.class, PromptTokens: 320, TimeLeft: 5 * time.Second})
-			n.sentTo("r1")
-			if tt.writes {
-				n.end(id, 0, "r1", StatusPrefilled)
-				n.sentTo("w1")
+			gateway.handle(Request{ID: RequestID(id), Class: tt.class, PromptTokens: 320, TimeLeft: 5 * time.Second})
+			gateway.expectSentTo("r1")
+			if tt.decoding {
+				gateway.endAttempt(id, 0, "r1", StatusPrefilled)
+				gateway.expectSentTo("w1")
 			}
-			n.now += ms
+			gateway.now += ms
 		}
 		answer := func(id string) {
-			if tt.writes {
-				n.do(AnswerStarted{ID: RequestID(id), Attempt: 1, Server: "w1", Latency: 50 * ms})
+			if tt.decoding {
+				gateway.handle(AnswerStarted{ID: RequestID(id), Attempt: 1, Server: "w1", Latency: 50 * ms})
 			} else {
-				n.end(id, 0, "r1", StatusPrefilled)
+				gateway.endAttempt(id, 0, "r1", StatusPrefilled)
 			}
 		}
-		if !tt.later {
+		if !tt.sentLater {
 			send("other")
 		}
 		send("lost")
-		if tt.later {
+		if tt.sentLater {
 			send("other")
 		}
 		answer("other")
-		attempt := len(n.s.requests["lost"].attempts) - 1
-		v := n.s.requests["lost"].attempts[attempt].server
-		n.now += 600 * ms
-		n.s.now, n.s.actions = n.now, nil
-		n.s.handleOverdue(n.s.requests["lost"], attempt)
-		n.out = n.s.actions
-		if _, got := pick[Cancel](n); got != tt.cancelled || v.failureRate > 0 {
-			t.Errorf("%s: cancelled %v, trust lost %v", tt.name, got, v.failureRate)
+		number := len(gateway.scheduler.requests["lost"].attempts) - 1
+		server := gateway.scheduler.requests["lost"].attempts[number].server
+		gateway.now += 600 * ms
+		gateway.scheduler.now, gateway.scheduler.actions = gateway.now, nil
+		gateway.scheduler.handleOverdue(gateway.scheduler.requests["lost"], number)
+		gateway.actions = gateway.scheduler.actions
+		if _, got := firstAction[Cancel](gateway); got != tt.cancelled || server.failureRate > 0 {
+			t.Errorf("%s: cancelled %v, failure rate %v", tt.name, got, server.failureRate)
 		}
 	}
 }
 
-// All writers may be slow at once, behind a link that clogs. Calling attempts off
-// would only begin anew elsewhere, and close engines that are at work.
-func TestSharedSlownessIsNoFaultOfOne(t *testing.T) {
+// All decode servers may be slow at once, behind a congested link. Cancelling attempts would only repeat their work
+// elsewhere, and eject engines that are at work.
+func TestOverdueAttempt_AllServersSlow(t *testing.T) {
 	for _, shared := range []bool{true, false} {
-		n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 0), writer("w3", 0))
-		n.s.stageLatency[stageDecode].Observe(n.now, 50*ms, 320)
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0), decodeServer("w3", 0))
+		gateway.scheduler.stageLatency[stageDecode].Observe(gateway.now, 50*ms, 320)
 		for i, id := range []string{"a", "b", "c"} {
-			n.ask(id, uint64(i), 0)
-			n.end(id, 0, "r1", StatusPrefilled)
+			gateway.requestChat(id, uint64(i), 0)
+			gateway.endAttempt(id, 0, "r1", StatusPrefilled)
 		}
-		out := func(id string) *trackedAttempt { return n.s.requests[RequestID(id)].attempts[1] }
-		if out("a").server == out("b").server || out("b").server == out("c").server || out("a").server == out("c").server {
-			t.Fatal("not one attempt at each writer")
+		attemptOf := func(id string) *trackedAttempt { return gateway.scheduler.requests[RequestID(id)].attempts[1] }
+		if attemptOf("a").server == attemptOf("b").server || attemptOf("b").server == attemptOf("c").server || attemptOf("a").server == attemptOf("c").server {
+			t.Fatal("the three attempts are not at three decode servers")
 		}
-		n.now += 600 * ms
+		gateway.now += 600 * ms
 		if !shared {
-			out("b").server.lastProgressAt, out("c").server.lastProgressAt = n.now-ms, n.now-ms
+			attemptOf("b").server.lastProgressAt, attemptOf("c").server.lastProgressAt = gateway.now-ms, gateway.now-ms
 		}
-		n.s.now, n.s.actions = n.now, nil
-		n.s.handleOverdue(n.s.requests["a"], 1)
-		n.out = n.s.actions
-		if _, left := pick[Cancel](n); left == shared || out("a").server.failureRate > 0 {
-			t.Errorf("shared %v: called off %v, trust lost %v", shared, left, out("a").server.failureRate)
+		gateway.scheduler.now, gateway.scheduler.actions = gateway.now, nil
+		gateway.scheduler.handleOverdue(gateway.scheduler.requests["a"], 1)
+		gateway.actions = gateway.scheduler.actions
+		if _, cancelled := firstAction[Cancel](gateway); cancelled == shared || attemptOf("a").server.failureRate > 0 {
+			t.Errorf("all servers slow %v: cancelled %v, failure rate %v", shared, cancelled, attemptOf("a").server.failureRate)
 		}
 	}
 }
 
-// What is overdue follows the pace as it is, not as it was at the send.
-func TestOverdueFollowsThePace(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), reader("r2"), writer("w1", 0))
-	n.ask("a", 1, 0)
+// When an attempt is overdue depends on the latency estimate at that moment, not on the one when it was sent: here
+// latency has risen to 2 s in the meantime.
+func TestOverdueAttempt_LatencyRisesAfterSend(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
+	gateway.requestChat("a", 1, 0)
 	for range 30 {
-		n.s.stageLatency[stagePrefill].Observe(n.now, 2*time.Second, 320)
+		gateway.scheduler.stageLatency[stagePrefill].Observe(gateway.now, 2*time.Second, 320)
 	}
-	n.now += 1500 * ms
-	n.s.now, n.s.actions = n.now, nil
-	n.s.handleOverdue(n.s.requests["a"], 0)
-	n.out = n.s.actions
-	lacks[Cancel](n)
-	wants[SetTimer](n)
-	if r := n.s.servers["r1"].failureRate + n.s.servers["r2"].failureRate; r > 0 {
-		t.Errorf("trust lost: %v", r)
+	gateway.now += 1500 * ms
+	gateway.scheduler.now, gateway.scheduler.actions = gateway.now, nil
+	gateway.scheduler.handleOverdue(gateway.scheduler.requests["a"], 0)
+	gateway.actions = gateway.scheduler.actions
+	expectNoAction[Cancel](gateway)
+	expectAction[SetTimer](gateway)
+	if trustLost := gateway.scheduler.servers["r1"].failureRate + gateway.scheduler.servers["r2"].failureRate; trustLost > 0 {
+		t.Errorf("failure rates add up to %v, want 0", trustLost)
 	}
 }
--- a/homes_test.go
+++ b/homes_test.go
@@ -5,92 +5,94 @@
 	"testing"
 )
 
-// Three hundred gateways see a prefix a few times each. Where engines tell their load, its two
-// homes are left when they are overrun; where they tell none nothing would show that, and the
-// sessions of one prefix are spread over more readers from the first request on. Few gateways
-// see enough by themselves.
-func TestAPrefixHasMoreHomesWhereNoLoadIsTold(t *testing.T) {
+// Each of three hundred gateways sees a prefix only a few times. Where engines report their load, the prefix has two
+// affinity targets, and gateways avoid them when they are overloaded. Without load reports nothing would show an overload,
+// so the sessions of one prefix are spread over more servers from the first request on. Few gateways see enough by
+// themselves and need no such spread.
+func TestAffinityTargets_NoLoadReports(t *testing.T) {
 	for _, tt := range []struct {
-		nodes       int
-		reports     ReportMode
-		least, most int
+		nodes                  int
+		reports                ReportMode
+		minTargets, maxTargets int
 	}{{300, ReportNone, 6, 8}, {300, ReportInline, 1, 2}, {300, ReportProbe, 1, 2}, {4, ReportNone, 1, 2}} {
-		set := nodesOf(tt.nodes)
-		set.Reports = tt.reports
-		n := newNode(t, set, fleetOf(40, 40)...)
-		readers := n.s.eligibleServers(&trackedRequest{Request: Request{ID: "q"}, class: n.s.classes["chat"]}, isPrefill)
+		settings := settingsForGateways(tt.nodes)
+		settings.Reports = tt.reports
+		gateway := newGateway(t, settings, newFleet(40, 40)...)
+		pool := gateway.scheduler.eligibleServers(&trackedRequest{Request: Request{ID: "q"}, class: gateway.scheduler.classes["chat"]}, isPrefill)
 		found := map[ServerID]bool{}
 		for session := range uint64(200) {
-			r := &trackedRequest{Request: Request{ID: "q", Prefix: 7, Session: session + 1, PrefixTokens: 64, PromptTokens: 640}, class: n.s.classes["chat"]}
-			for _, v := range n.s.affinityTargets(r, readers) {
+			req := &trackedRequest{Request: Request{ID: "q", Prefix: 7, Session: session + 1, PrefixTokens: 64, PromptTokens: 640},
+				class: gateway.scheduler.classes["chat"]}
+			for _, v := range gateway.scheduler.affinityTargets(req, pool) {
 				found[v.ID] = true
 			}
 		}
-		if len(readers) != 40 || len(found) < tt.least || len(found) > tt.most {
-			t.Errorf("%d gateways, reports %d: %d homes of %d readers, want %d to %d", tt.nodes, tt.reports, len(found), len(readers), tt.least, tt.most)
+		if len(pool) != 40 || len(found) < tt.minTargets || len(found) > tt.maxTargets {
+			t.Errorf("%d gateways, report mode %d: %d affinity targets among %d prefill servers, want %d to %d",
+				tt.nodes, tt.reports, len(found), len(pool), tt.minTargets, tt.maxTargets)
 		}
 	}
 }
 
-// A prefix that much of the traffic begins with has more homes than two, and one that little
-// does has two where engines tell their load, a fifth of the readers where they do not.
-func TestPopularPrefixHasMoreHomes(t *testing.T) {
+// A prefix that many prompts begin with has more than two affinity targets. One that few begin with has two where engines
+// report their load, and a fifth of the prefill servers where they don't.
+func TestAffinityTargets_PopularPrefix(t *testing.T) {
 	for _, tt := range []struct {
-		reports     ReportMode
-		share, most int // every second prompt, or every fortieth
+		reports           ReportMode
+		every, maxTargets int // the prefix begins every second prompt, or every fortieth
 	}{{ReportInline, 2, 30}, {ReportInline, 40, 2}, {ReportNone, 2, 30}, {ReportNone, 40, 6}} {
-		share, most := tt.share, tt.most
-		set := nodesOf(100)
-		set.Reports = tt.reports
-		n := newNode(t, set, fleetOf(30, 30)...)
+		every, maxTargets := tt.every, tt.maxTargets
+		settings := settingsForGateways(100)
+		settings.Reports = tt.reports
+		gateway := newGateway(t, settings, newFleet(30, 30)...)
 		seen := map[*trackedServer]bool{}
 		for i := 0; i < 200; i++ {
-			r := &trackedRequest{Request: Request{Session: uint64(i), Prefix: uint64(i%share + 1), PrefixTokens: 160, PromptTokens: 320}}
-			homes := n.s.affinityTargets(r, n.s.eligibleServers(r, isPrefill))
-			n.s.prefixTable.Record(n.now, homes[0].prefixRuns, r.prefixParts(), false)
-			if r.Prefix == 1 {
-				seen[homes[0]] = true
+			req := &trackedRequest{Request: Request{Session: uint64(i), Prefix: uint64(i%every + 1), PrefixTokens: 160, PromptTokens: 320}}
+			targets := gateway.scheduler.affinityTargets(req, gateway.scheduler.eligibleServers(req, isPrefill))
+			gateway.scheduler.prefixTable.Record(gateway.now, targets[0].prefixRuns, req.prefixParts(), false)
+			if req.Prefix == 1 {
+				seen[targets[0]] = true
 			}
 		}
-		if len(seen) > most || most == 30 && len(seen) < 8 {
-			t.Errorf("reports %d, every %d. prompt: %d homes", tt.reports, share, len(seen))
+		if len(seen) > maxTargets || maxTargets == 30 && len(seen) < 8 {
+			t.Errorf("report mode %d, prefix in one of %d prompts: %d affinity targets", tt.reports, every, len(seen))
 		}
 	}
 }
 
-// A reader that does not answer a probe in time has more waiting than any report tells: it is
-// left for one that does, or for others that are asked then, as long as there are any.
-func TestSlowProbe_ReaderIsLeftForOthers(t *testing.T) {
+// A prefill server that doesn't answer a probe in time has more work waiting than any report says. It is avoided in favour
+// of one that does, or of others that are probed next, as long as there are any.
+func TestPrefillChoice_ProbeUnanswered(t *testing.T) {
 	for _, tt := range []struct {
-		name    string
-		readers int
-		answers func(asked int) bool // whether the nth reader that is asked answers in time
-		slow    bool                 // whether one that did not may be chosen
+		name          string
+		servers       int
+		answersInTime func(probed int) bool // whether the nth server probed answers in time
+		sentToSilent  bool                  // whether the request goes to one that didn't
 	}{
-		{"both homes answer", 10, func(int) bool { return true }, false},
-		{"one home answers", 10, func(asked int) bool { return asked != 0 }, false},
-		{"no home answers, others do", 10, func(asked int) bool { return asked > 1 }, false},
+		{"both targets answer", 10, func(int) bool { return true }, false},
+		{"one target answers", 10, func(probed int) bool { return probed != 0 }, false},
+		{"no target answers, others do", 10, func(probed int) bool { return probed > 1 }, false},
 		{"none answers", 10, func(int) bool { return false }, false},
 		{"none answers and there are no others", 2, func(int) bool { return false }, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			set := nodesOf(300)
-			set.Reports, set.Limits.Probes = ReportInline, true
-			n := newNode(t, set, fleetOf(tt.readers, 4)...)
+			settings := settingsForGateways(300)
+			settings.Reports, settings.Limits.Probes = ReportInline, true
+			gateway := newGateway(t, settings, newFleet(tt.servers, 4)...)
 			silent := map[ServerID]bool{}
-			asked := 0
-			n.ask("q", 1, 7)
+			probed := 0
+			gateway.requestChat("q", 1, 7)
 			for range 3 {
-				if _, sent := pick[Send](n); sent {
+				if _, sent := firstAction[Send](gateway); sent {
 					break
 				}
 				var timer SetTimer
 				var answered []ServerID
-				for _, action := range n.out {
+				for _, action := range gateway.actions {
 					switch a := action.(type) {
 					case Probe:
-						silent[a.Server] = !tt.answers(asked)
-						if asked++; !silent[a.Server] {
+						silent[a.Server] = !tt.answersInTime(probed)
+						if probed++; !silent[a.Server] {
 							answered = append(answered, a.Server)
 						}
 					case SetTimer:
@@ -98,129 +100,132 @@
 					}
 				}
 				for _, id := range answered {
-					n.do(ProbeResult{Server: id, Status: StatusServed, Report: Report{ReportInFlight: 0, ReportQueue: 0}})
+					gateway.handle(ProbeResult{Server: id, Status: StatusServed, Report: Report{ReportInFlight: 0, ReportQueue: 0}})
 				}
-				n.now = timer.At
-				n.do(TimerFired{timer.Token})
+				gateway.now = timer.At
+				gateway.handle(TimerFired{timer.Token})
 			}
-			attempt, sent := pick[Send](n)
-			if !sent || silent[attempt.Server] != tt.slow || asked == 0 {
-				t.Errorf("sent to %q (%v), asked %d, silent %v", attempt.Server, sent, asked, silent)
+			attempt, sent := firstAction[Send](gateway)
+			if !sent || silent[attempt.Server] != tt.sentToSilent || probed == 0 {
+				t.Errorf("sent to %q (%v) after %d probes, of which these were unanswered: %v", attempt.Server, sent, probed, silent)
 			}
 		})
 	}
 }
 
-// Where tokens are told, they are the load: few long prompts are more work than many short ones.
-func TestLoad_TokensCountBeforeRequests(t *testing.T) {
-	n := newNode(t, nodesOf(300), fleetOf(2, 2)...)
-	n.s.meanPromptTokens = 1000
+// Where servers report waiting tokens, these are their load rather than the number of requests, as a few long prompts are
+// more work than many short ones.
+func TestReportedLoad_TokensOrRequests(t *testing.T) {
+	gateway := newGateway(t, settingsForGateways(300), newFleet(2, 2)...)
+	gateway.scheduler.meanPromptTokens = 1000
 	short := Report{ReportInFlight: 9, ReportQueue: 8, ReportWaiting: 2}
 	long := Report{ReportInFlight: 2, ReportQueue: 1, ReportWaiting: 60}
 	for report, want := range map[*Report]float64{&short: 2, &long: 60, {ReportInFlight: 9, ReportQueue: 8}: 9, {}: 0} {
-		if got := n.s.reportedLoad(&trackedServer{report: *report}); got != want {
-			t.Errorf("%v: load of %v requests, want %v", *report, got, want)
+		if got := gateway.scheduler.reportedLoad(&trackedServer{report: *report}); got != want {
+			t.Errorf("report %v: load of %v requests, want %v", *report, got, want)
 		}
 	}
-	few := newNode(t, nodesOf(4), fleetOf(2, 2)...)
-	few.s.meanPromptTokens = 1000
-	if got := few.s.reportedLoad(&trackedServer{report: long}); got != 2 {
-		t.Errorf("of four gateways, which count requests themselves: %v, want 2", got)
+	fewGateways := newGateway(t, settingsForGateways(4), newFleet(2, 2)...)
+	fewGateways.scheduler.meanPromptTokens = 1000
+	if got := fewGateways.scheduler.reportedLoad(&trackedServer{report: long}); got != 2 {
+		t.Errorf("with four gateways, which count requests themselves: load %v, want 2", got)
 	}
-	n.s.meanPromptTokens = 0
-	if got := n.s.reportedLoad(&trackedServer{report: long}); got != 2 {
-		t.Errorf("before any prompt is known: %v, want 2", got)
+	gateway.scheduler.meanPromptTokens = 0
+	if got := gateway.scheduler.reportedLoad(&trackedServer{report: long}); got != 2 {
+		t.Errorf("before the mean prompt length is known: load %v, want 2", got)
 	}
 }
 
-// A reader in slow start is taken where it will have read the prompt before the home has, by
-// what both have told just now; a warm one that is idle is not, as one that fails at once is idle.
-func TestReaderInSlowStart_TakenWhereItIsSooner(t *testing.T) {
+// A prefill server in slow start is preferred to the affinity target if, by recent load reports of both, it will finish
+// the prompt earlier. A warm server that is idle is not, as a server that fails at once looks idle too.
+func TestPrefillChoice_ServerInSlowStart(t *testing.T) {
 	for _, tt := range []struct {
-		name              string
-		home, cold        float64 // thousands of tokens that wait there
-		heard, inSlow, ok bool
+		name                         string
+		targetWaiting, otherWaiting  float64 // thousands of tokens waiting at the affinity target and at the other server
+		reported, inSlowStart, taken bool
 	}{
-		{"home idle", 0, 0, true, true, false},
-		{"home has a few prompts", 0.5, 0, true, true, false},
-		{"home is busy", 3, 0, true, true, true},
+		{"target idle", 0, 0, true, true, false},
+		{"target has a few prompts", 0.5, 0, true, true, false},
+		{"target is busy", 3, 0, true, true, true},
 		{"both are busy", 3, 3, true, true, false},
-		{"home is busy, the other not heard from", 3, 0, false, true, false},
-		{"home is busy, the idle one is warm", 3, 0, true, false, false},
+		{"target is busy, the other has not reported recently", 3, 0, false, true, false},
+		{"target is busy, the idle one is warm", 3, 0, true, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			set := nodesOf(300)
-			set.Reports = ReportInline
-			n := newNode(t, set, fleetOf(12, 2)...)
-			n.s.meanPromptTokens, n.s.now = 400, n.now
-			r := &trackedRequest{Request: Request{ID: "q", Session: 3, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}, class: n.s.classes["chat"]}
-			readers := n.s.eligibleServers(r, isPrefill)
-			homes := n.s.affinityTargets(r, readers)
-			for _, v := range readers { // all others have as much to do as the home
-				v.report, v.reportAt = Report{ReportWaiting: tt.home}, n.now
+			settings := settingsForGateways(300)
+			settings.Reports = ReportInline
+			gateway := newGateway(t, settings, newFleet(12, 2)...)
+			gateway.scheduler.meanPromptTokens, gateway.scheduler.now = 400, gateway.now
+			req := &trackedRequest{Request: Request{ID: "q", Session: 3, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}, class: gateway.scheduler.classes["chat"]}
+			pool := gateway.scheduler.eligibleServers(req, isPrefill)
+			targets := gateway.scheduler.affinityTargets(req, pool)
+			for _, v := range pool { // all others have as much waiting as the target
+				v.report, v.reportAt = Report{ReportWaiting: tt.targetWaiting}, gateway.now
 			}
 			var other *trackedServer
-			for _, v := range readers {
-				if v != homes[0] && v != homes[1] {
+			for _, v := range pool {
+				if v != targets[0] && v != targets[1] {
 					other = v
 				}
 			}
-			if tt.inSlow {
-				other.Started = n.now
+			if tt.inSlowStart {
+				other.Started = gateway.now
 			}
-			other.report, other.reportAt = Report{ReportWaiting: tt.cold}, n.now
-			if !tt.heard {
+			other.report, other.reportAt = Report{ReportWaiting: tt.otherWaiting}, gateway.now
+			if !tt.reported {
 				other.reportAt -= loadProbeInterval
 			}
-			if got := n.s.pickByPrefix(r, readers); (got == other) != tt.ok {
-				t.Errorf("sent to %s, a home is %s, the other %s", got.ID, homes[0].ID, other.ID)
+			if got := gateway.scheduler.pickByPrefix(req, pool); (got == other) != tt.taken {
+				t.Errorf("sent to %s; affinity target %s, other server %s", got.ID, targets[0].ID, other.ID)
 			}
 		})
 	}
 }
 
-// Gateways give a prefix one home in their own zone and one elsewhere, the first alike at all
-// of a zone; the own one is taken where both are alike, the other where the own one is busy.
-func TestHomes_OneInTheOwnZone(t *testing.T) {
+// A prefix has one affinity target in the gateway's own zone, the same for all gateways of the zone, and one in another
+// zone. The own one is chosen where both have the same load, the other where the own one is busier.
+func TestAffinityTargets_TwoZones(t *testing.T) {
 	for _, nodes := range []int{2, 4, manyNodes, 300} {
-		t.Run(fmt.Sprint(nodes, " gateways"), func(t *testing.T) { homesByZone(t, nodes) })
+		t.Run(fmt.Sprint(nodes, " gateways"), func(t *testing.T) { checkAffinityTargetsByZone(t, nodes) })
 	}
 }
 
-func homesByZone(t *testing.T, nodes int) {
-	fleet := fleetOf(20, 4)
+// checkAffinityTargetsByZone checks TestAffinityTargets_TwoZones for a number of gateways.
+func checkAffinityTargetsByZone(t *testing.T, nodes int) {
+	fleet := newFleet(20, 4)
 	for i := range fleet {
 		if i%2 == 1 {
 			fleet[i].Zone = "b"
 		}
 	}
-	first := map[string]map[uint64]ServerID{"a": {}, "b": {}}
+	firstTarget := map[string]map[uint64]ServerID{"a": {}, "b": {}}
 	for seed := range 5 {
 		for _, zone := range []string{"a", "b"} {
-			set := nodesOf(nodes)
-			set.Zone, set.Reports = zone, ReportInline
-			n := newNode(t, set, fleet...)
-			n.s.rng.Seed(int64(seed))
+			settings := settingsForGateways(nodes)
+			settings.Zone, settings.Reports = zone, ReportInline
+			gateway := newGateway(t, settings, fleet...)
+			gateway.scheduler.rng.Seed(int64(seed))
 			for key := range uint64(50) {
-				r := &trackedRequest{Request: Request{ID: "q", Session: key%3 + 1, Prefix: key/3 + 1, PrefixTokens: 160, PromptTokens: 320}, class: n.s.classes["chat"]}
-				readers := n.s.eligibleServers(r, isPrefill)
-				homes := n.s.affinityTargets(r, readers)
-				if len(homes) != 2 || homes[0].Zone != zone || homes[1].Zone == zone {
-					t.Fatalf("homes %v in zone %s", homes, zone)
+				req := &trackedRequest{Request: Request{ID: "q", Session: key%3 + 1, Prefix: key/3 + 1, PrefixTokens: 160, PromptTokens: 320},
+					class: gateway.scheduler.classes["chat"]}
+				pool := gateway.scheduler.eligibleServers(req, isPrefill)
+				targets := gateway.scheduler.affinityTargets(req, pool)
+				if len(targets) != 2 || targets[0].Zone != zone || targets[1].Zone == zone {
+					t.Fatalf("affinity targets %v in zone %s, want one in this zone and then one elsewhere", targets, zone)
 				}
-				if was, ok := first[zone][key]; ok && was != homes[0].ID {
-					t.Errorf("key %d: a home of zone %s is %s and %s", key, zone, was, homes[0].ID)
+				if previous, ok := firstTarget[zone][key]; ok && previous != targets[0].ID {
+					t.Errorf("key %d: gateways of zone %s have the targets %s and %s", key, zone, previous, targets[0].ID)
 				}
-				first[zone][key] = homes[0].ID
-				for _, v := range readers {
-					v.report, v.reportAt = Report{ReportInFlight: 3}, n.s.now
+				firstTarget[zone][key] = targets[0].ID
+				for _, v := range pool {
+					v.report, v.reportAt = Report{ReportInFlight: 3}, gateway.scheduler.now
 				}
-				if got := n.s.pickByPrefix(r, readers); got != homes[0] {
-					t.Errorf("key %d: sent to %s, want the home %s of the own zone", key, got.ID, homes[0].ID)
+				if got := gateway.scheduler.pickByPrefix(req, pool); got != targets[0] {
+					t.Errorf("key %d: sent to %s, want the target %s in the own zone", key, got.ID, targets[0].ID)
 				}
-				homes[0].report = Report{ReportInFlight: 5}
-				if got := n.s.pickByPrefix(r, readers); got != homes[1] {
-					t.Errorf("key %d: sent to %s, want the other home %s", key, got.ID, homes[1].ID)
+				targets[0].report = Report{ReportInFlight: 5}
+				if got := gateway.scheduler.pickByPrefix(req, pool); got != targets[1] {
+					t.Errorf("key %d: sent to %s, want the target %s in the other zone", key, got.ID, targets[1].ID)
 				}
 			}
 		}
--- a/outcomes_test.go
+++ b/outcomes_test.go
@@ -5,89 +5,91 @@
 	"time"
 )
 
-// The path of a request after each outcome of its writing attempt.
-func TestWriterOutcomes(t *testing.T) {
+// Each failed attempt at a decode server is followed by an attempt at another one, or by a new prefill where the KV
+// state is gone.
+func TestRetry_AfterDecodeOutcome(t *testing.T) {
 	tests := []struct {
 		status Status
 		note   float64
-		to     string // "" = final answer
+		next   string // server of the next attempt; "" = final answer
 	}{
 		{StatusRejected, 0, "w2"},
-		{StatusRejected, 1, "r1"}, // no state: read again
+		{StatusRejected, 1, "r1"}, // the KV state is gone: prefill again
 		{StatusServerError, 0, "w2"}, {StatusTimedOut, 0, "w2"}, {StatusConnectFailed, 0, "w2"}, {StatusConnectionLost, 0, "w2"},
 		{StatusCancelled, 0, "w2"},
 	}
 	for _, tt := range tests {
-		n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 1))
-		n.ask("a", 1, 0)
-		n.end("a", 0, "r1", StatusPrefilled)
-		n.sentTo("w1")
-		n.do(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: tt.status, Detail: tt.note})
-		n.sentTo(tt.to)
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 1))
+		gateway.requestChat("a", 1, 0)
+		gateway.endAttempt("a", 0, "r1", StatusPrefilled)
+		gateway.expectSentTo("w1")
+		gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: tt.status, Detail: tt.note})
+		gateway.expectSentTo(tt.next)
 	}
 }
 
-func TestReaderOutcomes(t *testing.T) {
-	for _, st := range []Status{StatusRejected, StatusServerError, StatusTimedOut, StatusConnectFailed, StatusConnectionLost} {
-		n := newNode(t, settings(), reader("r1"), reader("r2"), writer("w1", 0))
-		n.ask("a", 1, 0)
-		a, _ := pick[Send](n)
-		n.end("a", 0, string(a.Server), st)
-		if b, _ := pick[Send](n); b.Server == a.Server || b.Server == "" {
-			t.Errorf("status %v: %s, then %q", st, a.Server, b.Server)
+func TestRetry_AfterPrefillOutcome(t *testing.T) {
+	for _, status := range []Status{StatusRejected, StatusServerError, StatusTimedOut, StatusConnectFailed, StatusConnectionLost} {
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
+		gateway.requestChat("a", 1, 0)
+		first, _ := firstAction[Send](gateway)
+		gateway.endAttempt("a", 0, string(first.Server), status)
+		if second, _ := firstAction[Send](gateway); second.Server == first.Server || second.Server == "" {
+			t.Errorf("status %v: first attempt at %s, second at %q, want another server", status, first.Server, second.Server)
 		}
 	}
 }
 
-func TestServedRequestIsForgotten(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-	n.ask("a", 1, 0)
-	n.end("a", 0, "r1", StatusPrefilled)
-	n.do(AnswerStarted{ID: "a", Attempt: 1, Server: "w1", Latency: 10 * ms})
-	n.do(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: StatusServed, RequestDone: true})
-	lacks[Refuse](n)
-	if len(n.s.requests) != 0 || n.s.servers["w1"].decodeTokens != 0 || n.s.servers["w1"].queuedTokens != 0 {
-		t.Errorf("left: %v, %+v", n.s.requests, n.s.servers["w1"])
+func TestRequest_StateDroppedWhenServed(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	gateway.requestChat("a", 1, 0)
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
+	gateway.handle(AnswerStarted{ID: "a", Attempt: 1, Server: "w1", Latency: 10 * ms})
+	gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: StatusServed, RequestDone: true})
+	expectNoAction[Refuse](gateway)
+	if len(gateway.scheduler.requests) != 0 || gateway.scheduler.servers["w1"].decodeTokens != 0 || gateway.scheduler.servers["w1"].queuedTokens != 0 {
+		t.Errorf("still kept after the answer: requests %v, server %+v", gateway.scheduler.requests, gateway.scheduler.servers["w1"])
 	}
 }
 
-func TestOneStageFleets(t *testing.T) {
-	set := settings()
-	n := newNode(t, set, Server{ID: "m1", Zone: "a", Kind: "mixed", State: StateActive})
-	n.ask("a", 1, 0)
-	n.sentTo("m1")
-	n = newNode(t, set, writer("w1", 0))
-	n.ask("a", 1, 0)
-	n.sentTo("") // a writer that may not read
-	set.DecodeCanPrefill = true
-	n = newNode(t, set, writer("w1", 0))
-	n.ask("a", 1, 0)
-	n.sentTo("w1")
+func TestRequest_OneStageFleet(t *testing.T) {
+	settings := testSettings()
+	gateway := newGateway(t, settings, Server{ID: "m1", Zone: "a", Kind: "mixed", State: StateActive})
+	gateway.requestChat("a", 1, 0)
+	gateway.expectSentTo("m1")
+	gateway = newGateway(t, settings, decodeServer("w1", 0))
+	gateway.requestChat("a", 1, 0)
+	gateway.expectSentTo("") // decode servers may not prefill
+	settings.DecodeCanPrefill = true
+	gateway = newGateway(t, settings, decodeServer("w1", 0))
+	gateway.requestChat("a", 1, 0)
+	gateway.expectSentTo("w1")
 }
 
-func TestTimeLeftGovernsNotTheClass(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-	n.do(Request{ID: "a", Class: "chat", Session: 1, PromptTokens: 100, TimeLeft: 300 * ms})
-	if a, _ := pick[Send](n); a.Timeout != 300*ms {
-		t.Errorf("time-out %v, want the 300ms left", a.Timeout)
+func TestDeadline_TimeLeftBelowClassDeadline(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	gateway.handle(Request{ID: "a", Class: "chat", Session: 1, PromptTokens: 100, TimeLeft: 300 * ms})
+	if a, _ := firstAction[Send](gateway); a.Timeout != 300*ms {
+		t.Errorf("timeout %v, want the 300ms that are left", a.Timeout)
 	}
-	n.now += 300 * ms
-	n.end("a", 0, "r1", StatusTimedOut)
-	wants[Refuse](n)
-	n.now += ms
-	n.end("a", 0, "r1", StatusPrefilled)
-	lacks[Send](n)
+	gateway.now += 300 * ms
+	gateway.endAttempt("a", 0, "r1", StatusTimedOut)
+	expectAction[Refuse](gateway)
+	gateway.now += ms
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
+	expectNoAction[Send](gateway)
 }
 
-// A client that leaves in mid-answer must not teach the pace of first tokens.
-func TestLeavingABegunAnswerTeachesNoPace(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-	n.ask("a", 1, 0)
-	n.end("a", 0, "r1", StatusPrefilled)
-	n.do(AnswerStarted{ID: "a", Attempt: 1, Server: "w1", Latency: 10 * ms})
-	before := n.s.stageLatency[stageDecode]
-	n.do(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: StatusCancelled, RequestDone: true, Latency: time.Minute})
-	if n.s.stageLatency[stageDecode] != before || len(n.s.requests) != 0 {
-		t.Errorf("pace %+v, was %+v; left %v", n.s.stageLatency[stageDecode], before, n.s.requests)
+// A client that leaves during the answer says nothing of the time to first token: the whole time of its attempt, here a
+// minute, must not enter the latency estimate.
+func TestLatencyEstimate_ClientLeavesDuringAnswer(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	gateway.requestChat("a", 1, 0)
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
+	gateway.handle(AnswerStarted{ID: "a", Attempt: 1, Server: "w1", Latency: 10 * ms})
+	before := gateway.scheduler.stageLatency[stageDecode]
+	gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: StatusCancelled, RequestDone: true, Latency: time.Minute})
+	if gateway.scheduler.stageLatency[stageDecode] != before || len(gateway.scheduler.requests) != 0 {
+		t.Errorf("latency estimate %+v, was %+v; requests still kept: %v", gateway.scheduler.stageLatency[stageDecode], before, gateway.scheduler.requests)
 	}
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -6,232 +6,236 @@
 	"time"
 )
 
-// Rule 1: with nobody to send to, one refusal comes in time.
-func TestRule1AnswerInTime(t *testing.T) {
-	for _, list := range [][]Server{nil, {reader("r1")}, {writer("w1", 0)}} {
-		n := newNode(t, settings(), list...)
-		n.ask("a", 1, 0)
-		answers := run(n, 5*time.Second)
+// Rule 1: each request gets exactly one final answer, within its deadline. Here there is no server, or none of one stage.
+func TestFinalAnswer_NoServer(t *testing.T) {
+	for _, servers := range [][]Server{nil, {prefillServer("r1")}, {decodeServer("w1", 0)}} {
+		gateway := newGateway(t, testSettings(), servers...)
+		gateway.requestChat("a", 1, 0)
+		answers := runUntilIdle(gateway, 5*time.Second)
 		if answers != 1 {
-			t.Errorf("list %v: %d final answers in time, want 1", list, answers)
+			t.Errorf("servers %v: %d final answers within the deadline, want 1", servers, answers)
 		}
 	}
 }
 
-// run lets timers fire and reads end for a while and counts final answers.
-func run(n *node, d time.Duration) (answers int) {
+// runUntilIdle runs timers and ends prefills until none is left within a duration, and counts final answers.
+func runUntilIdle(gateway *testGateway, d time.Duration) (answers int) {
 	var timers []SetTimer
-	for end := n.now + d; ; {
-		for _, a := range n.out {
+	for end := gateway.now + d; ; {
+		for _, a := range gateway.actions {
 			switch a := a.(type) {
 			case SetTimer:
 				timers = append(timers, a)
 			case Refuse, Fail:
 				answers++
 			case Send:
-				timers = append(timers, SetTimer{At: n.now + ms})
+				timers = append(timers, SetTimer{At: gateway.now + ms})
 			}
 		}
-		next := -1
-		for i, x := range timers {
-			if x.At <= end && (next < 0 || x.At < timers[next].At) {
-				next = i
+		nextIndex := -1
+		for i, timer := range timers {
+			if timer.At <= end && (nextIndex < 0 || timer.At < timers[nextIndex].At) {
+				nextIndex = i
 			}
 		}
-		if next < 0 {
+		if nextIndex < 0 {
 			return answers
 		}
-		x := timers[next]
-		timers = append(timers[:next], timers[next+1:]...)
-		n.now = max(n.now, x.At)
-		if x.Token == 0 {
-			n.end("a", 0, "r1", StatusPrefilled)
+		timer := timers[nextIndex]
+		timers = append(timers[:nextIndex], timers[nextIndex+1:]...)
+		gateway.now = max(gateway.now, timer.At)
+		if timer.Token == 0 {
+			gateway.endAttempt("a", 0, "r1", StatusPrefilled)
 		} else {
-			n.do(TimerFired{x.Token})
+			gateway.handle(TimerFired{timer.Token})
 		}
 	}
 }
 
-func TestRule2Effects(t *testing.T) {
+// Rule 2: a request is repeated only as far as the effect of its class allows.
+func TestRetry_ClassEffects(t *testing.T) {
 	tests := []struct {
 		class  string
 		status Status
-		want   string // where the next attempt goes; refuse or fail otherwise
+		want   string // server of the next attempt, or "fail"
 	}{
 		{"chat", StatusServerError, "w2"},
 		{"pay", StatusServerError, "fail"}, {"pay", StatusTimedOut, "fail"}, {"pay", StatusCancelled, "fail"},
 		{"pay", StatusConnectFailed, "w2"}, {"pay", StatusRejected, "w2"},
-		{"order", StatusServerError, "fail"}, // w2 is not of the group
+		{"order", StatusServerError, "fail"}, // w2 is not in the group
 		{"order", StatusConnectFailed, "w2"},
 	}
 	for _, tt := range tests {
-		n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 1))
-		n.do(Request{ID: "a", Class: tt.class, Session: 1, PromptTokens: 100, TimeLeft: 700 * ms})
-		n.end("a", 0, "r1", StatusPrefilled)
-		n.sentTo("w1")
-		n.end("a", 1, "w1", tt.status)
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 1))
+		gateway.handle(Request{ID: "a", Class: tt.class, Session: 1, PromptTokens: 100, TimeLeft: 700 * ms})
+		gateway.endAttempt("a", 0, "r1", StatusPrefilled)
+		gateway.expectSentTo("w1")
+		gateway.endAttempt("a", 1, "w1", tt.status)
 		if tt.want == "w2" {
-			n.sentTo("w2")
+			gateway.expectSentTo("w2")
 			continue
 		}
-		lacks[Send](n)
-		for i := 0; i < 40 && len(n.s.requests) > 0; i++ { // it may look for a server of the group for a while
-			n.now += 50 * ms
-			if x, ok := pick[SetTimer](n); ok {
-				n.do(TimerFired{x.Token})
+		expectNoAction[Send](gateway)
+		for i := 0; i < 40 && len(gateway.scheduler.requests) > 0; i++ { // it may wait for a server of the group for a while
+			gateway.now += 50 * ms
+			if timer, ok := firstAction[SetTimer](gateway); ok {
+				gateway.handle(TimerFired{timer.Token})
 			}
 		}
-		wants[Fail](n)
-		lacks[Refuse](n)
+		expectAction[Fail](gateway)
+		expectNoAction[Refuse](gateway)
 	}
 }
 
-func TestTokenRepeatsStayInGroupAndWindow(t *testing.T) {
-	r := &trackedRequest{class: &Class{Effect: TokenEffect, Group: ScopeZone, Window: time.Second}}
-	r.firstRun = &trackedAttempt{server: &trackedServer{Server: Server{Zone: "a", Cell: 1}}}
+// Repeats of a token request stay within its group, which drops them, and its window.
+func TestRetry_TokenGroupAndWindow(t *testing.T) {
+	req := &trackedRequest{class: &Class{Effect: TokenEffect, Group: ScopeZone, Window: time.Second}}
+	req.firstRun = &trackedAttempt{server: &trackedServer{Server: Server{Zone: "a", Cell: 1}}}
 	same, other := &trackedServer{Server: Server{Zone: "a", Cell: 2}}, &trackedServer{Server: Server{Zone: "b", Cell: 1}}
-	if !r.mayRunOn(same, 999*ms) || r.mayRunOn(same, time.Second) || r.mayRunOn(other, 0) {
-		t.Error("zone group or window not kept")
+	if !req.mayRunOn(same, 999*ms) || req.mayRunOn(same, time.Second) || req.mayRunOn(other, 0) {
+		t.Error("zone group: a repeat may run outside the zone or the window, or not within them")
 	}
-	r.class.Group = ScopeCell
-	if r.mayRunOn(same, 0) || !r.mayRunOn(other, 0) {
-		t.Error("cell group not kept")
+	req.class.Group = ScopeCell
+	if req.mayRunOn(same, 0) || !req.mayRunOn(other, 0) {
+		t.Error("cell group: a repeat may run outside the cell, or not within it")
 	}
 }
 
-func TestAttemptCap(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), reader("r2"), reader("r3"), reader("r4"), reader("r5"), writer("w1", 0))
-	n.ask("a", 1, 0)
+func TestRetry_AttemptLimit(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), prefillServer("r3"),
+		prefillServer("r4"), prefillServer("r5"), decodeServer("w1", 0))
+	gateway.requestChat("a", 1, 0)
 	for i := 0; i < 4; i++ {
-		a, ok := pick[Send](n)
+		a, ok := firstAction[Send](gateway)
 		if !ok {
-			t.Fatalf("attempt %d missing", i)
+			t.Fatalf("no attempt %d", i)
 		}
-		n.end("a", i, string(a.Server), StatusServerError)
+		gateway.endAttempt("a", i, string(a.Server), StatusServerError)
 	}
-	wants[Refuse](n)
-	lacks[Send](n)
+	expectAction[Refuse](gateway)
+	expectNoAction[Send](gateway)
 }
 
-func TestRule3NothingToADrainingServer(t *testing.T) {
+// Rule 3: a server that drains, is gone or is missing in a snapshot gets no new work.
+func TestDrain_NoNewWork(t *testing.T) {
 	for _, state := range []ServerState{StateDraining, StateRemoved} {
-		n := newNode(t, settings(), reader("r1"), reader("r2"), writer("w1", 0))
-		v := reader("r1")
-		v.State = state
-		n.do(MembershipUpdate{Form: MembershipDelta, Entries: []Server{v}})
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
+		draining := prefillServer("r1")
+		draining.State = state
+		gateway.handle(MembershipUpdate{Form: MembershipDelta, Entries: []Server{draining}})
 		for i := uint64(0); i < 20; i++ {
-			n.ask(fmt.Sprint(i), i, i)
-			n.sentTo("r2")
-			a := n.s.servers["r2"]
-			a.pendingPrefills = 0
+			gateway.requestChat(fmt.Sprint(i), i, i)
+			gateway.expectSentTo("r2")
+			server := gateway.scheduler.servers["r2"]
+			server.pendingPrefills = 0
 		}
 	}
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-	n.do(MembershipUpdate{Form: MembershipSnapshot, Entries: []Server{writer("w1", 0)}}) // absent = gone
-	n.ask("a", 1, 0)
-	n.sentTo("")
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	gateway.handle(MembershipUpdate{Form: MembershipSnapshot, Entries: []Server{decodeServer("w1", 0)}}) // a snapshot without r1: it is gone
+	gateway.requestChat("a", 1, 0)
+	gateway.expectSentTo("")
 }
 
-// A draining holder of a place gets nothing, though its place was held.
-func TestRule3HolderDrains(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 0))
-	n.ask("a", 1, 0)
-	p, _ := pick[Reserve](n)
-	n.do(ReservationResult{ID: "a", Server: p.Server, Held: true})
-	v := writer(string(p.Server), 0)
-	v.State = StateDraining
-	n.do(MembershipUpdate{Form: MembershipDelta, Entries: []Server{v}})
-	n.end("a", 0, "r1", StatusPrefilled)
-	if a, _ := pick[Send](n); a.Server == p.Server || a.Server == "" {
-		t.Errorf("sent to %q", a.Server)
+// Rule 3: a decode server that drains gets no attempt, although it has granted a reservation.
+func TestDrain_ReservationHolder(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0))
+	gateway.requestChat("a", 1, 0)
+	reservation, _ := firstAction[Reserve](gateway)
+	gateway.handle(ReservationResult{ID: "a", Server: reservation.Server, Held: true})
+	draining := decodeServer(string(reservation.Server), 0)
+	draining.State = StateDraining
+	gateway.handle(MembershipUpdate{Form: MembershipDelta, Entries: []Server{draining}})
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
+	if a, _ := firstAction[Send](gateway); a.Server == reservation.Server || a.Server == "" {
+		t.Errorf("sent to %q, want the decode server that does not drain", a.Server)
 	}
 }
 
-// Rule 4, and what broke it first: rejected sends swelled the learned rate,
-// and with it the budget, until cold servers were pushed over.
-func TestRule4ColdBudget(t *testing.T) {
-	cold := reader("r1")
-	cold.Started = time.Hour
-	set := settings()
-	set.Limits.MaxAttempts = 0
-	n := newNode(t, set, cold, writer("w1", 0))
+// Rule 4: servers in slow start get at most the slow-start budget. When sends that a server turned away counted towards
+// the rate that servers are seen to handle, the budget grew with them until cold servers were overloaded.
+func TestSlowStartBudget_RefusedSends(t *testing.T) {
+	starting := prefillServer("r1")
+	starting.Started = time.Hour
+	settings := testSettings()
+	settings.Limits.MaxAttempts = 0
+	gateway := newGateway(t, settings, starting, decodeServer("w1", 0))
 	sends := 0
 	for i := uint64(0); i < 50; i++ {
-		n.ask(fmt.Sprint(i), i, 0)
-		if a, ok := pick[Send](n); ok {
+		gateway.requestChat(fmt.Sprint(i), i, 0)
+		if a, ok := firstAction[Send](gateway); ok {
 			sends++
-			n.end(fmt.Sprint(i), 0, string(a.Server), StatusRejected)
-			n.s.servers["r1"].pausedUntil = 0
+			gateway.endAttempt(fmt.Sprint(i), 0, string(a.Server), StatusRejected)
+			gateway.scheduler.servers["r1"].pausedUntil = 0
 		}
-		n.now += 10 * ms
+		gateway.now += 10 * ms
 	}
 	if sends != 1 {
-		t.Errorf("%d sends to a cold server in half a window without any known capacity, want 1", sends)
+		t.Errorf("%d sends to a server in slow start in half a window while no capacity is known, want 1", sends)
 	}
-	n.now += set.Rules.SlowStartDuration
-	n.ask("late", 1, 0)
-	n.sentTo("r1")
+	gateway.now += settings.Rules.SlowStartDuration
+	gateway.requestChat("late", 1, 0)
+	gateway.expectSentTo("r1")
 }
 
-// In a rolling deploy few warm servers are left; what all did before must not
-// be taken for what each of these few can do.
-func TestRule4BudgetInARollingDeploy(t *testing.T) {
+// Rule 4: in a rolling deploy few warm servers are left. What all servers finished before must not count as what each of
+// these few can do.
+func TestSlowStartBudget_RollingDeploy(t *testing.T) {
 	budget := func(warm int) (sends int) {
-		var list []Server
+		var servers []Server
 		for i := 0; i < 5; i++ {
-			v := reader(fmt.Sprint("r", i))
+			peer := prefillServer(fmt.Sprint("r", i))
 			if i >= warm {
-				v.Started = time.Hour
+				peer.Started = time.Hour
 			}
-			list = append(list, v)
+			servers = append(servers, peer)
 		}
-		n := newNode(t, settings(), list...)
-		v, r := n.s.servers["r4"], &trackedRequest{class: n.s.classes["chat"]}
-		n.s.now, n.s.classTokens[r.class] = n.now, 1
-		for _, o := range n.s.sortedServers {
-			o.warmThroughput.Add(n.now, time.Second, 200)
+		gateway := newGateway(t, testSettings(), servers...)
+		restarted, req := gateway.scheduler.servers["r4"], &trackedRequest{class: gateway.scheduler.classes["chat"]}
+		gateway.scheduler.now, gateway.scheduler.classTokens[req.class] = gateway.now, 1
+		for _, peer := range gateway.scheduler.sortedServers {
+			peer.warmThroughput.Add(gateway.now, time.Second, 200)
 		}
-		for ; sends < 1000 && n.s.slowStartAllows(v, r); sends++ {
-			v.slowStartSends.Add(n.now, 1)
+		for ; sends < 1000 && gateway.scheduler.slowStartAllows(restarted, req); sends++ {
+			restarted.slowStartSends.Add(gateway.now, 1)
 		}
 		return sends
 	}
 	if few, many := budget(1), budget(4); few != many || few < 2 {
-		t.Errorf("budget of %d sends with one warm peer, %d with four", few, many)
+		t.Errorf("slow-start budget of %d sends with one warm peer, %d with four; want the same, and at least 2", few, many)
 	}
 }
 
-// Rule 5: each way to an end lets go of what is held.
-func TestRule5Released(t *testing.T) {
-	begin := func() *node {
-		n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-		n.ask("a", 1, 0)
-		return n
+// Rule 5: what servers hold for a request is released, in whichever way the request ends.
+func TestRelease_RequestEnds(t *testing.T) {
+	begin := func() *testGateway {
+		gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+		gateway.requestChat("a", 1, 0)
+		return gateway
 	}
-	n := begin() // the client leaves during the read, whose state comes in later
-	n.do(ClientDisconnected{"a"})
-	wants[Release](n)
-	n.end("a", 0, "r1", StatusPrefilled)
-	wants[Release](n)
-	n = begin() // all writers are gone when the read ends
-	n.do(MembershipUpdate{Form: MembershipSnapshot, Entries: []Server{reader("r1")}})
-	n.end("a", 0, "r1", StatusPrefilled)
-	if run(n, 900*ms) != 1 {
+	gateway := begin() // the client leaves during prefill, which leaves KV state later
+	gateway.handle(ClientDisconnected{"a"})
+	expectAction[Release](gateway)
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
+	expectAction[Release](gateway)
+	gateway = begin() // all decode servers are gone when the prefill ends
+	gateway.handle(MembershipUpdate{Form: MembershipSnapshot, Entries: []Server{prefillServer("r1")}})
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
+	if runUntilIdle(gateway, 900*ms) != 1 {
 		t.Error("no final answer within the release time")
 	}
-	wants[Release](n)
-	n = begin() // the writer fails for good
-	n.end("a", 0, "r1", StatusPrefilled)
-	n.do(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: StatusTimedOut, RequestDone: true})
-	wants[Release](n)
-	n = begin() // the reader turns the request away while a place is held, and no other is there
-	p := n.s.requests["a"].reservation
-	n.do(ReservationResult{ID: "a", Server: p.ID, Held: true})
-	n.end("a", 0, "r1", StatusRejected)
-	wants[Release](n)
-	n = begin() // the time is over
-	n.now += 5 * time.Second
-	n.end("a", 0, "r1", StatusTimedOut)
-	wants[Refuse](n)
-	wants[Release](n)
+	expectAction[Release](gateway)
+	gateway = begin() // the decode server fails for good
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
+	gateway.handle(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: StatusTimedOut, RequestDone: true})
+	expectAction[Release](gateway)
+	gateway = begin() // the only prefill server turns the request away while a reservation is held
+	holder := gateway.scheduler.requests["a"].reservation
+	gateway.handle(ReservationResult{ID: "a", Server: holder.ID, Held: true})
+	gateway.endAttempt("a", 0, "r1", StatusRejected)
+	expectAction[Release](gateway)
+	gateway = begin() // the deadline passes
+	gateway.now += 5 * time.Second
+	gateway.endAttempt("a", 0, "r1", StatusTimedOut)
+	expectAction[Refuse](gateway)
+	expectAction[Release](gateway)
 }
--- a/scheduler_test.go
+++ b/scheduler_test.go
@@ -11,82 +11,86 @@
 
 const ms = time.Millisecond
 
-func TestDiscovery(t *testing.T) {
-	set := settings()
-	set.Subscribe = true
-	n := newNode(t, set)
-	wants[Watch](n)
-	n.do(MembershipUpdate{Form: MembershipFailed})
-	x, _ := pick[SetTimer](n)
-	n.now = x.At
-	n.do(TimerFired{x.Token})
-	wants[Watch](n)
+// After a failed watch of the membership the next one starts when its timer fires.
+func TestDiscovery_WatchFails(t *testing.T) {
+	settings := testSettings()
+	settings.Subscribe = true
+	gateway := newGateway(t, settings)
+	expectAction[Watch](gateway)
+	gateway.handle(MembershipUpdate{Form: MembershipFailed})
+	timer, _ := firstAction[SetTimer](gateway)
+	gateway.now = timer.At
+	gateway.handle(TimerFired{timer.Token})
+	expectAction[Watch](gateway)
 }
 
-// Probes are tied to own reads and only ask where load is told on probes alone.
-func TestProbesWhereLoadIsToldOnProbesAlone(t *testing.T) {
+// A request leads to a probe only where servers report their load in answers to probes alone, and not twice in a row.
+func TestProbe_ReportModes(t *testing.T) {
 	for mode, want := range map[ReportMode]bool{ReportNone: false, ReportInline: false, ReportProbe: true} {
-		set := settings()
-		set.Reports, set.Limits.Probes = mode, true
-		n := newNode(t, set, reader("r1"), writer("w1", 0))
-		lacks[Probe](n)
-		n.ask("a", 1, 0)
-		if _, got := pick[Probe](n); got != want {
-			t.Errorf("mode %v: probes %v", mode, got)
+		settings := testSettings()
+		settings.Reports, settings.Limits.Probes = mode, true
+		gateway := newGateway(t, settings, prefillServer("r1"), decodeServer("w1", 0))
+		expectNoAction[Probe](gateway)
+		gateway.requestChat("a", 1, 0)
+		if _, got := firstAction[Probe](gateway); got != want {
+			t.Errorf("report mode %v: probed %v, want %v", mode, got, want)
 		}
-		n.ask("b", 1, 0)
-		lacks[Probe](n) // asked a moment ago
+		gateway.requestChat("b", 1, 0)
+		expectNoAction[Probe](gateway) // probed a moment ago
 	}
 }
 
-func TestImpossibleSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
-		"no kinds":     func(s *Settings) { s.Kinds = nil },
-		"no classes":   func(s *Settings) { s.Classes = nil },
-		"no role":      func(s *Settings) { s.Kinds[0].Role = 0 },
-		"no deadline":  func(s *Settings) { s.Classes[0].Deadline = 0 },
-		"no effect":    func(s *Settings) { s.Classes[0].Effect = 0 },
-		"attempts":     func(s *Settings) { s.Limits.MaxAttempts = -1 },
-		"nodes":        func(s *Settings) { s.Nodes = -1 },
-		"release":      func(s *Settings) { s.Rules.ReleaseTimeout = -1 },
-		"multiple":     func(s *Settings) { s.Rules.SlowStartMultiple = -1 },
-		"cold share":   func(s *Settings) { s.Rules.SlowStartCapacity = -1 },
-		"fall windows": func(s *Settings) { s.Rules.SlowStartWindow = -1 },
+// Settings that can't be served are rejected.
+func TestNew_InvalidSettings(t *testing.T) {
+	for name, invalidate := range map[string]func(*Settings){
+		"no kinds":                     func(s *Settings) { s.Kinds = nil },
+		"no classes":                   func(s *Settings) { s.Classes = nil },
+		"no role":                      func(s *Settings) { s.Kinds[0].Role = 0 },
+		"no deadline":                  func(s *Settings) { s.Classes[0].Deadline = 0 },
+		"no effect":                    func(s *Settings) { s.Classes[0].Effect = 0 },
+		"negative attempt limit":       func(s *Settings) { s.Limits.MaxAttempts = -1 },
+		"negative nodes":               func(s *Settings) { s.Nodes = -1 },
+		"negative release time":        func(s *Settings) { s.Rules.ReleaseTimeout = -1 },
+		"negative slow-start multiple": func(s *Settings) { s.Rules.SlowStartMultiple = -1 },
+		"negative slow-start share":    func(s *Settings) { s.Rules.SlowStartCapacity = -1 },
+		"negative slow-start window":   func(s *Settings) { s.Rules.SlowStartWindow = -1 },
 	} {
-		set := settings()
-		spoil(&set)
-		if _, err := New(set, 1); err == nil {
-			t.Errorf("%s: no error", name)
+		settings := testSettings()
+		invalidate(&settings)
+		if _, err := New(settings, 1); err == nil {
+			t.Errorf("%s: settings accepted, want an error", name)
 		}
 	}
 }
 
-func TestStrayEventsAreIgnored(t *testing.T) {
-	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-	n.ask("a", 1, 0)
-	for _, e := range []Event{
+// Events on unknown requests, attempts, timers and servers, and repeated ones, lead to no action.
+func TestHandle_StrayEvents(t *testing.T) {
+	gateway := newGateway(t, testSettings(), prefillServer("r1"), decodeServer("w1", 0))
+	gateway.requestChat("a", 1, 0)
+	for _, event := range []Event{
 		ClientDisconnected{"z"}, TimerFired{9999}, AnswerStarted{ID: "a", Attempt: 7}, AnswerStarted{ID: "a", Server: "r1"}, Outcome{ID: "z"},
 		Outcome{ID: "a", Attempt: -1}, Outcome{ID: "a", Server: "w1"}, ReservationResult{ID: "z"}, ProbeResult{Server: "z"},
 	} {
-		if out := n.do(e); len(out) != 0 {
-			t.Errorf("%#v: %v", e, out)
+		if out := gateway.handle(event); len(out) != 0 {
+			t.Errorf("stray event %#v led to the actions %v", event, out)
 		}
 	}
-	n.end("a", 0, "r1", StatusPrefilled)
-	n.sentTo("w1")
-	if out := n.end("a", 0, "r1", StatusPrefilled); len(out) != 0 {
-		t.Errorf("repeated outcome: %v", out)
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
+	gateway.expectSentTo("w1")
+	if out := gateway.endAttempt("a", 0, "r1", StatusPrefilled); len(out) != 0 {
+		t.Errorf("repeated outcome led to the actions %v", out)
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
-	a, b := storm(t, 5, settings()), storm(t, 5, settings())
-	if !reflect.DeepEqual(a, b) {
+// The same events and seed lead to the same actions.
+func TestHandle_Deterministic(t *testing.T) {
+	first, second := runRandomEvents(t, 5, testSettings()), runRandomEvents(t, 5, testSettings())
+	if !reflect.DeepEqual(first, second) {
 		t.Error("the same events led to other actions")
 	}
 }
 
-// The files under policy are there, and none of their lines has over 110 characters.
+// The source files that deploy/balancer.toml names as the policy exist, and none of their lines has over 110 characters.
 func TestPolicyFiles_LineLength(t *testing.T) {
 	deploy, err := os.ReadFile("deploy/balancer.toml")
 	if err != nil {
@@ -94,7 +98,7 @@
 	}
 	policy := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(deploy)
 	if policy == nil {
-		t.Fatal("deploy/balancer.toml names no policy")
+		t.Fatal("deploy/balancer.toml has no line with policy")
 	}
 	for _, quoted := range strings.Split(string(policy[1]), ", ") {
 		text, err := os.ReadFile(strings.Trim(quoted, `"`))
@@ -103,7 +107,7 @@
 		}
 		for _, line := range strings.Split(string(text), "\n") {
 			if n := len([]rune(line)); n > 110 {
-				t.Errorf("%s has a line of %d characters: %s", quoted, n, line)
+				t.Errorf("%s has a line of %d characters, limit 110: %s", quoted, n, line)
 			}
 		}
 	}
--- a/share_test.go
+++ b/share_test.go
@@ -6,70 +6,73 @@
 	"time"
 )
 
-// Two processes that count as one node send a cold server together no more than the one
-// alone would, and an engine that the list has lost or drains counts as it should.
-func TestProcessesShareTheColdBudget(t *testing.T) {
-	sends := func(processes int) (n int) {
-		set := settings()
-		set.Nodes = 3
-		set.Rules = Rules{SlowStartMultiple: 2.5, SlowStartWindow: time.Second, SlowStartCapacity: 0.31, SlowStartDuration: 12 * time.Second, ReleaseTimeout: time.Second}
+// Two processes of one gateway, as during a handover, together send a server in slow start no more than one would alone,
+// and no less than half of that.
+func TestSlowStartBudget_TwoProcesses(t *testing.T) {
+	sends := func(processes int) (total int) {
+		settings := testSettings()
+		settings.Nodes = 3
+		settings.Rules = Rules{SlowStartMultiple: 2.5, SlowStartWindow: time.Second, SlowStartCapacity: 0.31, SlowStartDuration: 12 * time.Second, ReleaseTimeout: time.Second}
 		for range processes {
-			r := newNode(t, set, reader("warm"), reader("cold"))
-			r.s.processes = float64(processes)
-			cold := r.s.servers["cold"]
-			for i := range 200 { // what a warm reader is seen to do
-				r.s.servers["warm"].warmThroughput.Add(r.now+time.Duration(i)*10*time.Millisecond, time.Second, 1000)
+			gateway := newGateway(t, settings, prefillServer("warm"), prefillServer("cold"))
+			gateway.scheduler.processes = float64(processes)
+			starting := gateway.scheduler.servers["cold"]
+			for i := range 200 { // work that the warm server is seen to finish
+				gateway.scheduler.servers["warm"].warmThroughput.Add(gateway.now+time.Duration(i)*10*time.Millisecond, time.Second, 1000)
 			}
-			r.now += 2 * time.Second
-			cold.Started, cold.restartedAt = r.now, r.now-time.Second
+			gateway.now += 2 * time.Second
+			starting.Started, starting.restartedAt = gateway.now, gateway.now-time.Second
 			for range 100 {
-				q := &trackedRequest{Request: Request{ID: RequestID(fmt.Sprint(n)), Class: "chat", PromptTokens: 1000}, class: r.s.classes["chat"]}
-				r.s.now = r.now
-				if q.class == nil {
-					t.Fatal("no such class")
+				req := &trackedRequest{Request: Request{ID: RequestID(fmt.Sprint(total)), Class: "chat", PromptTokens: 1000}, class: gateway.scheduler.classes["chat"]}
+				gateway.scheduler.now = gateway.now
+				if req.class == nil {
+					t.Fatal("the settings have no class chat")
 				}
-				r.s.classTokens[q.class] = 1000
-				if r.s.slowStartAllows(cold, q) {
-					cold.slowStartSends.Add(r.now, 1000)
-					n++
+				gateway.scheduler.classTokens[req.class] = 1000
+				if gateway.scheduler.slowStartAllows(starting, req) {
+					starting.slowStartSends.Add(gateway.now, 1000)
+					total++
 				}
 			}
 		}
-		return n
+		return total
 	}
 	one, two := sends(1), sends(2)
 	if one < 4 || two > one || two < one/2 {
-		t.Errorf("one process sends %d, two together %d", one, two)
+		t.Errorf("one process sends %d, two processes together %d", one, two)
 	}
 }
 
-func TestEnginesListedAndAvoided(t *testing.T) {
-	var now stubClock
-	r, err := NewRouter(settings(), 1, &now, func(Server) {})
+// Engines counts the listed engines, without those that are gone, and those of them that get no requests because they
+// drain or are ejected.
+func TestRouterEngines_ListedAndAvoided(t *testing.T) {
+	var clock stubClock
+	router, err := NewRouter(testSettings(), 1, &clock, func(Server) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := func(listed, avoided int) {
+	expect := func(listed, avoided int) {
 		t.Helper()
-		if l, a := r.CountEngines(); l != listed || a != avoided {
+		if l, a := router.CountEngines(); l != listed || a != avoided {
 			t.Errorf("%d listed, %d avoided, want %d and %d", l, a, listed, avoided)
 		}
 	}
-	want(0, 0)
-	draining := reader("c")
+	expect(0, 0)
+	draining := prefillServer("c")
 	draining.State = StateDraining
-	r.Update(MembershipSnapshot, []Server{reader("a"), reader("b"), draining})
-	want(3, 1)
-	r.scheduler.servers["a"].ejected = true
-	want(3, 2)
-	gone := reader("b")
+	router.Update(MembershipSnapshot, []Server{prefillServer("a"), prefillServer("b"), draining})
+	expect(3, 1)
+	router.scheduler.servers["a"].ejected = true
+	expect(3, 2)
+	gone := prefillServer("b")
 	gone.State = StateRemoved
-	r.Update(MembershipDelta, []Server{gone})
-	want(2, 2)
-	r.Update(MembershipSnapshot, []Server{reader("b")})
-	want(1, 0)
+	router.Update(MembershipDelta, []Server{gone})
+	expect(2, 2)
+	router.Update(MembershipSnapshot, []Server{prefillServer("b")})
+	expect(1, 0)
 }
 
+// stubClock is a clock that stands still, in milliseconds.
 type stubClock float64
 
 func (c *stubClock) Now() float64 { return float64(*c) }
--- a/silence_test.go
+++ b/silence_test.go
@@ -6,117 +6,122 @@
 	"time"
 )
 
-// atWriter gives a node with a request of a class whose prompt has been read, out at a writer.
-func atWriter(t *testing.T, class string) (n *node, writerID string) {
+// pendingAtDecodeServer returns a gateway with a request of a class that is in flight at a decode server, and that
+// server's ID.
+func pendingAtDecodeServer(t *testing.T, class string) (gateway *testGateway, serverID string) {
 	t.Helper()
-	set := settings()
-	set.Limits.Probes = true
-	set.Classes[0].Aim = 5 * time.Second // it is not overdue before
-	n = newNode(t, set, reader("r1"), writer("w1", 0), writer("w2", 0), writer("w3", 0))
-	n.do(Request{ID: "a", Class: class, Session: 1, PromptTokens: 320, TimeLeft: 5 * time.Second})
-	n.end("a", 0, "r1", StatusPrefilled)
-	a, _ := pick[Send](n)
-	return n, string(a.Server)
+	settings := testSettings()
+	settings.Limits.Probes = true
+	settings.Classes[0].Aim = 5 * time.Second // the attempt must not be overdue before
+	gateway = newGateway(t, settings, prefillServer("r1"), decodeServer("w1", 0), decodeServer("w2", 0), decodeServer("w3", 0))
+	gateway.handle(Request{ID: "a", Class: class, Session: 1, PromptTokens: 320, TimeLeft: 5 * time.Second})
+	gateway.endAttempt("a", 0, "r1", StatusPrefilled)
+	a, _ := firstAction[Send](gateway)
+	return gateway, string(a.Server)
 }
 
-// until runs the node's timers up to a time from now on, and gives what it asked for.
-func (n *node) until(d time.Duration) (actions []Action) {
-	for end := n.now + d; ; {
+// runTimers runs the gateway's timers for a duration from now and returns the actions that they led to.
+func (g *testGateway) runTimers(duration time.Duration) (actions []Action) {
+	for end := g.now + duration; ; {
 		next, found := SetTimer{At: end}, false
-		for _, a := range n.set {
-			if _, open := n.s.timers[a.Token]; open && a.At <= next.At {
-				next, found = a, true
+		for _, timer := range g.timers {
+			if _, pending := g.scheduler.timers[timer.Token]; pending && timer.At <= next.At {
+				next, found = timer, true
 			}
 		}
-		n.now = max(n.now, next.At)
+		g.now = max(g.now, next.At)
 		if !found {
 			return actions
 		}
-		actions = append(actions, n.do(TimerFired{next.Token})...)
+		actions = append(actions, g.handle(TimerFired{next.Token})...)
 	}
 }
 
-func asked[A Action](actions []Action) (list []A) {
-	for _, x := range actions {
-		if a, ok := x.(A); ok {
-			list = append(list, a)
+// actionsOf returns the actions of one type.
+func actionsOf[A Action](actions []Action) (found []A) {
+	for _, action := range actions {
+		if a, ok := action.(A); ok {
+			found = append(found, a)
 		}
 	}
-	return list
+	return found
 }
 
-// A server that gives no sign of an attempt is probed. Where the probe goes unanswered as well,
-// what may be repeated is sent elsewhere, in time for the state that waits; an order, which may
-// have run, waits on.
+// A server from which nothing is received after an attempt is probed. If the probe goes unanswered too, a request that may
+// be repeated is sent elsewhere, while its KV state is still held; one with a side effect, which may have run, waits on.
 func TestSilence_UnansweredProbe(t *testing.T) {
-	for class, leaves := range map[string]bool{"chat": true, "pay": false} {
-		n, w := atWriter(t, class)
-		if probes := asked[Probe](n.until(livenessWaitDecode)); len(probes) != 1 || string(probes[0].Server) != w {
-			t.Fatalf("%s: probes %v, want one of %s", class, probes, w)
+	for class, resent := range map[string]bool{"chat": true, "pay": false} {
+		gateway, server := pendingAtDecodeServer(t, class)
+		if probes := actionsOf[Probe](gateway.runTimers(livenessWaitDecode)); len(probes) != 1 || string(probes[0].Server) != server {
+			t.Fatalf("class %s: probes %v, want one of server %s", class, probes, server)
 		}
-		if cancels := asked[Cancel](n.until(livenessTimeoutDecode)); len(cancels) > 0 != leaves {
-			t.Fatalf("%s: cancelled %v", class, cancels)
+		if cancels := actionsOf[Cancel](gateway.runTimers(livenessTimeoutDecode)); len(cancels) > 0 != resent {
+			t.Fatalf("class %s: cancelled attempts %v, want a cancel: %v", class, cancels, resent)
 		}
-		if !leaves {
+		if !resent {
 			continue
 		}
-		n.end("a", 1, w, StatusCancelled)
-		if a, ok := pick[Send](n); !ok || string(a.Server) == w {
-			t.Errorf("%s: sent to %q after %s", class, a.Server, w)
+		gateway.endAttempt("a", 1, server, StatusCancelled)
+		if a, ok := firstAction[Send](gateway); !ok || string(a.Server) == server {
+			t.Errorf("class %s: next attempt at %q, want another server than %s", class, a.Server, server)
 		}
 	}
 }
 
-// A slow first token at a server that answers probes is no silence, whatever it answers; nor is
-// an answer that this node is too late to know of.
-func TestSilence_NoSilence(t *testing.T) {
-	for name, happens := range map[string]func(n *node, w ServerID){
-		"answered":               func(n *node, w ServerID) { n.do(ProbeResult{Server: w, Status: StatusServed}) },
-		"answered with an error": func(n *node, w ServerID) { n.do(ProbeResult{Server: w, Status: StatusServerError}) },
-		"this node was held up":  func(n *node, _ ServerID) { n.now += livenessTimeoutDecode + 2*maxTimerLateness },
+// A server that answers probes, even with an error, is not silent, however slow its first token is. Nor is one whose
+// answer the gateway may have missed because its own process was held up.
+func TestSilence_LivenessSignal(t *testing.T) {
+	for name, signal := range map[string]func(gateway *testGateway, server ServerID){
+		"probe answered": func(gateway *testGateway, server ServerID) {
+			gateway.handle(ProbeResult{Server: server, Status: StatusServed})
+		},
+		"probe answered with an error": func(gateway *testGateway, server ServerID) {
+			gateway.handle(ProbeResult{Server: server, Status: StatusServerError})
+		},
+		"gateway was held up": func(gateway *testGateway, _ ServerID) { gateway.now += livenessTimeoutDecode + 2*maxTimerLateness },
 	} {
-		n, w := atWriter(t, "chat")
-		n.until(livenessWaitDecode)
-		n.now += 10 * ms
-		happens(n, ServerID(w))
-		actions := n.until(livenessInterval + livenessWaitDecode)
-		first := slices.IndexFunc(actions, func(a Action) bool { _, ok := a.(Probe); return ok })
-		left := slices.IndexFunc(actions, func(a Action) bool { _, ok := a.(Cancel); return ok })
-		if first < 0 || left >= 0 && left < first {
-			t.Errorf("%s: %v, want another probe, and nothing left before", name, actions)
+		gateway, server := pendingAtDecodeServer(t, "chat")
+		gateway.runTimers(livenessWaitDecode)
+		gateway.now += 10 * ms
+		signal(gateway, ServerID(server))
+		actions := gateway.runTimers(livenessInterval + livenessWaitDecode)
+		probeIndex := slices.IndexFunc(actions, func(a Action) bool { _, ok := a.(Probe); return ok })
+		cancelIndex := slices.IndexFunc(actions, func(a Action) bool { _, ok := a.(Cancel); return ok })
+		if probeIndex < 0 || cancelIndex >= 0 && cancelIndex < probeIndex {
+			t.Errorf("%s: actions %v, want another probe and no cancel before it", name, actions)
 		}
 	}
 }
 
-// A read has no effect, however it ends: an order's is left like any other.
-func TestSilence_ReadOfAnOrder(t *testing.T) {
-	set := settings()
-	set.Limits.Probes = true
-	set.Classes[2].Aim = 5 * time.Second // it is not overdue before
-	n := newNode(t, set, reader("r1"), reader("r2"), writer("w1", 0))
-	n.do(Request{ID: "a", Class: "pay", Session: 1, PromptTokens: 320, TimeLeft: 5 * time.Second})
-	n.until(livenessWaitPrefill)
-	if len(asked[Cancel](n.until(livenessTimeoutPrefill))) != 1 {
-		t.Errorf("it is not left: %v", n.out)
+// A prefill has no effect, so it is cancelled at a silent server for a class with side effects as for any other.
+func TestSilence_PrefillOfSideEffectClass(t *testing.T) {
+	settings := testSettings()
+	settings.Limits.Probes = true
+	settings.Classes[2].Aim = 5 * time.Second // the attempt must not be overdue before
+	gateway := newGateway(t, settings, prefillServer("r1"), prefillServer("r2"), decodeServer("w1", 0))
+	gateway.handle(Request{ID: "a", Class: "pay", Session: 1, PromptTokens: 320, TimeLeft: 5 * time.Second})
+	gateway.runTimers(livenessWaitPrefill)
+	if len(actionsOf[Cancel](gateway.runTimers(livenessTimeoutPrefill))) != 1 {
+		t.Errorf("prefill not cancelled exactly once; last actions %v", gateway.actions)
 	}
 }
 
-// A server that is heard again after a silence has not stopped the answers that have not gone on
-// yet: they do a moment later. Those that still have not then have stopped.
-func TestSilence_AnswersOfAServerThatIsJustBack(t *testing.T) {
-	n, w := atWriter(t, "chat")
-	n.do(AnswerStarted{ID: "a", Attempt: 1, Server: ServerID(w)})
-	v, r, since := n.s.servers[ServerID(w)], n.s.requests["a"], n.now
-	n.now += 4 * time.Second
-	v.latestStartedSend[stageDecode] = since + ms // another answer, to what was sent later, begins
-	v.recordResponse(n.now)
+// When a server sends again after a silence, its answers don't all go on at the same moment, so one that has not gone on
+// yet has not stopped. One that still has not a moment later (backWait) has.
+func TestSilence_ServerJustBack(t *testing.T) {
+	gateway, serverID := pendingAtDecodeServer(t, "chat")
+	gateway.handle(AnswerStarted{ID: "a", Attempt: 1, Server: ServerID(serverID)})
+	server, req, since := gateway.scheduler.servers[ServerID(serverID)], gateway.scheduler.requests["a"], gateway.now
+	gateway.now += 4 * time.Second
+	server.latestStartedSend[stageDecode] = since + ms // the answer to a later request begins
+	server.recordResponse(gateway.now)
 	for _, tt := range []struct {
 		after time.Duration
 		want  bool
 	}{{0, false}, {recoveryGrace, true}} {
-		n.s.now = n.now + tt.after
-		if over, _ := n.s.answerStalled(r, 1, v, since, since, false); over != tt.want {
-			t.Errorf("%v behind its return: stopped %v, want %v", tt.after, over, tt.want)
+		gateway.scheduler.now = gateway.now + tt.after
+		if stopped, _ := gateway.scheduler.answerStalled(req, 1, server, since, since, false); stopped != tt.want {
+			t.Errorf("%v after the server sent again: answer stopped %v, want %v", tt.after, stopped, tt.want)
 		}
 	}
 }
--- a/storm_test.go
+++ b/storm_test.go
@@ -7,79 +7,84 @@
 	"time"
 )
 
-// world checks the rules on a scheduler's actions under seeded events.
-type world struct {
-	t       *testing.T
-	rng     *rand.Rand
-	n       *node
-	all     []Action
-	timers  []SetTimer
-	reqs    map[RequestID]*told
-	state   map[ServerID]ServerState
-	started int
+// ruleChecker passes seeded random events to a scheduler and checks its actions against the rules: one final answer in
+// time (rule 1), no repeat of what may have run (rule 2), nothing to servers that drain (rule 3), and release of what
+// servers hold (rule 5).
+type ruleChecker struct {
+	t            *testing.T
+	rng          *rand.Rand
+	gateway      *testGateway
+	actions      []Action
+	timers       []SetTimer
+	requests     map[RequestID]*requestRecord
+	states       map[ServerID]ServerState
+	requestCount int
 }
 
-type told struct {
-	class    string
-	deadline time.Duration
-	attempts []ServerID
-	out      map[int]bool
-	ran      bool // a writer may have run it
-	begun    bool
-	final    int
-	over     bool
-	holds    bool // a state or a place
-	idle     time.Duration
+// requestRecord is what the checker knows of a request.
+type requestRecord struct {
+	class        string
+	deadline     time.Duration
+	attempts     []ServerID
+	inFlight     map[int]bool // by number of the attempt
+	mayHaveRun   bool         // a decode server may have run it
+	answerBegun  bool
+	finalAnswers int
+	ended        bool          // served, or the client has left
+	hasHolds     bool          // KV state or a reservation
+	lastActivity time.Duration // the last outcome or, if later, the request for a reservation
 }
 
-var stormServers = []Server{
-	reader("r1"), reader("r2"), reader("r3"), writer("w1", 0), writer("w2", 0), writer("w3", 1),
+var randomEventServers = []Server{
+	prefillServer("r1"), prefillServer("r2"), prefillServer("r3"),
+	decodeServer("w1", 0), decodeServer("w2", 0), decodeServer("w3", 1),
 	{ID: "m1", Zone: "b", Cell: 2, Kind: "mixed", State: StateActive},
 }
 
-func isReading(v ServerID) bool { return v[0] == 'r' }
+// isPrefillID reports whether a server of randomEventServers is a prefill server.
+func isPrefillID(v ServerID) bool { return v[0] == 'r' }
 
-func storm(t *testing.T, seed int64, set Settings) []Action {
-	w := &world{t: t, rng: rand.New(rand.NewSource(seed)), n: newNode(t, set, stormServers...),
-		reqs: map[RequestID]*told{}, state: map[ServerID]ServerState{}}
-	for _, v := range stormServers {
-		w.state[v.ID] = StateActive
+// runRandomEvents plays 2500 steps with new requests and 500 without, ends everything, and returns all actions.
+func runRandomEvents(t *testing.T, seed int64, settings Settings) []Action {
+	checker := &ruleChecker{t: t, rng: rand.New(rand.NewSource(seed)), gateway: newGateway(t, settings, randomEventServers...),
+		requests: map[RequestID]*requestRecord{}, states: map[ServerID]ServerState{}}
+	for _, server := range randomEventServers {
+		checker.states[server.ID] = StateActive
 	}
-	w.take()
+	checker.checkActions()
 	for i := 0; i < 3000; i++ {
-		w.step(i < 2500)
+		checker.step(i < 2500)
 	}
-	for w.n.now += time.Minute; len(w.timers) > 0; {
-		w.fire(0)
-		w.finishAll()
+	for checker.gateway.now += time.Minute; len(checker.timers) > 0; {
+		checker.fireTimer(0)
+		checker.endAllAttempts()
 	}
-	w.finishAll()
-	for id, r := range w.reqs {
-		if !r.over && r.final != 1 {
-			t.Errorf("seed %d: rule 1: request %s has %d final answers", seed, id, r.final)
+	checker.endAllAttempts()
+	for id, record := range checker.requests {
+		if !record.ended && record.finalAnswers != 1 {
+			t.Errorf("seed %d: rule 1: request %s got %d final answers, want 1", seed, id, record.finalAnswers)
 		}
-		if r.holds {
-			t.Errorf("seed %d: rule 5: request %s still holds something", seed, id)
+		if record.hasHolds {
+			t.Errorf("seed %d: rule 5: what is held for request %s was never released", seed, id)
 		}
 	}
-	return w.all
+	return checker.actions
 }
 
-// TestStorm throws legal and stray events at the module and checks the rules, for one gateway
-// and for many, and with settings that are absurd but can be served.
-// One goroutine does it all, so that the race detector, which makes it ten
-// times slower, sees enough in a short run.
-func TestStorm(t *testing.T) {
+// Under random events, legal and stray, the rules hold, for one gateway and for many, and with settings that are absurd but
+// can be served. Everything runs on one goroutine, so a short run is enough for the race detector, which makes it ten times
+// slower.
+func TestHandle_RandomEvents(t *testing.T) {
 	const plain = "one gateway"
 	for name, change := range map[string]func(*Settings){
 		plain: func(*Settings) {},
-		"many gateways that probe": func(s *Settings) {
+		"many gateways with probes": func(s *Settings) {
 			s.Nodes, s.Limits.Probes = 300, true
 		},
-		"no report, no retry, no cancel": func(s *Settings) {
+		"no reports, no retry-after, no cancel": func(s *Settings) {
 			s.Nodes, s.Reports, s.Limits = 20, ReportNone, Limits{MaxAttempts: 4}
 		},
-		"nothing of slow start": func(s *Settings) {
+		"no slow start": func(s *Settings) {
 			s.Nodes, s.Rules = 300, Rules{ReleaseTimeout: time.Second}
 		},
 		"slow start without a share": func(s *Settings) {
@@ -90,7 +95,7 @@
 				s.Kinds[i].MemoryTokens = 1
 			}
 		},
-		"memory that is not told": func(s *Settings) {
+		"memory unknown": func(s *Settings) {
 			for i := range s.Kinds {
 				s.Kinds[i].MemoryTokens = 0
 			}
@@ -104,217 +109,227 @@
 			if testing.Short() {
 				seeds = short
 			}
-			set := settings()
-			change(&set)
+			settings := testSettings()
+			change(&settings)
 			for seed := range seeds {
-				storm(t, seed+1, set)
+				runRandomEvents(t, seed+1, settings)
 			}
 		})
 	}
 }
 
-func (w *world) do(e Event) {
-	w.n.do(e)
-	w.take()
+func (c *ruleChecker) handle(e Event) {
+	c.gateway.handle(e)
+	c.checkActions()
 }
 
-func (w *world) step(open bool) {
-	w.n.now += time.Duration(w.rng.Intn(20)) * ms
-	for i := 0; i < len(w.timers); {
-		if w.timers[i].At <= w.n.now {
-			w.fire(i)
+// step advances the time and brings a random event; a new request only while admitting.
+func (c *ruleChecker) step(admitting bool) {
+	c.gateway.now += time.Duration(c.rng.Intn(20)) * ms
+	for i := 0; i < len(c.timers); {
+		if c.timers[i].At <= c.gateway.now {
+			c.fireTimer(i)
 		} else {
 			i++
 		}
 	}
-	w.overdue()
-	switch k := w.rng.Intn(20); {
-	case k < 5 && open:
-		w.started++
-		id := RequestID(fmt.Sprint("q", w.started))
-		class := []string{"chat", "order", "pay"}[w.rng.Intn(3)]
-		left := time.Duration(300+w.rng.Intn(4000)) * ms
-		w.reqs[id] = &told{class: class, deadline: w.n.now + left, out: map[int]bool{}, idle: w.n.now}
-		w.do(Request{ID: id, Class: class, Session: uint64(w.rng.Intn(9)), Prefix: uint64(w.rng.Intn(4)),
-			PrefixTokens: 200, PromptTokens: float64(w.rng.Intn(4000)), TimeLeft: left})
+	c.endAtDeadline()
+	switch k := c.rng.Intn(20); {
+	case k < 5 && admitting:
+		c.requestCount++
+		id := RequestID(fmt.Sprint("q", c.requestCount))
+		class := []string{"chat", "order", "pay"}[c.rng.Intn(3)]
+		timeLeft := time.Duration(300+c.rng.Intn(4000)) * ms
+		c.requests[id] = &requestRecord{class: class, deadline: c.gateway.now + timeLeft, inFlight: map[int]bool{}, lastActivity: c.gateway.now}
+		c.handle(Request{ID: id, Class: class, Session: uint64(c.rng.Intn(9)), Prefix: uint64(c.rng.Intn(4)),
+			PrefixTokens: 200, PromptTokens: float64(c.rng.Intn(4000)), TimeLeft: timeLeft})
 	case k < 14:
-		if id, n, ok := w.anyOut(); ok {
-			w.finish(id, n)
+		if id, number, ok := c.randomInFlight(); ok {
+			c.endRandomly(id, number)
 		}
 	case k == 14:
-		v := stormServers[w.rng.Intn(len(stormServers))]
-		v.State = ServerState(1 + w.rng.Intn(3))
-		if w.rng.Intn(2) == 0 {
-			v.State = StateActive
-			v.Started = w.n.now
+		server := randomEventServers[c.rng.Intn(len(randomEventServers))]
+		server.State = ServerState(1 + c.rng.Intn(3))
+		if c.rng.Intn(2) == 0 {
+			server.State = StateActive
+			server.Started = c.gateway.now
 		}
-		w.state[v.ID] = v.State
-		w.do(MembershipUpdate{Form: MembershipDelta, Entries: []Server{v}})
+		c.states[server.ID] = server.State
+		c.handle(MembershipUpdate{Form: MembershipDelta, Entries: []Server{server}})
 	case k == 15:
-		w.do(TimerFired{w.rng.Uint64()})
-		w.do(Outcome{ID: "none", Server: "r1", Status: StatusPrefilled})
-		w.do(ProbeResult{Server: "w1", Status: StatusServed, Report: Report{ReportMemory: w.rng.Float64()}})
+		c.handle(TimerFired{c.rng.Uint64()})
+		c.handle(Outcome{ID: "none", Server: "r1", Status: StatusPrefilled})
+		c.handle(ProbeResult{Server: "w1", Status: StatusServed, Report: Report{ReportMemory: c.rng.Float64()}})
 	case k == 16:
-		if id, _, ok := w.anyOut(); ok && !w.reqs[id].over && !w.reqs[id].begun && w.reqs[id].final == 0 {
-			w.reqs[id].over = true
-			w.do(ClientDisconnected{id})
+		if id, _, ok := c.randomInFlight(); ok && !c.requests[id].ended && !c.requests[id].answerBegun && c.requests[id].finalAnswers == 0 {
+			c.requests[id].ended = true
+			c.handle(ClientDisconnected{id})
 		}
 	case k == 17:
-		if id, n, ok := w.anyOut(); ok && isReading(w.reqs[id].attempts[n]) {
-			w.do(ReservationResult{ID: id, Attempt: n, Server: "w1", Held: w.rng.Intn(2) == 0})
+		if id, number, ok := c.randomInFlight(); ok && isPrefillID(c.requests[id].attempts[number]) {
+			c.handle(ReservationResult{ID: id, Attempt: number, Server: "w1", Held: c.rng.Intn(2) == 0})
 		}
 	}
 }
 
-// overdue ends attempts at the client's deadline, as time-outs are cut to it.
-func (w *world) overdue() {
-	for i := 1; i <= w.started; i++ {
-		r := w.reqs[RequestID(fmt.Sprint("q", i))]
-		for n := range r.attempts {
-			if r.out[n] && !r.begun && w.n.now >= r.deadline {
-				w.finishAs(RequestID(fmt.Sprint("q", i)), n, StatusTimedOut)
+// endAtDeadline ends attempts in flight at the client's deadline, which limits their timeouts, and checks rule 5.
+func (c *ruleChecker) endAtDeadline() {
+	for i := 1; i <= c.requestCount; i++ {
+		record := c.requests[RequestID(fmt.Sprint("q", i))]
+		for number := range record.attempts {
+			if record.inFlight[number] && !record.answerBegun && c.gateway.now >= record.deadline {
+				c.endAttempt(RequestID(fmt.Sprint("q", i)), number, StatusTimedOut)
 			}
 		}
-		if r.holds && len(r.out) == 0 && w.n.now-r.idle > w.n.s.settings.Rules.ReleaseTimeout+40*ms {
-			w.t.Errorf("rule 5: q%d held something %v after its last outcome", i, w.n.now-r.idle)
-			r.holds = false
+		if record.hasHolds && len(record.inFlight) == 0 && c.gateway.now-record.lastActivity > c.gateway.scheduler.settings.Rules.ReleaseTimeout+40*ms {
+			c.t.Errorf("rule 5: what is held for q%d not released %v after its last outcome", i, c.gateway.now-record.lastActivity)
+			record.hasHolds = false
 		}
 	}
 }
 
-func (w *world) anyOut() (RequestID, int, bool) {
-	for tries := 0; tries < 10 && w.started > 0; tries++ {
-		id := RequestID(fmt.Sprint("q", max(1, w.started-w.rng.Intn(30))))
-		r := w.reqs[id]
-		for n := range r.attempts {
-			if r.out[n] {
-				return id, n, true
+// randomInFlight returns the request and number of a random attempt in flight.
+func (c *ruleChecker) randomInFlight() (RequestID, int, bool) {
+	for tries := 0; tries < 10 && c.requestCount > 0; tries++ {
+		id := RequestID(fmt.Sprint("q", max(1, c.requestCount-c.rng.Intn(30))))
+		record := c.requests[id]
+		for number := range record.attempts {
+			if record.inFlight[number] {
+				return id, number, true
 			}
 		}
 	}
 	return "", 0, false
 }
 
-func (w *world) finishAll() {
-	for i := 1; i <= w.started; i++ {
+// endAllAttempts ends all attempts in flight without an answer.
+func (c *ruleChecker) endAllAttempts() {
+	for i := 1; i <= c.requestCount; i++ {
 		id := RequestID(fmt.Sprint("q", i))
-		for n := 0; n < len(w.reqs[id].attempts); n++ {
-			if w.reqs[id].out[n] {
-				w.finishAs(id, n, StatusTimedOut)
+		for number := 0; number < len(c.requests[id].attempts); number++ {
+			if c.requests[id].inFlight[number] {
+				c.endAttempt(id, number, StatusTimedOut)
 			}
 		}
 	}
 }
 
-func (w *world) finish(id RequestID, n int) {
-	r := w.reqs[id]
-	st := []Status{StatusServerError, StatusRejected, StatusConnectFailed, StatusConnectionLost, StatusPrefilled, StatusServed}[w.rng.Intn(6)]
-	reading := isReading(r.attempts[n])
-	if reading && (st == StatusServed || w.rng.Intn(2) == 0) {
-		st = StatusPrefilled
+// endRandomly begins the answer of an attempt, or ends the attempt with a random status.
+func (c *ruleChecker) endRandomly(id RequestID, number int) {
+	record := c.requests[id]
+	status := []Status{StatusServerError, StatusRejected, StatusConnectFailed, StatusConnectionLost, StatusPrefilled, StatusServed}[c.rng.Intn(6)]
+	prefill := isPrefillID(record.attempts[number])
+	if prefill && (status == StatusServed || c.rng.Intn(2) == 0) {
+		status = StatusPrefilled
 	}
-	if !reading && (st == StatusPrefilled || w.rng.Intn(2) == 0) {
-		st = StatusServed
+	if !prefill && (status == StatusPrefilled || c.rng.Intn(2) == 0) {
+		status = StatusServed
 	}
-	if st == StatusServed && !r.begun && r.final == 0 && !r.over {
-		r.begun, r.over, r.holds = true, true, false
-		w.do(AnswerStarted{ID: id, Attempt: n, Server: r.attempts[n], Latency: 20 * ms})
+	if status == StatusServed && !record.answerBegun && record.finalAnswers == 0 && !record.ended {
+		record.answerBegun, record.ended, record.hasHolds = true, true, false
+		c.handle(AnswerStarted{ID: id, Attempt: number, Server: record.attempts[number], Latency: 20 * ms})
 		return
 	}
-	w.finishAs(id, n, st)
+	c.endAttempt(id, number, status)
 }
 
-func (w *world) finishAs(id RequestID, n int, st Status) {
-	r := w.reqs[id]
-	delete(r.out, n)
-	r.idle = w.n.now
+// endAttempt ends an attempt with a status.
+func (c *ruleChecker) endAttempt(id RequestID, number int, status Status) {
+	record := c.requests[id]
+	delete(record.inFlight, number)
+	record.lastActivity = c.gateway.now
 	switch {
-	case st == StatusPrefilled:
-		r.holds = true
-	case !isReading(r.attempts[n]) && st != StatusRejected && st != StatusConnectFailed && st != StatusNotSent:
-		r.ran = true
+	case status == StatusPrefilled:
+		record.hasHolds = true
+	case !isPrefillID(record.attempts[number]) && status != StatusRejected && status != StatusConnectFailed && status != StatusNotSent:
+		record.mayHaveRun = true
 	}
-	if st == StatusServed {
-		r.over, r.holds = true, false
+	if status == StatusServed {
+		record.ended, record.hasHolds = true, false
 	}
-	w.do(Outcome{ID: id, Attempt: n, Server: r.attempts[n], Status: st, RequestDone: r.over || r.final > 0,
-		Latency: 30 * ms, Report: Report{ReportMemory: w.rng.Float64() / 2}})
+	c.handle(Outcome{ID: id, Attempt: number, Server: record.attempts[number], Status: status, RequestDone: record.ended || record.finalAnswers > 0,
+		Latency: 30 * ms, Report: Report{ReportMemory: c.rng.Float64() / 2}})
 }
 
-func (w *world) fire(i int) {
-	x := w.timers[i]
-	w.timers = append(w.timers[:i], w.timers[i+1:]...)
-	w.do(TimerFired{x.Token})
+// fireTimer fires and removes the i-th pending timer.
+func (c *ruleChecker) fireTimer(i int) {
+	timer := c.timers[i]
+	c.timers = append(c.timers[:i], c.timers[i+1:]...)
+	c.handle(TimerFired{timer.Token})
 }
 
-func (w *world) take() {
-	out := w.n.out
-	w.all = append(w.all, out...)
-	for _, a := range out {
+// checkActions checks the actions of the last event and keeps its timers.
+func (c *ruleChecker) checkActions() {
+	actions := c.gateway.actions
+	c.actions = append(c.actions, actions...)
+	for _, a := range actions {
 		switch a := a.(type) {
 		case SetTimer:
-			if a.At <= w.n.now {
-				w.t.Errorf("a timer for the past: %v", a)
+			if a.At <= c.gateway.now {
+				c.t.Errorf("timer %v is set for the past", a)
 			}
-			if w.n.now < 2*time.Hour && len(w.timers) < 20000 {
-				w.timers = append(w.timers, a)
+			if c.gateway.now < 2*time.Hour && len(c.timers) < 20000 {
+				c.timers = append(c.timers, a)
 			}
 		case Send:
-			w.attempt(a)
+			c.checkAttempt(a)
 		case Reserve:
-			w.mustBeOn(a.Server)
-			w.reqs[a.ID].holds, w.reqs[a.ID].idle = true, w.n.now
+			c.expectActive(a.Server)
+			c.requests[a.ID].hasHolds, c.requests[a.ID].lastActivity = true, c.gateway.now
 		case Release:
-			w.reqs[a.ID].holds = false
+			c.requests[a.ID].hasHolds = false
 		case Cancel:
-			if r := w.reqs[a.ID]; a.Attempt >= len(r.attempts) {
-				w.t.Errorf("cancel of attempt %d, never made", a.Attempt)
+			if record := c.requests[a.ID]; a.Attempt >= len(record.attempts) {
+				c.t.Errorf("cancel of attempt %d, which was never made", a.Attempt)
 			}
 		case Refuse:
-			w.final(a.ID)
-			if r := w.reqs[a.ID]; r.class != "chat" && r.ran {
-				w.t.Errorf("rule 2: refusal of %s, which may have run", a.ID)
+			c.checkFinalAnswer(a.ID)
+			if record := c.requests[a.ID]; record.class != "chat" && record.mayHaveRun {
+				c.t.Errorf("rule 2: request %s refused although it may have run", a.ID)
 			}
 		case Fail:
-			w.final(a.ID)
+			c.checkFinalAnswer(a.ID)
 		}
 	}
 }
 
-func (w *world) mustBeOn(v ServerID) {
-	if w.state[v] != StateActive {
-		w.t.Errorf("rule 3: %s is %v", v, w.state[v])
+// expectActive checks rule 3 for a server that gets work.
+func (c *ruleChecker) expectActive(v ServerID) {
+	if c.states[v] != StateActive {
+		c.t.Errorf("rule 3: server %s gets work in state %v", v, c.states[v])
 	}
 }
 
-func (w *world) attempt(a Send) {
-	r := w.reqs[a.ID]
-	w.mustBeOn(a.Server)
+// checkAttempt checks rules 1 to 3, the attempt limit and the timeout for a new attempt, and keeps it.
+func (c *ruleChecker) checkAttempt(a Send) {
+	record := c.requests[a.ID]
+	c.expectActive(a.Server)
 	switch {
-	case r.over || r.final > 0:
-		w.t.Errorf("rule 1: %s sent after its end", a.ID)
-	case len(r.out) > 0:
-		w.t.Errorf("rule 2: a second copy of %s", a.ID)
-	case r.ran && r.class == "pay":
-		w.t.Errorf("rule 2: %s may have run already", a.ID)
-	case len(r.attempts) >= 4:
-		w.t.Errorf("attempt cap passed by %s", a.ID)
+	case record.ended || record.finalAnswers > 0:
+		c.t.Errorf("rule 1: request %s sent after its end", a.ID)
+	case len(record.inFlight) > 0:
+		c.t.Errorf("rule 2: a second attempt of request %s while one is in flight", a.ID)
+	case record.mayHaveRun && record.class == "pay":
+		c.t.Errorf("rule 2: request %s sent again although it may have run", a.ID)
+	case len(record.attempts) >= 4:
+		c.t.Errorf("request %s has more than 4 attempts", a.ID)
 	case a.Timeout <= 0:
-		w.t.Errorf("%s sent with time-out %v", a.ID, a.Timeout)
+		c.t.Errorf("request %s sent with timeout %v", a.ID, a.Timeout)
 	}
-	if !isReading(a.Server) {
-		r.holds = false
+	if !isPrefillID(a.Server) {
+		record.hasHolds = false
 	}
-	r.out[len(r.attempts)] = true
-	r.attempts = append(r.attempts, a.Server)
+	record.inFlight[len(record.attempts)] = true
+	record.attempts = append(record.attempts, a.Server)
 }
 
-func (w *world) final(id RequestID) {
-	r := w.reqs[id]
-	if r.final++; r.final > 1 || r.over {
-		w.t.Errorf("rule 1: %s got a second final answer", id)
+// checkFinalAnswer checks that a final answer is the first one, and in time.
+func (c *ruleChecker) checkFinalAnswer(id RequestID) {
+	record := c.requests[id]
+	if record.finalAnswers++; record.finalAnswers > 1 || record.ended {
+		c.t.Errorf("rule 1: request %s got a second final answer, or one after its end", id)
 	}
-	if w.n.now > r.deadline+20*ms && w.n.now < time.Hour+time.Minute {
-		w.t.Errorf("rule 1: %s answered %v late", id, w.n.now-r.deadline)
+	if c.gateway.now > record.deadline+20*ms && c.gateway.now < time.Hour+time.Minute {
+		c.t.Errorf("rule 1: request %s got its final answer %v after its deadline", id, c.gateway.now-record.deadline)
 	}
 }
--- a/waits_test.go
+++ b/waits_test.go
@@ -5,61 +5,61 @@
 	"time"
 )
 
-// A first token that does not come while its writer begins what was sent later has not
-// been slow: its connection may have fallen silent. Its wait must not slow the pace, or
-// the time after which it is left would run ahead of it.
-func TestAWaitThatOthersOvertookDoesNotSlowThePace(t *testing.T) {
+// If a decode server begins to answer later requests first, a missing first token doesn't show that it is slow: the
+// connection may have gone silent. The wait must not raise the latency estimate, or the time after which the attempt is
+// cancelled would grow as fast as the wait itself.
+func TestLatencyEstimate_LaterSendAnsweredFirst(t *testing.T) {
 	for _, overtaken := range []bool{true, false} {
-		n := newNode(t, settings(), reader("r"), writer("w", 0))
-		n.s.stageLatency[stageDecode].Observe(n.now, 50*ms, 320)
-		n.ask("a", 1, 0)
-		n.end("a", 0, "r", StatusPrefilled)
-		a := n.s.requests["a"].attempts[1]
-		limit := n.s.overdueAfter(n.s.requests["a"], a)
-		v := n.s.servers["w"]
-		v.lastProgressAt = n.now + 100*ms // it has been at work since
+		gateway := newGateway(t, testSettings(), prefillServer("r"), decodeServer("w", 0))
+		gateway.scheduler.stageLatency[stageDecode].Observe(gateway.now, 50*ms, 320)
+		gateway.requestChat("a", 1, 0)
+		gateway.endAttempt("a", 0, "r", StatusPrefilled)
+		attempt := gateway.scheduler.requests["a"].attempts[1]
+		limit := gateway.scheduler.overdueAfter(gateway.scheduler.requests["a"], attempt)
+		server := gateway.scheduler.servers["w"]
+		server.lastProgressAt = gateway.now + 100*ms // the server has finished other work since
 		if overtaken {
-			v.latestStartedSend[stageDecode] = n.now + 50*ms
+			server.latestStartedSend[stageDecode] = gateway.now + 50*ms
 		}
-		look := func(after time.Duration) bool {
-			n.now = a.sentAt + after
-			n.s.now, n.s.actions = n.now, nil
-			n.s.handleOverdue(n.s.requests["a"], 1)
-			n.out = n.s.actions
-			_, left := pick[Cancel](n)
-			return left
+		checkAfter := func(after time.Duration) bool {
+			gateway.now = attempt.sentAt + after
+			gateway.scheduler.now, gateway.scheduler.actions = gateway.now, nil
+			gateway.scheduler.handleOverdue(gateway.scheduler.requests["a"], 1)
+			gateway.actions = gateway.scheduler.actions
+			_, cancelled := firstAction[Cancel](gateway)
+			return cancelled
 		}
-		if look(limit + limit/2) {
-			t.Errorf("overtaken %v: left before twice its time", overtaken)
+		if checkAfter(limit + limit/2) {
+			t.Errorf("later request answered first %v: cancelled before twice the limit", overtaken)
 		}
-		slower := n.s.overdueAfter(n.s.requests["a"], a) > limit
-		if left := look(2*limit + ms); left != overtaken || slower == overtaken {
-			t.Errorf("overtaken %v: left %v after twice its time, slower pace %v", overtaken, left, slower)
+		slower := gateway.scheduler.overdueAfter(gateway.scheduler.requests["a"], attempt) > limit
+		if cancelled := checkAfter(2*limit + ms); cancelled != overtaken || slower == overtaken {
+			t.Errorf("later request answered first %v: cancelled %v after twice the limit, latency estimate raised %v", overtaken, cancelled, slower)
 		}
 	}
 }
 
-// An order whose connection fell silent waits for as long as its client does, since it
-// may have run. Where its writer has begun what was sent later, that says nothing of how
-// long writes take: the next silent one is to be found out as soon as this one was.
-func TestAnOrderThatOthersOvertookDoesNotSlowThePace(t *testing.T) {
+// A request with a side effect whose connection has gone silent waits for as long as its client does, since it may have
+// run. If its decode server has begun to answer a later request, that wait says nothing of how long decodes take, and must
+// not raise the latency estimate: the next silent connection is to be detected as soon as this one.
+func TestLatencyEstimate_SideEffectNeverAnswered(t *testing.T) {
 	for _, overtaken := range []bool{true, false} {
-		n := newNode(t, settings(), reader("r"), writer("w", 0))
+		gateway := newGateway(t, testSettings(), prefillServer("r"), decodeServer("w", 0))
 		for range 20 {
-			n.s.stageLatency[stageDecode].Observe(n.now, 50*ms, 320)
+			gateway.scheduler.stageLatency[stageDecode].Observe(gateway.now, 50*ms, 320)
 		}
-		n.do(Request{ID: "order", Class: "pay", PromptTokens: 320, TimeLeft: 5 * time.Second})
-		n.end("order", 0, "r", StatusPrefilled)
-		a := n.s.requests["order"].attempts[1]
+		gateway.handle(Request{ID: "order", Class: "pay", PromptTokens: 320, TimeLeft: 5 * time.Second})
+		gateway.endAttempt("order", 0, "r", StatusPrefilled)
+		attempt := gateway.scheduler.requests["order"].attempts[1]
 		if overtaken {
-			n.s.servers["w"].latestStartedSend[stageDecode] = a.sentAt + 50*ms
+			gateway.scheduler.servers["w"].latestStartedSend[stageDecode] = attempt.sentAt + 50*ms
 		}
-		before := n.s.overdueAfter(n.s.requests["order"], a)
-		n.now += 5 * time.Second
-		n.do(Outcome{ID: "order", Attempt: 1, Server: "w", Status: StatusTimedOut, Latency: 5 * time.Second})
-		after := n.s.overdueAfter(&trackedRequest{class: n.s.classes["pay"]}, a)
+		before := gateway.scheduler.overdueAfter(gateway.scheduler.requests["order"], attempt)
+		gateway.now += 5 * time.Second
+		gateway.handle(Outcome{ID: "order", Attempt: 1, Server: "w", Status: StatusTimedOut, Latency: 5 * time.Second})
+		after := gateway.scheduler.overdueAfter(&trackedRequest{class: gateway.scheduler.classes["pay"]}, attempt)
 		if slower := after > before; slower == overtaken {
-			t.Errorf("overtaken %v: overdue after %v, %v before", overtaken, after, before)
+			t.Errorf("later request answered first %v: overdue after %v, before the outcome after %v", overtaken, after, before)
 		}
 	}
 }
