--- a/internal/grpcfront/boxes.go
+++ b/internal/grpcfront/boxes.go
@@ -25,119 +25,119 @@
 	"ashwood.example/ashwood/internal/clock"
 )
 
-// Metadata of the boxes' protocol.
+// Metadata and trailer names of the engines' protocol.
 const (
-	trailerAway   = "ashwood-turned-away"
-	trailerLoad   = "ashwood-load"
-	metaRemaining = "ashwood-remaining-ms"
+	trailerTurnedAway = "ashwood-turned-away"
+	trailerLoad       = "ashwood-load"
+	metaRemaining     = "ashwood-remaining-ms"
 )
 
 const (
-	defaultConnect = 250.0
-	lingers        = 120000.0         // ms that a forgotten box's answers have to end
-	pingEvery      = 10 * time.Second // of a connection with calls on it
-	pingWait       = 2 * time.Second
-	idleAfter      = time.Minute
+	defaultConnectTimeout = 250.0
+	removedConnGrace      = 120000.0         // ms that the answers of a removed engine have to end
+	keepaliveInterval     = 10 * time.Second // on a connection with calls in flight
+	keepaliveTimeout      = 2 * time.Second
+	idleTimeout           = time.Minute
 )
 
-// Boxes is the transport to model boxes: one connection to each carries all
+// Engines is the transport to engines: one connection to each engine carries all
 // its calls.
-type Boxes struct {
-	clock   clock.Clock
-	creds   credentials.TransportCredentials
-	connect float64
+type Engines struct {
+	clock          clock.Clock
+	creds          credentials.TransportCredentials
+	connectTimeout float64
 
 	mu    sync.Mutex
-	conns map[string]*boxConn // by address
+	conns map[string]*engineConn // by address
 }
 
-// boxConn is a box's connection, and tells when one could not be made: the states
-// that the library shows may come and go between two looks.
-type boxConn struct {
+// engineConn is the connection to an engine. It signals failed dials itself, because the
+// states that the gRPC library reports may come and go between two checks.
+type engineConn struct {
 	*grpc.ClientConn
 
-	mu     sync.Mutex
-	failed chan struct{} // closed when the next dial fails
+	mu         sync.Mutex
+	dialFailed chan struct{} // closed when the next dial fails
 }
 
-func (c *boxConn) nextFailure() <-chan struct{} {
+func (c *engineConn) nextDialFailure() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.failed
+	return c.dialFailed
 }
 
-func (c *boxConn) dial(ctx context.Context, addr string) (net.Conn, error) {
+func (c *engineConn) dial(ctx context.Context, addr string) (net.Conn, error) {
 	var d net.Dialer
 	nc, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		close(c.failed)
-		c.failed = make(chan struct{})
+		close(c.dialFailed)
+		c.dialFailed = make(chan struct{})
 	}
 	return nc, err
 }
 
-// NewBoxes makes a transport.
-func NewBoxes(set ashwood.Settings, creds credentials.TransportCredentials, c clock.Clock) *Boxes {
-	connect := clock.Millis(set.Limits.ConnectTimeout)
-	if connect <= 0 {
-		connect = defaultConnect
+// NewEngines returns a transport without connections.
+func NewEngines(settings ashwood.Settings, creds credentials.TransportCredentials, c clock.Clock) *Engines {
+	connectTimeout := clock.Millis(settings.Limits.ConnectTimeout)
+	if connectTimeout <= 0 {
+		connectTimeout = defaultConnectTimeout
 	}
-	return &Boxes{clock: c, creds: creds, connect: connect, conns: map[string]*boxConn{}}
+	return &Engines{clock: c, creds: creds, connectTimeout: connectTimeout, conns: map[string]*engineConn{}}
 }
 
-// Keep forgets the boxes that a whole list no longer names. Their connections
-// are closed only after a while, since answers may still come over them.
-func (b *Boxes) Keep(list []ashwood.Server) {
-	named := map[string]bool{}
-	for _, v := range list {
-		named[v.Address] = true
+// Keep removes the engines that a membership snapshot no longer contains. Their
+// connections are closed only after a grace period, since answers may still arrive on them.
+func (e *Engines) Keep(servers []ashwood.Server) {
+	present := map[string]bool{}
+	for _, server := range servers {
+		present[server.Address] = true
 	}
-	for _, cc := range b.forget(func(addr string) bool { return !named[addr] }) {
-		b.clock.AfterFunc(lingers, func() { cc.Close() })
+	for _, cc := range e.removeConns(func(addr string) bool { return !present[addr] }) {
+		e.clock.AfterFunc(removedConnGrace, func() { cc.Close() })
 	}
 }
 
 // Close closes all connections.
-func (b *Boxes) Close() {
-	for _, cc := range b.forget(func(string) bool { return true }) {
+func (e *Engines) Close() {
+	for _, cc := range e.removeConns(func(string) bool { return true }) {
 		cc.Close()
 	}
 }
 
-func (b *Boxes) forget(which func(addr string) bool) (list []*boxConn) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for addr, cc := range b.conns {
-		if which(addr) {
-			list = append(list, cc)
-			delete(b.conns, addr)
+func (e *Engines) removeConns(remove func(addr string) bool) (removed []*engineConn) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for addr, cc := range e.conns {
+		if remove(addr) {
+			removed = append(removed, cc)
+			delete(e.conns, addr)
 		}
 	}
-	return list
+	return removed
 }
 
-// conn gives a box's connection once it is up. An error proves that nothing
-// was sent.
-func (b *Boxes) conn(ctx context.Context, addr string) (*grpc.ClientConn, error) {
-	cc, err := b.client(addr)
+// readyConn returns the shared connection to an address once it is ready. An error
+// proves that nothing was sent.
+func (e *Engines) readyConn(ctx context.Context, addr string) (*grpc.ClientConn, error) {
+	cc, err := e.sharedConn(addr)
 	if err != nil {
 		return nil, err
 	}
-	return b.connected(ctx, cc, addr)
+	return e.waitReady(ctx, cc, addr)
 }
 
-// connected gives a connection once it is up.
-func (b *Boxes) connected(ctx context.Context, cc *boxConn, addr string) (*grpc.ClientConn, error) {
+// waitReady returns a connection once it is ready.
+func (e *Engines) waitReady(ctx context.Context, cc *engineConn, addr string) (*grpc.ClientConn, error) {
 	if cc.GetState() == connectivity.Ready {
 		return cc.ClientConn, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, clock.Duration(b.connect))
+	ctx, cancel := context.WithTimeout(ctx, clock.Duration(e.connectTimeout))
 	defer cancel()
-	failed := cc.nextFailure()
+	failed := cc.nextDialFailure()
 	cc.Connect()
-	cc.ResetConnectBackoff() // a call does not wait for an earlier failure's pause
+	cc.ResetConnectBackoff() // a call does not wait for the backoff of an earlier failure
 	go func() {
 		select {
 		case <-failed:
@@ -162,34 +162,34 @@
 	}
 }
 
-func (b *Boxes) client(addr string) (*boxConn, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if cc := b.conns[addr]; cc != nil {
+func (e *Engines) sharedConn(addr string) (*engineConn, error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if cc := e.conns[addr]; cc != nil {
 		return cc, nil
 	}
-	c, err := b.newClient(addr)
+	c, err := e.newConn(addr)
 	if err != nil {
 		return nil, err
 	}
-	b.conns[addr] = c
+	e.conns[addr] = c
 	return c, nil
 }
 
-// newClient gives a connection of its own to an address, which is not up yet.
-func (b *Boxes) newClient(addr string) (*boxConn, error) {
-	// The library may send a call again only where the box has not taken it up;
-	// retries by policy are off.
-	c := &boxConn{failed: make(chan struct{})}
+// newConn returns an unshared connection to an address, which is not ready yet.
+func (e *Engines) newConn(addr string) (*engineConn, error) {
+	// The library retries a call only if the engine has not processed it;
+	// retries by policy are disabled.
+	c := &engineConn{dialFailed: make(chan struct{})}
 	cc, err := grpc.NewClient("passthrough:///"+addr, grpc.WithContextDialer(c.dial),
-		grpc.WithTransportCredentials(b.creds), grpc.WithDisableRetry(),
-		grpc.WithDisableServiceConfig(), grpc.WithStatsHandler(trailerWatch{}), grpc.WithIdleTimeout(idleAfter),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingEvery, Timeout: pingWait}),
+		grpc.WithTransportCredentials(e.creds), grpc.WithDisableRetry(),
+		grpc.WithDisableServiceConfig(), grpc.WithStatsHandler(trailerObserver{}), grpc.WithIdleTimeout(idleTimeout),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff:           backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 2 * time.Second},
-			MinConnectTimeout: clock.Duration(b.connect),
+			MinConnectTimeout: clock.Duration(e.connectTimeout),
 		}),
-		grpc.WithDefaultCallOptions(grpc.ForceCodecV2(newCodec())))
+		grpc.WithDefaultCallOptions(grpc.ForceCodecV2(newPassthroughCodec())))
 	if err != nil {
 		return nil, fmt.Errorf("grpcfront: %s: %w", addr, err)
 	}
@@ -197,43 +197,43 @@
 	return c, nil
 }
 
-// trailerWatch tells a box's own status from one that the library makes up
-// when a connection breaks: only the former comes in a trailer.
-type trailerWatch struct{}
+// trailerObserver distinguishes an engine's own status from one that the library
+// generates when a connection breaks: only the former arrives in a trailer.
+type trailerObserver struct{}
 
-type trailerKey struct{}
+type trailerSeenKey struct{}
 
-func (trailerWatch) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
+func (trailerObserver) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
-func (trailerWatch) HandleRPC(ctx context.Context, s stats.RPCStats) {
-	if seen, ok := ctx.Value(trailerKey{}).(*atomic.Bool); ok {
+func (trailerObserver) HandleRPC(ctx context.Context, s stats.RPCStats) {
+	if seen, ok := ctx.Value(trailerSeenKey{}).(*atomic.Bool); ok {
 		if _, ok := s.(*stats.InTrailer); ok {
 			seen.Store(true)
 		}
 	}
 }
 
-func (trailerWatch) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
+func (trailerObserver) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 
-func (trailerWatch) HandleConn(context.Context, stats.ConnStats) {}
+func (trailerObserver) HandleConn(context.Context, stats.ConnStats) {}
 
-// open writes a call whole. An error proves that it did not reach the box:
-// grpc hands the message over whole or not at all. What headers gives goes with it, worked out
-// once the connection is up.
-func (b *Boxes) open(
-	ctx context.Context, box ashwood.Server, method string, msg any, ready func() bool, headers ...func() (name, value string),
-) (*call, error) {
-	cc, err := b.conn(ctx, box.Address)
+// openCall sends a complete request. An error proves that it did not reach the engine:
+// grpc hands over the whole message or nothing. The headers are computed once the connection
+// is ready.
+func (e *Engines) openCall(
+	ctx context.Context, engine ashwood.Server, method string, msg any, ready func() bool, headers ...func() (name, value string),
+) (*engineCall, error) {
+	cc, err := e.readyConn(ctx, engine.Address)
 	if err != nil {
 		return nil, err
 	}
-	return openOn(ctx, cc, box, method, msg, ready, headers...)
+	return openCallOn(ctx, cc, engine, method, msg, ready, headers...)
 }
 
-// openOn is open on a connection that is up.
-func openOn(
-	ctx context.Context, cc *grpc.ClientConn, box ashwood.Server, method string, msg any, ready func() bool, headers ...func() (name, value string),
-) (c *call, err error) {
+// openCallOn is openCall on a connection that is ready.
+func openCallOn(
+	ctx context.Context, cc *grpc.ClientConn, engine ashwood.Server, method string, msg any, ready func() bool, headers ...func() (name, value string),
+) (c *engineCall, err error) {
 	if !ready() {
 		return nil, errNotReady
 	}
@@ -241,60 +241,60 @@
 		name, value := header()
 		ctx = metadata.AppendToOutgoingContext(ctx, name, value)
 	}
-	c = &call{trailed: &atomic.Bool{}}
-	ctx = context.WithValue(ctx, trailerKey{}, c.trailed)
+	c = &engineCall{trailerSeen: &atomic.Bool{}}
+	ctx = context.WithValue(ctx, trailerSeenKey{}, c.trailerSeen)
 	if c.ClientStream, err = cc.NewStream(ctx, &grpc.StreamDesc{ServerStreams: true}, method); err != nil {
-		return nil, fmt.Errorf("grpcfront: %s: %v", box.ID, err)
+		return nil, fmt.Errorf("grpcfront: %s: %v", engine.ID, err)
 	}
 	if err = c.SendMsg(msg); errors.Is(err, io.EOF) {
-		err = c.RecvMsg(&frame{}) // why the box has ended it before it had it
+		err = c.RecvMsg(&rawMessage{}) // the status with which the engine ended the call before it had the request
 	}
 	if err == nil {
 		err = c.CloseSend()
 	}
 	if err != nil {
-		return nil, fmt.Errorf("grpcfront: %s: %v", box.ID, err)
+		return nil, fmt.Errorf("grpcfront: %s: %v", engine.ID, err)
 	}
 	return c, nil
 }
 
-func always() bool { return true }
+func alwaysReady() bool { return true }
 
-// Send carries out an attempt.
-func (b *Boxes) Send(ctx context.Context, a gateway.Attempt) gateway.Answer {
+// Send makes an attempt. For a decode attempt it returns once the first token has arrived.
+func (e *Engines) Send(ctx context.Context, attempt gateway.Attempt) gateway.Answer {
 	method := ashwoodpb.Box_Write_FullMethodName
-	if a.Reads {
+	if attempt.Reads {
 		method = ashwoodpb.Box_Read_FullMethodName
 	}
-	begun := b.clock.Now()
+	startedAt := e.clock.Now()
 	remaining := func() (name, value string) {
-		left := max(a.Remaining-(b.clock.Now()-begun), 0)
-		return metaRemaining, strconv.FormatFloat(left, 'f', 0, 64)
+		remainingMs := max(attempt.Remaining-(e.clock.Now()-startedAt), 0)
+		return metaRemaining, strconv.FormatFloat(remainingMs, 'f', 0, 64)
 	}
-	c, err := b.open(ctx, a.Engine, method, &frame{a.Body}, a.Ready, remaining)
+	c, err := e.openCall(ctx, attempt.Engine, method, &rawMessage{attempt.Body}, attempt.Ready, remaining)
 	if err != nil {
-		st := ashwood.NoConnection
+		status := ashwood.NoConnection
 		if ctx.Err() != nil || errors.Is(err, errNotReady) {
-			st = ashwood.NotSent
+			status = ashwood.NotSent
 		}
-		return gateway.Answer{Result: ashwood.Result{Status: st}, Err: err}
+		return gateway.Answer{Result: ashwood.Result{Status: status}, Err: err}
 	}
-	a.Sent()
-	if a.Reads {
-		return c.read(a.Engine.ID)
+	attempt.Sent()
+	if attempt.Reads {
+		return c.receivePrefill(attempt.Engine.ID)
 	}
-	first := &frame{}
+	first := &rawMessage{}
 	if err := c.RecvMsg(first); err != nil {
-		return c.unserved(a.Engine.ID, err)
+		return c.failedAttempt(attempt.Engine.ID, err)
 	}
 	return gateway.Answer{
-		Result: ashwood.Result{Status: ashwood.Served}, Stream: &stream{call: c, box: a.Engine.ID, first: first},
+		Result: ashwood.Result{Status: ashwood.Served}, Stream: &engineStream{engineCall: c, engine: attempt.Engine.ID, first: first},
 	}
 }
 
-// Reserve asks a writer to hold a place.
-func (b *Boxes) Reserve(ctx context.Context, box ashwood.Server, id ashwood.RequestID, ready func() bool) gateway.Place {
-	c, err := b.open(ctx, box, ashwoodpb.Box_Reserve_FullMethodName, &ashwoodpb.RoomRequest{RequestId: string(id)}, ready)
+// Reserve asks a decode engine for a reservation.
+func (e *Engines) Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, ready func() bool) gateway.Place {
+	c, err := e.openCall(ctx, engine, ashwoodpb.Box_Reserve_FullMethodName, &ashwoodpb.RoomRequest{RequestId: string(id)}, ready)
 	if err != nil {
 		return gateway.PlaceUnasked
 	}
@@ -308,47 +308,47 @@
 	return gateway.PlaceRefused
 }
 
-// Release lets go of what a box holds for a request. After a try without an answer it goes on a connection of its own:
-// the box's may have gone silent alone, which the library's pings tell much later.
-func (b *Boxes) Release(ctx context.Context, box ashwood.Server, id ashwood.RequestID, fresh bool) error {
-	connect := b.client
-	if fresh {
-		connect = b.newClient
+// Release has an engine drop its holds for a request. After a try without an answer, newConn makes it use a connection of
+// its own: the shared one alone may have gone silent, which the library's keep-alive detects much later.
+func (e *Engines) Release(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, newConn bool) error {
+	getConn := e.sharedConn
+	if newConn {
+		getConn = e.newConn
 	}
-	conn, err := connect(box.Address)
+	conn, err := getConn(engine.Address)
 	if err != nil {
 		return err
 	}
-	if fresh {
+	if newConn {
 		defer conn.Close()
 	}
-	cc, err := b.connected(ctx, conn, box.Address)
+	cc, err := e.waitReady(ctx, conn, engine.Address)
 	if err != nil {
 		return err
 	}
-	c, err := openOn(ctx, cc, box, ashwoodpb.Box_Release_FullMethodName, &ashwoodpb.RoomRequest{RequestId: string(id)}, always)
+	c, err := openCallOn(ctx, cc, engine, ashwoodpb.Box_Release_FullMethodName, &ashwoodpb.RoomRequest{RequestId: string(id)}, alwaysReady)
 	if err != nil {
 		return err
 	}
-	// The library takes the message also where the box is silent: only what comes back shows that it has it.
-	err = c.RecvMsg(&frame{})
+	// The library accepts the message even if the engine is silent: only a response shows that the engine has received it.
+	err = c.RecvMsg(&rawMessage{})
 	switch {
-	case err == nil, c.trailed.Load():
+	case err == nil, c.trailerSeen.Load():
 		return nil
 	case ctx.Err() != nil:
-		return fmt.Errorf("grpcfront: %s: %w: %w", box.ID, gateway.ErrUnanswered, err)
+		return fmt.Errorf("grpcfront: %s: %w: %w", engine.ID, gateway.ErrUnanswered, err)
 	}
-	return fmt.Errorf("grpcfront: %s: %w", box.ID, err)
+	return fmt.Errorf("grpcfront: %s: %w", engine.ID, err)
 }
 
-// Probe asks a box for its load.
-func (b *Boxes) Probe(ctx context.Context, box ashwood.Server) (ashwood.Status, ashwood.Report) {
-	c, err := b.open(ctx, box, ashwoodpb.Box_Load_FullMethodName, &ashwoodpb.LoadRequest{}, always)
+// Probe asks an engine for its load report.
+func (e *Engines) Probe(ctx context.Context, engine ashwood.Server) (ashwood.Status, ashwood.Report) {
+	c, err := e.openCall(ctx, engine, ashwoodpb.Box_Load_FullMethodName, &ashwoodpb.LoadRequest{}, alwaysReady)
 	if err != nil {
 		return ashwood.NoConnection, nil
 	}
-	if err = c.RecvMsg(&frame{}); err == nil {
-		err = c.RecvMsg(&frame{})
+	if err = c.RecvMsg(&rawMessage{}); err == nil {
+		err = c.RecvMsg(&rawMessage{})
 	}
 	if !errors.Is(err, io.EOF) {
 		return ashwood.ServerError, c.report()
--- a/internal/grpcfront/call.go
+++ b/internal/grpcfront/call.go
@@ -16,97 +16,98 @@
 	"ashwood.example/ashwood/internal/wire"
 )
 
-// call is one RPC at a box.
-type call struct {
+// engineCall is one RPC to an engine.
+type engineCall struct {
 	grpc.ClientStream
-	trailed *atomic.Bool
+	trailerSeen *atomic.Bool // a trailer came from the engine
 }
 
-var errNotReady = errors.New("grpcfront: not to be sent any more")
+var errNotReady = errors.New("grpcfront: the request must not be sent any more")
 
-func (c *call) report() ashwood.Report {
+func (c *engineCall) report() ashwood.Report {
 	if v := c.Trailer().Get(trailerLoad); len(v) > 0 {
 		return wire.ParseReport(v[0])
 	}
 	return nil
 }
 
-// failure is an error as the front may show it: a box's own keeps its code, a
-// broken connection's has none, since UNAVAILABLE would invite another try.
-func (c *call) failure(box ashwood.ServerID, err error) error {
-	if c.trailed.Load() {
-		return fmt.Errorf("grpcfront: %s: %w", box, err)
+// wrapError wraps an error for clients. An engine's own error keeps its status code; that
+// of a broken connection has none, since UNAVAILABLE would make clients retry.
+func (c *engineCall) wrapError(engine ashwood.ServerID, err error) error {
+	if c.trailerSeen.Load() {
+		return fmt.Errorf("grpcfront: %s: %w", engine, err)
 	}
-	return fmt.Errorf("grpcfront: %s: %v", box, err)
+	return fmt.Errorf("grpcfront: %s: %v", engine, err)
 }
 
-func (c *call) read(box ashwood.ServerID) gateway.Answer {
-	var kept ashwoodpb.ReadResult
-	err := c.RecvMsg(&kept)
+func (c *engineCall) receivePrefill(engine ashwood.ServerID) gateway.Answer {
+	var result ashwoodpb.ReadResult
+	err := c.RecvMsg(&result)
 	if err == nil {
-		err = c.RecvMsg(&frame{}) // its end, with the trailer
+		err = c.RecvMsg(&rawMessage{}) // the end of the call, with the trailer
 	}
 	if !errors.Is(err, io.EOF) {
-		return c.unserved(box, err)
+		return c.failedAttempt(engine, err)
 	}
 	return gateway.Answer{Result: ashwood.Result{
-		Status: ashwood.Parsed, Note: float64(kept.GetCachedTokens()), Report: c.report(),
+		Status: ashwood.Parsed, Note: float64(result.GetCachedTokens()), Report: c.report(),
 	}}
 }
 
-// unserved tells what a call that brought no answer proves.
-func (c *call) unserved(box ashwood.ServerID, err error) gateway.Answer {
-	res := ashwood.Result{Status: ashwood.ConnectionLost, Report: c.report()}
+// failedAttempt returns the result of an attempt that got no answer, as far as the
+// call's status and trailer prove it.
+func (c *engineCall) failedAttempt(engine ashwood.ServerID, err error) gateway.Answer {
+	result := ashwood.Result{Status: ashwood.ConnectionLost, Report: c.report()}
 	switch {
-	case !c.trailed.Load():
-	case len(c.Trailer().Get(trailerAway)) > 0:
-		res.Status = ashwood.TurnedAway
+	case !c.trailerSeen.Load():
+	case len(c.Trailer().Get(trailerTurnedAway)) > 0:
+		result.Status = ashwood.TurnedAway
 		if status.Code(err) == codes.FailedPrecondition {
-			res.Note = 1
+			result.Note = 1
 		}
 	default:
-		res.Status = ashwood.ServerError
+		result.Status = ashwood.ServerError
 	}
 	if errors.Is(err, io.EOF) {
-		err = errors.New("ended without a token")
+		err = errors.New("stream ended without a token")
 	}
-	return gateway.Answer{Result: res, Err: c.failure(box, err)}
+	return gateway.Answer{Result: result, Err: c.wrapError(engine, err)}
 }
 
-// stream is an answer whose tokens go on as the bytes that came.
-type stream struct {
-	*call
-	box   ashwood.ServerID
-	first *frame
-	ended bool
+// engineStream is an answer whose tokens are passed on as the bytes received.
+type engineStream struct {
+	*engineCall
+	engine ashwood.ServerID
+	first  *rawMessage
+	ended  bool
 }
 
-// Next gives the next token.
-func (s *stream) Next() ([]byte, error) {
+// Next returns the next token, or io.EOF at the end of the answer.
+func (s *engineStream) Next() ([]byte, error) {
 	if f := s.first; f != nil {
 		s.first = nil
-		return f.raw, nil
+		return f.bytes, nil
 	}
-	f := &frame{}
+	f := &rawMessage{}
 	switch err := s.RecvMsg(f); {
 	case err == nil:
-		return f.raw, nil
+		return f.bytes, nil
 	case errors.Is(err, io.EOF):
 		s.ended = true
 		return nil, io.EOF
 	default:
 		s.ended = true
-		return nil, s.failure(s.box, err)
+		return nil, s.wrapError(s.engine, err)
 	}
 }
 
-// Report is the load told at the stream's end.
-func (s *stream) Report() ashwood.Report {
+// Report returns the load report that came at the stream's end.
+func (s *engineStream) Report() ashwood.Report {
 	if !s.ended {
 		return nil
 	}
 	return s.report()
 }
 
-// Close ends the call; its context, which the gateway has ended, does the rest.
-func (s *stream) Close() error { return nil }
+// Close does nothing: the gateway has ended the call's context, which ends the call.
+func (s *engineStream) Close() error { return nil }
--- a/internal/grpcfront/codec.go
+++ b/internal/grpcfront/codec.go
@@ -1,5 +1,6 @@
-// Package grpcfront is the gateway's gRPC front: a server for clients and a
-// transport to model boxes, both with token streams.
+// Package grpcfront translates the gRPC protocols: it has a server for clients and a
+// transport to engines, both with token streams. It makes no routing decisions; those
+// belong to the gateway behind Handler.
 package grpcfront
 
 import (
@@ -8,26 +9,26 @@
 	"google.golang.org/grpc/mem"
 )
 
-// frame is a message that passes through as the bytes that came.
-type frame struct{ raw []byte }
+// rawMessage is a message that is passed through as the bytes received.
+type rawMessage struct{ bytes []byte }
 
-// codec takes frames as they are and leaves all else to protobuf.
-type codec struct{ encoding.CodecV2 }
+// passthroughCodec passes raw messages through and leaves all others to protobuf.
+type passthroughCodec struct{ encoding.CodecV2 }
 
-func newCodec() codec { return codec{encoding.GetCodecV2(proto.Name)} }
+func newPassthroughCodec() passthroughCodec { return passthroughCodec{encoding.GetCodecV2(proto.Name)} }
 
-// Marshal gives a frame's bytes.
-func (c codec) Marshal(v any) (mem.BufferSlice, error) {
-	if f, ok := v.(*frame); ok {
-		return mem.BufferSlice{mem.SliceBuffer(f.raw)}, nil
+// Marshal returns the bytes of a raw message, or encodes any other message.
+func (c passthroughCodec) Marshal(v any) (mem.BufferSlice, error) {
+	if f, ok := v.(*rawMessage); ok {
+		return mem.BufferSlice{mem.SliceBuffer(f.bytes)}, nil
 	}
 	return c.CodecV2.Marshal(v)
 }
 
-// Unmarshal fills a frame with the bytes that came.
-func (c codec) Unmarshal(data mem.BufferSlice, v any) error {
-	if f, ok := v.(*frame); ok {
-		f.raw = data.Materialize()
+// Unmarshal stores the received bytes in a raw message, or decodes any other message.
+func (c passthroughCodec) Unmarshal(data mem.BufferSlice, v any) error {
+	if f, ok := v.(*rawMessage); ok {
+		f.bytes = data.Materialize()
 		return nil
 	}
 	return c.CodecV2.Unmarshal(data, v)
--- a/internal/grpcfront/grpcfront_test.go
+++ b/internal/grpcfront/grpcfront_test.go
@@ -20,35 +20,35 @@
 	"ashwood.example/ashwood/internal/clock"
 )
 
-var stories = func() []story {
-	whole := result{3, codes.OK, 1, 1}
-	return []story{
+var sessionScripts = func() []sessionScript {
+	whole := callSummary{3, codes.OK, 1, 1}
+	return []sessionScript{
 		{"plain", whole, whole},
-		{"removed", whole, whole}, // the list drops the box in mid-answer, which still ends whole
-		{"read error", result{3, codes.OK, 2, 1}, result{3, codes.OK, 2, 1}},
-		{"turned away once", result{3, codes.OK, 1, 2}, result{3, codes.OK, 1, 2}},
-		{"no state once", result{3, codes.OK, 2, 2}, result{3, codes.OK, 2, 2}},
-		{"writer error", result{0, codes.Unavailable, 1, 5}, result{0, codes.Internal, 1, 1}},
-		{"error after first", result{1, codes.DataLoss, 1, 1}, result{1, codes.DataLoss, 1, 1}},
+		{"removed", whole, whole}, // the membership drops the engine during the answer, which is still complete
+		{"prefill error", callSummary{3, codes.OK, 2, 1}, callSummary{3, codes.OK, 2, 1}},
+		{"turned away once", callSummary{3, codes.OK, 1, 2}, callSummary{3, codes.OK, 1, 2}},
+		{"no KV state once", callSummary{3, codes.OK, 2, 2}, callSummary{3, codes.OK, 2, 2}},
+		{"decode error", callSummary{0, codes.Unavailable, 1, 5}, callSummary{0, codes.Internal, 1, 1}},
+		{"error after first", callSummary{1, codes.DataLoss, 1, 1}, callSummary{1, codes.DataLoss, 1, 1}},
 	}
 }()
 
-// story is a session as the boxes play it and what a request of each class sees.
-type story struct {
+// sessionScript names a session that the engines have a script for, and the expected result for a request of each class.
+type sessionScript struct {
 	session     string
-	chat, order result
+	chat, order callSummary
 }
 
-// Each story has boxes of its own and one request at a time: what other
-// requests meet at a box decides where the next one goes, or whether it goes.
-func TestEachRequestGetsOneAnswer(t *testing.T) {
-	for _, tt := range stories {
+// Each script runs on engines of its own with one request at a time, since the results of
+// other requests at an engine influence where the next one goes, or whether it is sent at all.
+func TestServe_OneAnswerPerRequest(t *testing.T) {
+	for _, tt := range sessionScripts {
 		t.Run(tt.session, func(t *testing.T) {
-			client, f, _ := start(t)
-			check := func(id, class string, want result) {
-				got, calls := f.observe(client, id, class, tt.session)
-				if class == "case-chat" && tt.session == "writer error" {
-					got.Writes = want.Writes // as often as there was time for: repeating is harmless
+			client, fleet, _ := startGateway(t)
+			check := func(id, class string, want callSummary) {
+				got, calls := fleet.callAndCount(client, id, class, tt.session)
+				if class == "case-chat" && tt.session == "decode error" {
+					got.Decodes = want.Decodes // as many as there was time for: a pure request may be repeated
 				}
 				if diff := cmp.Diff(want, got); diff != "" {
 					t.Errorf("%s: calls %v\n%s", class, calls, diff)
@@ -58,35 +58,35 @@
 				check(fmt.Sprint("chat", i), "case-chat", tt.chat)
 				check(fmt.Sprint("order", i), "send-order", tt.order)
 			}
-			f.released(t)
+			fleet.waitReleased(t)
 		})
 	}
 }
 
-// All stories at once at the same boxes: no order is written again after it may
-// have run, whoever is refused meanwhile, and nothing stays held.
-func TestOrdersRunOnceAmongOthers(t *testing.T) {
-	client, f, _ := start(t)
+// All scripts run at once on the same engines: no side effect is decoded again after it may
+// have run, whatever is refused meanwhile, and no holds remain.
+func TestServe_NonIdempotentConcurrent(t *testing.T) {
+	client, fleet, _ := startGateway(t)
 	var all sync.WaitGroup
-	for _, tt := range stories {
+	for _, tt := range sessionScripts {
 		for i := range 8 {
 			all.Go(func() {
-				got, calls := f.observe(client, fmt.Sprint(tt.session, i), "send-order", tt.session)
-				if got.Writes > tt.order.Writes {
+				got, calls := fleet.callAndCount(client, fmt.Sprint(tt.session, i), "send-order", tt.session)
+				if got.Decodes > tt.order.Decodes {
 					t.Errorf("%s: calls %v", tt.session, calls)
 				}
 				if got.Code == codes.OK && got.Tokens != tt.order.Tokens {
-					t.Errorf("%s: %d tokens of an answer that ended well, want %d", tt.session, got.Tokens, tt.order.Tokens)
+					t.Errorf("%s: %d tokens in an answer that ended with OK, want %d", tt.session, got.Tokens, tt.order.Tokens)
 				}
 			})
 		}
 	}
 	all.Wait()
-	f.released(t)
+	fleet.waitReleased(t)
 }
 
-func TestCancelMidAnswerEndsTheBoxsStreamAndSendsNothingMore(t *testing.T) {
-	client, f, _ := start(t)
+func TestServe_ClientCancelsMidAnswer(t *testing.T) {
+	client, fleet, _ := startGateway(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	s, err := client.Generate(ctx, &ashwoodpb.GenerateRequest{RequestId: "q", Class: "send-order", Session: "endless", PromptTokens: 64})
 	if err != nil {
@@ -96,75 +96,75 @@
 		t.Fatalf("first token %v, %v", tok, err)
 	}
 	cancel()
-	if id := <-f.canceled; id != "q" {
-		t.Errorf("the box's stream of %s ended", id)
+	if id := <-fleet.canceled; id != "q" {
+		t.Errorf("the engine's stream of %s ended, want q", id)
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
 	writes := 0
-	for _, c := range f.calls["q"] {
+	for _, c := range fleet.calls["q"] {
 		if c[3:] == "write" {
 			writes++
 		}
 	}
 	if writes != 1 {
-		t.Errorf("calls %v, want one write", f.calls["q"])
+		t.Errorf("calls %v, want one write", fleet.calls["q"])
 	}
 }
 
-func TestDeadlineWithoutATokenIsOneFailureForAnOrder(t *testing.T) {
+func TestServe_NonIdempotentFirstTokenDeadline(t *testing.T) {
 	c := clock.NewManual(0)
-	client, f, _ := startAt(t, c)
+	client, fleet, _ := startGatewayWith(t, c)
 	end := make(chan error, 1)
 	go func() {
-		_, err := ask(client, &ashwoodpb.GenerateRequest{RequestId: "q", Class: "send-order", Session: "silent", PromptTokens: 64, FirstTokenMs: 300})
+		_, err := generate(client, &ashwoodpb.GenerateRequest{RequestId: "q", Class: "send-order", Session: "silent", PromptTokens: 64, FirstTokenMs: 300})
 		end <- err
 	}()
-	<-f.waiting
+	<-fleet.unanswered
 	c.Advance(300)
 	if err := <-end; status.Code(err) != codes.DeadlineExceeded {
 		t.Errorf("got %v, want DEADLINE_EXCEEDED", err)
 	}
-	if len(f.waiting) > 0 {
-		t.Errorf("written again; calls %v", f.calls["q"])
+	if len(fleet.unanswered) > 0 {
+		t.Errorf("decoded again; calls %v", fleet.calls["q"])
 	}
 }
 
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
-	client, _, gw := start(t)
+func TestRefusal_RetryInfo(t *testing.T) {
+	client, _, gw := startGateway(t)
 	check := func(in *ashwoodpb.GenerateRequest, code codes.Code) {
 		t.Helper()
-		_, err := ask(client, in)
+		_, err := generate(client, in)
 		st := status.Convert(err)
 		if st.Code() != code || len(st.Details()) != 1 {
 			t.Fatalf("got %v with %v, want %v with RetryInfo", err, st.Details(), code)
 		}
 		info, ok := st.Details()[0].(*errdetails.RetryInfo)
 		if d := info.GetRetryDelay().AsDuration(); !ok || d <= 0 || d > 500*time.Millisecond {
-			t.Errorf("detail %v", st.Details()[0])
+			t.Errorf("detail %v, want RetryInfo with a delay in (0, 500 ms]", st.Details()[0])
 		}
 	}
 	check(&ashwoodpb.GenerateRequest{RequestId: "a", Class: "send-order", Session: "refused", PromptTokens: 64, FirstTokenMs: 200}, codes.Unavailable)
-	gw.Update(ashwood.ListWhole, nil) // no box left
+	gw.Update(ashwood.ListWhole, nil) // no engine left
 	check(&ashwoodpb.GenerateRequest{RequestId: "b", Class: "send-order", PromptTokens: 64, FirstTokenMs: 200}, codes.ResourceExhausted)
 }
 
-func TestProbeTellsTheLoad(t *testing.T) {
-	_, f, _ := start(t)
-	status, report := f.boxes.Probe(context.Background(), f.list[0])
+func TestProbe_LoadReport(t *testing.T) {
+	_, fleet, _ := startGateway(t)
+	status, report := fleet.transport.Probe(context.Background(), fleet.servers[0])
 	if diff := cmp.Diff(ashwood.Report{ashwood.ReportInFlight: 2}, report); status != ashwood.Served || diff != "" {
 		t.Errorf("status %v\n%s", status, diff)
 	}
 	gone := listen(t)
 	gone.Close()
-	status, _ = f.boxes.Probe(context.Background(), ashwood.Server{ID: "gone", Address: gone.Addr().String()})
+	status, _ = fleet.transport.Probe(context.Background(), ashwood.Server{ID: "gone", Address: gone.Addr().String()})
 	if status != ashwood.NoConnection {
-		t.Errorf("status %v of a box that is gone", status)
+		t.Errorf("status %v of an engine that is gone", status)
 	}
 }
 
-func TestDrainingFrontSaysSoAndFinishesWhatRuns(t *testing.T) {
-	client, f, _ := start(t)
+func TestDrain_OpenAnswers(t *testing.T) {
+	client, fleet, _ := startGateway(t)
 	s, err := client.Generate(context.Background(), &ashwoodpb.GenerateRequest{RequestId: "q", Class: "send-order", Session: "halved", PromptTokens: 64})
 	if err != nil {
 		t.Fatal(err)
@@ -172,49 +172,49 @@
 	if _, err := s.Recv(); err != nil {
 		t.Fatal(err)
 	}
-	f.front.Drain()
-	health, err := f.front.health.Check(context.Background(), &grpc_health_v1.HealthCheckRequest{})
+	fleet.front.Drain()
+	health, err := fleet.front.health.Check(context.Background(), &grpc_health_v1.HealthCheckRequest{})
 	if err != nil || health.Status != grpc_health_v1.HealthCheckResponse_NOT_SERVING {
 		t.Errorf("health %v, %v", health, err)
 	}
-	if tokens, err := ask(client, &ashwoodpb.GenerateRequest{RequestId: "late", Class: "send-order", PromptTokens: 64}); len(tokens) != 3 || err != io.EOF {
-		t.Errorf("a call while it drains: %v, %v", tokens, err)
+	if tokens, err := generate(client, &ashwoodpb.GenerateRequest{RequestId: "late", Class: "send-order", PromptTokens: 64}); len(tokens) != 3 || err != io.EOF {
+		t.Errorf("call during the drain: %v, %v", tokens, err)
 	}
 	ended := make(chan struct{})
 	go func() {
-		f.front.Shutdown()
+		fleet.front.Shutdown()
 		close(ended)
 	}()
-	f.second <- struct{}{}
+	fleet.continueAnswer <- struct{}{}
 	for err = nil; err == nil; {
 		_, err = s.Recv()
 	}
 	if err != io.EOF {
-		t.Errorf("the running answer ended with %v", err)
+		t.Errorf("the open answer ended with %v", err)
 	}
 	<-ended
 }
 
-func TestUnusableCallsAreInvalid(t *testing.T) {
-	client, _, _ := start(t)
+func TestServe_InvalidRequests(t *testing.T) {
+	client, _, _ := startGateway(t)
 	for _, in := range []*ashwoodpb.GenerateRequest{{Class: "case-chat"}, {RequestId: "a", Class: "no such"}, {RequestId: "a"}} {
-		if _, err := ask(client, in); status.Code(err) != codes.InvalidArgument {
+		if _, err := generate(client, in); status.Code(err) != codes.InvalidArgument {
 			t.Errorf("%v: %v", in, err)
 		}
 	}
 }
 
-// Fields that this version does not know go on to the boxes.
-func TestBytesPassThroughUnchanged(t *testing.T) {
-	client, f, _ := start(t)
+// Fields that this version does not know are passed on to the engines.
+func TestServe_UnknownFields(t *testing.T) {
+	client, fleet, _ := startGateway(t)
 	in := &ashwoodpb.GenerateRequest{RequestId: "q", Class: "case-chat", PromptTokens: 64, Prompt: []byte{0, 255, 1}}
 	in.ProtoReflect().SetUnknown([]byte{0xf8, 0x07, 0x2a}) // field 127 = 42
-	if _, err := ask(client, in); err != io.EOF {
+	if _, err := generate(client, in); err != io.EOF {
 		t.Fatal(err)
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if !proto.Equal(in, f.last) {
-		t.Errorf("the box got %v, want %v", f.last, in)
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	if !proto.Equal(in, fleet.lastWrite) {
+		t.Errorf("the engine got %v, want %v", fleet.lastWrite, in)
 	}
 }
--- a/internal/grpcfront/harness_test.go
+++ b/internal/grpcfront/harness_test.go
@@ -22,143 +22,143 @@
 	"ashwood.example/ashwood/internal/clock"
 )
 
-// box is a stand-in for a model box. What it does with a request is scripted
-// by the request's session; what it was sent is counted.
-type box struct {
+// scriptedEngine stands in for an engine. The request's session selects what it does
+// with a request; it counts the calls that it gets.
+type scriptedEngine struct {
 	ashwoodpb.UnimplementedBoxServer
-	*fleet
+	*scriptedFleet
 	name string
 }
 
-// fleet keeps what all boxes were sent.
-type fleet struct {
-	mu       sync.Mutex
-	calls    map[string][]string // of each request, as "box method", in order
-	rooms    map[string]int      // held by a request: states and places
-	canceled chan string         // requests whose stream the gateway has ended
-	waiting  chan string         // requests that a box keeps without an answer
-	last     *ashwoodpb.GenerateRequest
-	freed    chan struct{} // gets a value with each release
-	boxes    *Boxes        // the gateway's transport to them
-	list     []ashwood.Server
-	front    *Server
-	second   chan struct{} // a value lets an answer go on after its first token
+// scriptedFleet is the shared state of all scripted engines and the gateway that calls them.
+type scriptedFleet struct {
+	mu             sync.Mutex
+	calls          map[string][]string // of each request, as "engine method", in order
+	holds          map[string]int      // KV state and reservations, by request
+	canceled       chan string         // requests whose stream the gateway has ended
+	unanswered     chan string         // requests that an engine keeps without an answer
+	lastWrite      *ashwoodpb.GenerateRequest
+	releases       chan struct{} // gets a value at each release
+	transport      *Engines      // the gateway's transport to them
+	servers        []ashwood.Server
+	front          *Server
+	continueAnswer chan struct{} // a value lets an answer continue after its first token
 }
 
-func (b *box) note(id, method string) (nth int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, c := range b.calls[id] {
+func (e *scriptedEngine) recordCall(id, method string) (nth int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, c := range e.calls[id] {
 		if c[len(c)-len(method):] == method {
 			nth++
 		}
 	}
-	b.calls[id] = append(b.calls[id], b.name+" "+method)
+	e.calls[id] = append(e.calls[id], e.name+" "+method)
 	return nth
 }
 
-func (b *box) hold(id string, n int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.rooms[id] += n
+func (e *scriptedEngine) addHolds(id string, n int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.holds[id] += n
 }
 
-func (b *box) Read(ctx context.Context, in *ashwoodpb.GenerateRequest) (*ashwoodpb.ReadResult, error) {
-	nth := b.note(in.RequestId, "read")
+func (e *scriptedEngine) Read(ctx context.Context, in *ashwoodpb.GenerateRequest) (*ashwoodpb.ReadResult, error) {
+	nth := e.recordCall(in.RequestId, "read")
 	switch {
-	case in.Session == "read error" && nth == 0:
-		return nil, status.Error(codes.Internal, "reader broke")
+	case in.Session == "prefill error" && nth == 0:
+		return nil, status.Error(codes.Internal, "prefill engine failed")
 	case in.Session == "refused":
-		grpc.SetTrailer(ctx, metadata.Pairs(trailerAway, "1"))
+		grpc.SetTrailer(ctx, metadata.Pairs(trailerTurnedAway, "1"))
 		return nil, status.Error(codes.ResourceExhausted, "full")
 	}
-	b.hold(in.RequestId, 1)
+	e.addHolds(in.RequestId, 1)
 	grpc.SetTrailer(ctx, metadata.Pairs(trailerLoad, "inflight=1,queue=0,x0=0.1"))
 	return &ashwoodpb.ReadResult{CachedTokens: 16}, nil
 }
 
-func (b *box) Write(in *ashwoodpb.GenerateRequest, out grpc.ServerStreamingServer[ashwoodpb.Token]) error {
-	nth := b.note(in.RequestId, "write")
-	b.mu.Lock()
-	b.last = in
-	b.mu.Unlock()
+func (e *scriptedEngine) Write(in *ashwoodpb.GenerateRequest, out grpc.ServerStreamingServer[ashwoodpb.Token]) error {
+	nth := e.recordCall(in.RequestId, "write")
+	e.mu.Lock()
+	e.lastWrite = in
+	e.mu.Unlock()
 	switch in.Session {
-	case "writer error":
-		return status.Error(codes.Internal, "writer broke")
+	case "decode error":
+		return status.Error(codes.Internal, "decode engine failed")
 	case "turned away once":
 		if nth == 0 {
-			out.SetTrailer(metadata.Pairs(trailerAway, "1"))
+			out.SetTrailer(metadata.Pairs(trailerTurnedAway, "1"))
 			return status.Error(codes.ResourceExhausted, "full")
 		}
-	case "no state once":
+	case "no KV state once":
 		if nth == 0 {
-			out.SetTrailer(metadata.Pairs(trailerAway, "1"))
-			return status.Error(codes.FailedPrecondition, "no state")
+			out.SetTrailer(metadata.Pairs(trailerTurnedAway, "1"))
+			return status.Error(codes.FailedPrecondition, "no KV state")
 		}
 	case "silent":
-		b.waiting <- in.RequestId
+		e.unanswered <- in.RequestId
 		<-out.Context().Done()
 		return out.Context().Err()
 	}
-	b.mu.Lock()
-	b.rooms[in.RequestId] = 0 // the first token lets go of all that is held
-	b.mu.Unlock()
+	e.mu.Lock()
+	e.holds[in.RequestId] = 0 // the first token releases all holds
+	e.mu.Unlock()
 	for i := range 3 {
 		if err := out.Send(&ashwoodpb.Token{Text: fmt.Sprint("t", i)}); err != nil {
 			return err
 		}
 		switch {
 		case in.Session == "error after first":
-			return status.Error(codes.DataLoss, "broke in the middle")
+			return status.Error(codes.DataLoss, "failed during the answer")
 		case in.Session == "removed" && i == 0:
-			b.boxes.Keep(nil)
+			e.transport.Keep(nil)
 		case in.Session == "halved" && i == 0:
-			<-b.second
+			<-e.continueAnswer
 		case in.Session == "endless":
 			<-out.Context().Done()
-			b.canceled <- in.RequestId
+			e.canceled <- in.RequestId
 			return out.Context().Err()
 		}
 	}
 	return nil
 }
 
-func (b *box) Load(ctx context.Context, _ *ashwoodpb.LoadRequest) (*ashwoodpb.LoadResult, error) {
+func (e *scriptedEngine) Load(ctx context.Context, _ *ashwoodpb.LoadRequest) (*ashwoodpb.LoadResult, error) {
 	return &ashwoodpb.LoadResult{}, grpc.SetTrailer(ctx, metadata.Pairs(trailerLoad, "inflight=2"))
 }
 
-func (b *box) Reserve(_ context.Context, in *ashwoodpb.RoomRequest) (*ashwoodpb.ReserveResult, error) {
-	b.hold(in.RequestId, 1)
+func (e *scriptedEngine) Reserve(_ context.Context, in *ashwoodpb.RoomRequest) (*ashwoodpb.ReserveResult, error) {
+	e.addHolds(in.RequestId, 1)
 	return &ashwoodpb.ReserveResult{Held: true}, nil
 }
 
-func (b *box) Release(_ context.Context, in *ashwoodpb.RoomRequest) (*ashwoodpb.ReleaseResult, error) {
-	b.note(in.RequestId, "release")
-	b.mu.Lock()
-	b.rooms[in.RequestId] = 0
-	b.mu.Unlock()
-	b.freed <- struct{}{}
+func (e *scriptedEngine) Release(_ context.Context, in *ashwoodpb.RoomRequest) (*ashwoodpb.ReleaseResult, error) {
+	e.recordCall(in.RequestId, "release")
+	e.mu.Lock()
+	e.holds[in.RequestId] = 0
+	e.mu.Unlock()
+	e.releases <- struct{}{}
 	return &ashwoodpb.ReleaseResult{}, nil
 }
 
-// pinned counts what is held for requests.
-func (f *fleet) pinned() (n int) {
+// countHolds returns the number of holds for all requests.
+func (f *scriptedFleet) countHolds() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, held := range f.rooms {
+	for _, held := range f.holds {
 		n += held
 	}
 	return n
 }
 
-func settings() ashwood.Settings {
+func testSettings() ashwood.Settings {
 	class := func(name string, e ashwood.Effect) ashwood.Class {
 		return ashwood.Class{Name: name, Aim: 2 * time.Second, Deadline: 15 * time.Second, Worth: 1, Effect: e}
 	}
 	return ashwood.Settings{
 		Nodes: 1, Ahead: true, Reports: ashwood.ReportInline,
 		Kinds: []ashwood.Kind{
-			{Name: "reader", Role: ashwood.RoleRead, MemoryTokens: 1e5}, {Name: "writer", Role: ashwood.RoleWrite, MemoryTokens: 1e5}},
+			{Name: "prefill", Role: ashwood.RoleRead, MemoryTokens: 1e5}, {Name: "decode", Role: ashwood.RoleWrite, MemoryTokens: 1e5}},
 		Classes: []ashwood.Class{class("case-chat", ashwood.Pure), class("send-order", ashwood.SideEffect)},
 		Limits:  ashwood.Limits{MaxAttempts: 6, Cancel: true, RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, ConnectTimeout: 2 * time.Second},
 	}
@@ -173,36 +173,36 @@
 	return l
 }
 
-// start brings up two readers, two writers and a gateway with its front.
-func start(t *testing.T) (ashwoodpb.InferenceClient, *fleet, *gateway.Gateway) {
+// startGateway starts two prefill engines, two decode engines and a gateway with its front.
+func startGateway(t *testing.T) (ashwoodpb.InferenceClient, *scriptedFleet, *gateway.Gateway) {
 	t.Helper()
-	return startAt(t, clock.System())
+	return startGatewayWith(t, clock.System())
 }
 
-func startAt(t *testing.T, c clock.Clock) (ashwoodpb.InferenceClient, *fleet, *gateway.Gateway) {
+func startGatewayWith(t *testing.T, c clock.Clock) (ashwoodpb.InferenceClient, *scriptedFleet, *gateway.Gateway) {
 	t.Helper()
-	f := &fleet{calls: map[string][]string{}, rooms: map[string]int{}, canceled: make(chan string, 9), waiting: make(chan string, 9),
-		freed: make(chan struct{}, 999), second: make(chan struct{})}
+	f := &scriptedFleet{calls: map[string][]string{}, holds: map[string]int{}, canceled: make(chan string, 9), unanswered: make(chan string, 9),
+		releases: make(chan struct{}, 999), continueAnswer: make(chan struct{})}
 	for _, name := range []string{"r1", "r2", "w1", "w2"} {
 		l, s := listen(t), grpc.NewServer()
-		ashwoodpb.RegisterBoxServer(s, &box{fleet: f, name: name})
+		ashwoodpb.RegisterBoxServer(s, &scriptedEngine{scriptedFleet: f, name: name})
 		go s.Serve(l)
 		t.Cleanup(s.Stop)
-		kind := map[byte]string{'r': "reader", 'w': "writer"}[name[0]]
-		f.list = append(f.list, ashwood.Server{ID: ashwood.ServerID(name), Kind: kind, State: ashwood.StateOn, Address: l.Addr().String()})
+		kind := map[byte]string{'r': "prefill", 'w': "decode"}[name[0]]
+		f.servers = append(f.servers, ashwood.Server{ID: ashwood.ServerID(name), Kind: kind, State: ashwood.StateOn, Address: l.Addr().String()})
 	}
 	log := slog.New(slog.DiscardHandler)
-	f.boxes = NewBoxes(settings(), insecure.NewCredentials(), c)
-	t.Cleanup(f.boxes.Close)
-	gw, err := gateway.New(settings(), 1, f.boxes, c, log)
+	f.transport = NewEngines(testSettings(), insecure.NewCredentials(), c)
+	t.Cleanup(f.transport.Close)
+	gw, err := gateway.New(testSettings(), 1, f.transport, c, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	gw.Update(ashwood.ListWhole, f.list)
+	gw.Update(ashwood.ListWhole, f.servers)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go gw.Run(ctx)
-	f.front = NewServer(gw, settings(), insecure.NewCredentials(), c, log)
+	f.front = NewServer(gw, testSettings(), insecure.NewCredentials(), c, log)
 	l := listen(t)
 	go f.front.Serve(l)
 	t.Cleanup(f.front.grpc.Stop)
@@ -214,8 +214,8 @@
 	return ashwoodpb.NewInferenceClient(cc), f, gw
 }
 
-// ask makes a call and gives its tokens and its end.
-func ask(client ashwoodpb.InferenceClient, in *ashwoodpb.GenerateRequest) (tokens []string, err error) {
+// generate makes a call and returns its tokens and the error at its end.
+func generate(client ashwoodpb.InferenceClient, in *ashwoodpb.GenerateRequest) (tokens []string, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	s, err := client.Generate(ctx, in)
@@ -228,17 +228,17 @@
 	return tokens, err
 }
 
-// result is what a call's client and the boxes saw of it.
-type result struct {
-	Tokens int
-	Code   codes.Code
-	Reads  int
-	Writes int
+// callSummary is what the client and the engines saw of a call.
+type callSummary struct {
+	Tokens   int
+	Code     codes.Code
+	Prefills int
+	Decodes  int
 }
 
-// observe makes a call and counts what came of it.
-func (f *fleet) observe(client ashwoodpb.InferenceClient, id, class, session string) (got result, calls []string) {
-	tokens, err := ask(client, &ashwoodpb.GenerateRequest{RequestId: id, Class: class, Session: session, PromptTokens: 64, MaxTokens: 9})
+// callAndCount makes a call and counts its tokens and its calls at the engines.
+func (f *scriptedFleet) callAndCount(client ashwoodpb.InferenceClient, id, class, session string) (got callSummary, calls []string) {
+	tokens, err := generate(client, &ashwoodpb.GenerateRequest{RequestId: id, Class: class, Session: session, PromptTokens: 64, MaxTokens: 9})
 	if got.Tokens = len(tokens); err != io.EOF {
 		got.Code = status.Code(err)
 	}
@@ -247,22 +247,22 @@
 	for _, c := range f.calls[id] {
 		switch c[3:] {
 		case "read":
-			got.Reads++
+			got.Prefills++
 		case "write":
-			got.Writes++
+			got.Decodes++
 		}
 	}
 	return got, f.calls[id]
 }
 
-// released waits until nothing is held at any box.
-func (f *fleet) released(t *testing.T) {
+// waitReleased waits until no engine holds anything.
+func (f *scriptedFleet) waitReleased(t *testing.T) {
 	t.Helper()
-	for f.pinned() > 0 {
+	for f.countHolds() > 0 {
 		select {
-		case <-f.freed:
+		case <-f.releases:
 		case <-time.After(20 * time.Second):
-			t.Fatal("boxes still hold something")
+			t.Fatal("engines still hold something")
 		}
 	}
 }
--- a/internal/grpcfront/panic_test.go
+++ b/internal/grpcfront/panic_test.go
@@ -15,18 +15,18 @@
 	"ashwood.example/ashwood/internal/clock"
 )
 
-// faulty is a handler that panics.
-type faulty struct{}
+// panickingHandler is a Handler that panics on each request.
+type panickingHandler struct{}
 
-func (faulty) Serve(context.Context, *gateway.Request) (gateway.Reply, error) {
+func (panickingHandler) Serve(context.Context, *gateway.Request) (gateway.Reply, error) {
 	panic("a fault in the handler")
 }
 
-func (faulty) TurnAway(string) float64 { return 0 }
+func (panickingHandler) TurnAway(string) float64 { return 0 }
 
-// A call that was read is answered although its handler panics, and so is the next one.
-func TestPanic_CallIsAnswered(t *testing.T) {
-	front := NewServer(faulty{}, settings(), insecure.NewCredentials(), clock.System(), slog.New(slog.DiscardHandler))
+// A call whose handler panics is answered with INTERNAL, and so is the next one.
+func TestPanic_Handler(t *testing.T) {
+	front := NewServer(panickingHandler{}, testSettings(), insecure.NewCredentials(), clock.System(), slog.New(slog.DiscardHandler))
 	l := listen(t)
 	go front.Serve(l)
 	t.Cleanup(front.grpc.Stop)
@@ -36,7 +36,7 @@
 	}
 	t.Cleanup(func() { cc.Close() })
 	for call := range 2 {
-		_, err := ask(ashwoodpb.NewInferenceClient(cc), &ashwoodpb.GenerateRequest{
+		_, err := generate(ashwoodpb.NewInferenceClient(cc), &ashwoodpb.GenerateRequest{
 			RequestId: "9b1f", Class: "case-chat", Session: "7f3a", PromptTokens: 64, MaxTokens: 9, FirstTokenMs: 4000,
 		})
 		if status.Code(err) != codes.Internal {
--- a/internal/grpcfront/release_test.go
+++ b/internal/grpcfront/release_test.go
@@ -18,150 +18,150 @@
 	"ashwood.example/ashwood/internal/clock"
 )
 
-// releaser is a box that answers releases as it is told to.
-type releaser struct {
+// releaseEngine is an engine that answers releases with respond.
+type releaseEngine struct {
 	ashwoodpb.UnimplementedBoxServer
-	answer func(context.Context) error
+	respond func(context.Context) error
 }
 
-func (r *releaser) Release(ctx context.Context, _ *ashwoodpb.RoomRequest) (*ashwoodpb.ReleaseResult, error) {
-	return &ashwoodpb.ReleaseResult{}, r.answer(ctx)
+func (r *releaseEngine) Release(ctx context.Context, _ *ashwoodpb.RoomRequest) (*ashwoodpb.ReleaseResult, error) {
+	return &ashwoodpb.ReleaseResult{}, r.respond(ctx)
 }
 
-// openReleaser starts a box and a transport to it.
-func openReleaser(t *testing.T, l net.Listener, answer func(context.Context) error) *Boxes {
+// startReleaseEngine starts an engine and returns a transport to it.
+func startReleaseEngine(t *testing.T, l net.Listener, respond func(context.Context) error) *Engines {
 	t.Helper()
 	s := grpc.NewServer()
-	ashwoodpb.RegisterBoxServer(s, &releaser{answer: answer})
+	ashwoodpb.RegisterBoxServer(s, &releaseEngine{respond: respond})
 	go s.Serve(l)
 	t.Cleanup(s.Stop)
-	boxes := NewBoxes(settings(), insecure.NewCredentials(), clock.System())
-	t.Cleanup(boxes.Close)
-	return boxes
+	transport := NewEngines(testSettings(), insecure.NewCredentials(), clock.System())
+	t.Cleanup(transport.Close)
+	return transport
 }
 
-// release makes one call as the gateway does, bounded in time.
-func release(t *testing.T, boxes *Boxes, address string, fresh bool, within time.Duration) error {
+// callRelease makes one release call with a timeout, as the gateway does.
+func callRelease(t *testing.T, transport *Engines, address string, newConn bool, timeout time.Duration) error {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), within)
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
-	return boxes.Release(ctx, ashwood.Server{ID: "w1", Kind: "writer", Address: address}, "q", fresh)
+	return transport.Release(ctx, ashwood.Server{ID: "w1", Kind: "decode", Address: address}, "q", newConn)
 }
 
-// A release counts as made where the box has sent something back, be it an error; not where it gave no sign. What was
-// seen: a state held at a silent box for as long as that lived, since Boxes.Release gave nil behind
-// whatever RecvMsg gave ("it counts once it is there"), also behind the end of its time: the ledger
-// then had it as made ("released … end=made"). No log tells this from a release that was taken.
-func TestRelease_WithoutAnswerIsNotMade(t *testing.T) {
-	over := make(chan struct{})
-	t.Cleanup(func() { close(over) }) // before the box is stopped, which waits for its calls
+// A release counts as delivered if the engine has sent anything back, even an error, but not if it sent nothing.
+// Guards against KV state that a silent engine held for as long as it ran: Engines.Release returned nil whatever
+// RecvMsg returned, also after its timeout, so that the ledger recorded a delivery ("released … end=made"). No log
+// distinguishes that from a release that was received.
+func TestRelease_Unanswered(t *testing.T) {
+	finish := make(chan struct{})
+	t.Cleanup(func() { close(finish) }) // before the engine is stopped, which waits for its calls
 	for name, tt := range map[string]struct {
-		answer func(context.Context) error
-		made   bool
+		respond   func(context.Context) error
+		delivered bool
 	}{
 		"answered": {func(context.Context) error { return nil }, true},
 		"an error": {func(context.Context) error { return status.Error(codes.Internal, "no") }, true},
 		"no answer": {func(context.Context) error {
-			<-over
+			<-finish
 			return nil
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := listen(t)
-			boxes := openReleaser(t, l, tt.answer)
-			if err := release(t, boxes, l.Addr().String(), false, 500*time.Millisecond); (err == nil) != tt.made {
-				t.Errorf("gave %v", err)
+			transport := startReleaseEngine(t, l, tt.respond)
+			if err := callRelease(t, transport, l.Addr().String(), false, 500*time.Millisecond); (err == nil) != tt.delivered {
+				t.Errorf("Release returned %v, want delivered %v", err, tt.delivered)
 			}
 		})
 	}
 }
 
-// muting relays connections to a box. Those that were open when it was muted go silent; new ones do not.
-type muting struct {
+// silencingProxy relays connections to an engine. silenceOpenConns silences those that are open; new ones are relayed.
+type silencingProxy struct {
 	net.Listener
-	to    string
-	mu    sync.Mutex
-	mute  chan struct{} // closed for the connections of before
-	pairs []net.Conn
+	target   string
+	mu       sync.Mutex
+	silenced chan struct{} // closed for the connections that were open before
+	conns    []net.Conn
 }
 
-func openMuting(t *testing.T, to string) *muting {
+func startSilencingProxy(t *testing.T, target string) *silencingProxy {
 	t.Helper()
-	m := &muting{Listener: listen(t), to: to, mute: make(chan struct{})}
-	go m.serve()
+	proxy := &silencingProxy{Listener: listen(t), target: target, silenced: make(chan struct{})}
+	go proxy.serve()
 	t.Cleanup(func() {
-		m.Close()
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		for _, c := range m.pairs {
+		proxy.Close()
+		proxy.mu.Lock()
+		defer proxy.mu.Unlock()
+		for _, c := range proxy.conns {
 			c.Close()
 		}
 	})
-	return m
+	return proxy
 }
 
-func (m *muting) serve() {
+func (p *silencingProxy) serve() {
 	for {
-		in, err := m.Accept()
+		in, err := p.Accept()
 		if err != nil {
 			return
 		}
-		out, err := net.Dial("tcp", m.to)
+		out, err := net.Dial("tcp", p.target)
 		if err != nil {
 			in.Close()
 			continue
 		}
-		m.mu.Lock()
-		mute := m.mute
-		m.pairs = append(m.pairs, in, out)
-		m.mu.Unlock()
-		go pass(out, in, mute)
-		go pass(in, out, mute)
+		p.mu.Lock()
+		silenced := p.silenced
+		p.conns = append(p.conns, in, out)
+		p.mu.Unlock()
+		go copyUntilSilenced(out, in, silenced)
+		go copyUntilSilenced(in, out, silenced)
 	}
 }
 
-func (m *muting) muteOpen() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	close(m.mute)
-	m.mute = make(chan struct{})
+func (p *silencingProxy) silenceOpenConns() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	close(p.silenced)
+	p.silenced = make(chan struct{})
 }
 
-// pass copies until either side ends; once it is mute, it reads all and writes nothing.
-func pass(to io.Writer, from io.Reader, mute <-chan struct{}) {
-	bytes := make([]byte, 4096)
+// copyUntilSilenced copies until either side ends. Once silenced, it keeps reading and writes nothing.
+func copyUntilSilenced(to io.Writer, from io.Reader, silenced <-chan struct{}) {
+	buffer := make([]byte, 4096)
 	for {
-		n, err := from.Read(bytes)
+		n, err := from.Read(buffer)
 		if err != nil {
 			return
 		}
 		select {
-		case <-mute:
+		case <-silenced:
 			continue
 		default:
 		}
-		if _, err := to.Write(bytes[:n]); err != nil {
+		if _, err := to.Write(buffer[:n]); err != nil {
 			return
 		}
 	}
 }
 
-// A release that got no answer is made again on a connection that was not there then. What was seen: with
-// one connection alone silent, each further try went on that very connection, until the library's
-// pings closed it after 12 s; the rule gives 0.8 s.
-func TestRelease_AgainOnANewConnection(t *testing.T) {
+// A release that got no answer is retried on a connection that did not exist then. Guards against retries on the
+// same connection: with that connection alone silent, each retry used it until the library's keep-alive closed it
+// after 12 s, while the rule allows 0.8 s.
+func TestRelease_RetryOnNewConnection(t *testing.T) {
 	l := listen(t)
-	boxes := openReleaser(t, l, func(context.Context) error { return nil })
-	m := openMuting(t, l.Addr().String())
-	address := m.Addr().String()
-	if err := release(t, boxes, address, false, 5*time.Second); err != nil {
+	transport := startReleaseEngine(t, l, func(context.Context) error { return nil })
+	proxy := startSilencingProxy(t, l.Addr().String())
+	address := proxy.Addr().String()
+	if err := callRelease(t, transport, address, false, 5*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	m.muteOpen()
-	if err := release(t, boxes, address, false, 300*time.Millisecond); err == nil {
-		t.Error("made on a silent connection")
+	proxy.silenceOpenConns()
+	if err := callRelease(t, transport, address, false, 300*time.Millisecond); err == nil {
+		t.Error("a release on a silent connection counts as delivered")
 	}
-	if err := release(t, boxes, address, true, 5*time.Second); err != nil {
-		t.Errorf("on a new connection: %v", err)
+	if err := callRelease(t, transport, address, true, 5*time.Second); err != nil {
+		t.Errorf("release on a new connection: %v", err)
 	}
 }
--- a/internal/grpcfront/remaining_test.go
+++ b/internal/grpcfront/remaining_test.go
@@ -15,49 +15,49 @@
 	"ashwood.example/ashwood/internal/clock"
 )
 
-// slowly is a clock on which each look takes 100 ms, as a connect would.
-type slowly struct{ *clock.Manual }
+// steppingClock is a clock that advances by 100 ms at each reading, as if a connect took that long.
+type steppingClock struct{ *clock.Manual }
 
-func (s slowly) Now() float64 {
+func (s steppingClock) Now() float64 {
 	s.Advance(100)
 	return s.Manual.Now()
 }
 
-// listening is a box that notes the time that a read is told.
-type listening struct {
+// recordingEngine is an engine that records the remaining time that a prefill request carries.
+type recordingEngine struct {
 	ashwoodpb.UnimplementedBoxServer
-	told chan string
+	remaining chan string
 }
 
-func (l *listening) Read(ctx context.Context, _ *ashwoodpb.GenerateRequest) (*ashwoodpb.ReadResult, error) {
-	told := ""
+func (l *recordingEngine) Read(ctx context.Context, _ *ashwoodpb.GenerateRequest) (*ashwoodpb.ReadResult, error) {
+	remaining := ""
 	if md, ok := metadata.FromIncomingContext(ctx); ok && len(md.Get(metaRemaining)) == 1 {
-		told = md.Get(metaRemaining)[0]
+		remaining = md.Get(metaRemaining)[0]
 	}
-	l.told <- told
+	l.remaining <- remaining
 	return &ashwoodpb.ReadResult{}, nil
 }
 
-// An attempt tells its box what the client has left once the connection is up, not what it had
-// when the box was chosen.
-func TestRemaining_IsToldBehindTheConnect(t *testing.T) {
-	box := &listening{told: make(chan string, 1)}
+// The remaining time that an attempt carries is computed once the connection is ready, not when
+// the engine was chosen.
+func TestRemaining_SlowConnect(t *testing.T) {
+	engine := &recordingEngine{remaining: make(chan string, 1)}
 	l, s := listen(t), grpc.NewServer()
-	ashwoodpb.RegisterBoxServer(s, box)
+	ashwoodpb.RegisterBoxServer(s, engine)
 	go s.Serve(l)
 	t.Cleanup(s.Stop)
-	boxes := NewBoxes(settings(), insecure.NewCredentials(), slowly{clock.NewManual(0)})
-	t.Cleanup(boxes.Close)
-	answer := boxes.Send(t.Context(), gateway.Attempt{
+	transport := NewEngines(testSettings(), insecure.NewCredentials(), steppingClock{clock.NewManual(0)})
+	t.Cleanup(transport.Close)
+	answer := transport.Send(t.Context(), gateway.Attempt{
 		Request: &gateway.Request{Call: ashwood.Call{ID: "q", Class: "case-chat"}},
-		Engine:  ashwood.Server{ID: "r1", Kind: "reader", Address: l.Addr().String()}, Reads: true, Remaining: 5000,
+		Engine:  ashwood.Server{ID: "r1", Kind: "prefill", Address: l.Addr().String()}, Reads: true, Remaining: 5000,
 		Ready: func() bool { return true }, Sent: func() {},
 	})
 	if answer.Status != ashwood.Parsed {
-		t.Fatalf("ended as %v, %v", answer.Status, answer.Err)
+		t.Fatalf("status %v, error %v", answer.Status, answer.Err)
 	}
-	told := <-box.told
-	if left, err := strconv.ParseFloat(told, 64); err != nil || left > 4900 || left < 4000 {
-		t.Errorf("told %q ms of 5000, although a look at the clock takes 100", told)
+	remaining := <-engine.remaining
+	if left, err := strconv.ParseFloat(remaining, 64); err != nil || left > 4900 || left < 4000 {
+		t.Errorf("remaining %q ms of 5000, although each reading of the clock takes 100 ms", remaining)
 	}
 }
--- a/internal/grpcfront/server.go
+++ b/internal/grpcfront/server.go
@@ -31,34 +31,34 @@
 )
 
 const (
-	maxMessage = 256 << 10
-	maxStreams = 256 // of a connection
+	maxMessageBytes   = 256 << 10
+	maxStreamsPerConn = 256
 )
 
-// Handler takes requests to their answers, as a gateway or a router does.
+// Handler serves requests, as a gateway or a router does.
 type Handler interface {
 	Serve(ctx context.Context, req *gateway.Request) (gateway.Reply, error)
 }
 
-// frontName is this front's name to limits.
+// frontName is this front's name in the configuration of limits.
 const frontName = "grpc"
 
-// Server takes clients' calls.
+// Server serves the calls of clients.
 type Server struct {
-	gw      Handler
-	clock   clock.Clock
-	log     *slog.Logger
-	classes map[string]float64 // deadlines in ms
-	grpc    *grpc.Server
-	health  *health.Server
-	hosted  bool // on a host's server, with its codec
+	handler   Handler
+	clock     clock.Clock
+	log       *slog.Logger
+	deadlines map[string]float64 // in ms, by class
+	grpc      *grpc.Server
+	health    *health.Server
+	hosted    bool // registered on a host's server, with the host's codec
 }
 
-// NewServer makes a server that routes through gw.
-func NewServer(gw Handler, set ashwood.Settings, creds credentials.TransportCredentials, c clock.Clock, log *slog.Logger) *Server {
-	s := &Server{gw: gw, clock: c, log: log, classes: deadlines(set), health: health.NewServer()}
-	s.grpc = grpc.NewServer(grpc.Creds(creds), grpc.ForceServerCodecV2(newCodec()), grpc.MaxRecvMsgSize(maxMessage),
-		grpc.MaxConcurrentStreams(maxStreams),
+// NewServer returns a server that passes requests to handler.
+func NewServer(handler Handler, settings ashwood.Settings, creds credentials.TransportCredentials, c clock.Clock, log *slog.Logger) *Server {
+	s := &Server{handler: handler, clock: c, log: log, deadlines: classDeadlines(settings), health: health.NewServer()}
+	s.grpc = grpc.NewServer(grpc.Creds(creds), grpc.ForceServerCodecV2(newPassthroughCodec()), grpc.MaxRecvMsgSize(maxMessageBytes),
+		grpc.MaxConcurrentStreams(maxStreamsPerConn),
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: 5 * time.Minute, Time: time.Minute, Timeout: 5 * time.Second}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}))
 	s.register(s.grpc)
@@ -66,68 +66,69 @@
 	return s
 }
 
-// Register has a host's own server answer Inference calls through gw. Its codec,
-// credentials and limits are the host's.
-func Register(host grpc.ServiceRegistrar, gw Handler, set ashwood.Settings, c clock.Clock, log *slog.Logger) {
-	s := &Server{gw: gw, clock: c, log: log, classes: deadlines(set), hosted: true}
+// Register adds the Inference service to a host's own gRPC server and passes its requests
+// to handler. Codec, credentials and limits are the host's.
+func Register(host grpc.ServiceRegistrar, handler Handler, settings ashwood.Settings, c clock.Clock, log *slog.Logger) {
+	s := &Server{handler: handler, clock: c, log: log, deadlines: classDeadlines(settings), hosted: true}
 	s.register(host)
 }
 
 func (s *Server) register(host grpc.ServiceRegistrar) {
-	// The handler takes frames, which the generated one would decode for good.
+	// This handler receives raw messages; the generated one would decode them.
 	desc := ashwoodpb.Inference_ServiceDesc
 	desc.HandlerType = nil
 	desc.Streams = []grpc.StreamDesc{{StreamName: "Generate", ServerStreams: true, Handler: s.generate}}
 	host.RegisterService(&desc, nil)
 }
 
-func deadlines(set ashwood.Settings) map[string]float64 {
+func classDeadlines(settings ashwood.Settings) map[string]float64 {
 	classes := map[string]float64{}
-	for _, class := range set.Classes {
+	for _, class := range settings.Classes {
 		classes[class.Name] = clock.Millis(class.Deadline)
 	}
 	return classes
 }
 
-// message is what a call's messages are read into and written from. A host's codec
-// knows protobuf alone: there, an empty message keeps all fields as the bytes that came.
-func (s *Server) message(raw []byte) (msg any, bytes func() []byte) {
+// newMessage returns a message to receive into or to send, and a function that returns its
+// bytes. A host's codec knows only protobuf: there, an empty message keeps all fields as
+// the unknown bytes received.
+func (s *Server) newMessage(raw []byte) (msg any, bytes func() []byte) {
 	if !s.hosted {
-		f := &frame{raw}
-		return f, func() []byte { return f.raw }
+		f := &rawMessage{raw}
+		return f, func() []byte { return f.bytes }
 	}
 	m := &emptypb.Empty{}
 	m.ProtoReflect().SetUnknown(raw)
 	return m, func() []byte { return m.ProtoReflect().GetUnknown() }
 }
 
-// Serve answers on a listener until Shutdown.
+// Serve serves calls on a listener until Shutdown.
 func (s *Server) Serve(l net.Listener) error { return s.grpc.Serve(l) }
 
-// Drain has the health service send clients elsewhere.
+// Drain makes the health service report that the server is not serving, so that clients go elsewhere.
 func (s *Server) Drain() { s.health.Shutdown() }
 
-// Shutdown takes nothing more and waits for what it has taken.
+// Shutdown accepts no new calls and waits for the open ones to end.
 func (s *Server) Shutdown() { s.grpc.GracefulStop() }
 
-// generate answers a call. A panic in one does not end the process.
-func (s *Server) generate(_ any, ss grpc.ServerStream) (err error) {
+// generate serves one Generate call. A panic in it does not end the process.
+func (s *Server) generate(_ any, serverStream grpc.ServerStream) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			s.log.Error("panic", "value", p, "stack", string(debug.Stack()))
 			err = status.Error(codes.Internal, "internal error")
 		}
 	}()
-	in, raw := s.message(nil)
-	if err := ss.RecvMsg(in); err != nil {
+	in, raw := s.newMessage(nil)
+	if err := serverStream.RecvMsg(in); err != nil {
 		return err
 	}
-	req, err := s.request(ss.Context(), raw())
+	req, err := s.parseRequest(serverStream.Context(), raw())
 	if err != nil {
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
 	reqlog.Write(s.log, reqlog.Change{ID: string(req.ID), Class: req.Class, State: reqlog.Read, Left: req.Remaining})
-	reply, err := s.gw.Serve(ss.Context(), req)
+	reply, err := s.handler.Serve(serverStream.Context(), req)
 	switch {
 	case errors.Is(err, ashwood.ErrDuplicate):
 		return status.Error(codes.AlreadyExists, err.Error())
@@ -136,37 +137,37 @@
 	}
 	switch reply.Kind {
 	case gateway.Served:
-		return s.pass(ss, reply.Stream)
+		return s.relayStream(serverStream, reply.Stream)
 	case gateway.Refused:
-		return refusal(reply)
+		return refusalStatus(reply)
 	case gateway.Gone:
-		return status.FromContextError(context.Cause(ss.Context())).Err()
+		return status.FromContextError(context.Cause(serverStream.Context())).Err()
 	}
-	return failure(reply.Err)
+	return failureStatus(reply.Err)
 }
 
-// pass sends tokens on as they come.
-func (s *Server) pass(ss grpc.ServerStream, stream gateway.Stream) error {
+// relayStream sends tokens to the client as they arrive.
+func (s *Server) relayStream(serverStream grpc.ServerStream, stream gateway.Stream) error {
 	defer stream.Close()
 	for {
-		piece, err := stream.Next()
+		token, err := stream.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return failure(err)
+			return failureStatus(err)
 		}
-		out, _ := s.message(piece)
-		if err := ss.SendMsg(out); err != nil {
+		out, _ := s.newMessage(token)
+		if err := serverStream.SendMsg(out); err != nil {
 			return err
 		}
 	}
 }
 
-// refusal tells the client when to come back. Both codes say that the request
-// never ran, or may be repeated: RESOURCE_EXHAUSTED that there was no room for
-// it, UNAVAILABLE that no box has answered.
-func refusal(reply gateway.Reply) error {
+// refusalStatus tells the client when to retry. Both codes say that the request
+// did not run or may be repeated: RESOURCE_EXHAUSTED that there was no capacity for
+// it, UNAVAILABLE that no engine has answered.
+func refusalStatus(reply gateway.Reply) error {
 	code := codes.ResourceExhausted
 	if reply.Err != nil {
 		code = codes.Unavailable
@@ -180,9 +181,9 @@
 	return st.Err()
 }
 
-// failure keeps a box's code. A lost connection gets UNKNOWN: it may have run,
-// and clients repeat UNAVAILABLE by themselves.
-func failure(err error) error {
+// failureStatus keeps an engine's status code. A lost connection becomes UNKNOWN: the
+// request may have run, and clients retry UNAVAILABLE by themselves.
+func failureStatus(err error) error {
 	st, ok := status.FromError(err)
 	switch {
 	case errors.Is(err, gateway.ErrTimedOut):
@@ -197,8 +198,8 @@
 	return status.Error(codes.Unknown, "failed: it may have run: "+err.Error())
 }
 
-// request takes out the fields that decisions need.
-func (s *Server) request(ctx context.Context, raw []byte) (*gateway.Request, error) {
+// parseRequest decodes the fields that decisions need.
+func (s *Server) parseRequest(ctx context.Context, raw []byte) (*gateway.Request, error) {
 	var in ashwoodpb.GenerateRequest
 	if err := proto.Unmarshal(raw, &in); err != nil {
 		return nil, err
@@ -206,25 +207,25 @@
 	if in.GetRequestId() == "" {
 		return nil, errors.New("request_id is missing")
 	}
-	left, ok := s.classes[in.GetClass()]
+	remaining, ok := s.deadlines[in.GetClass()]
 	if !ok {
 		return nil, errors.New("class is unknown: " + in.GetClass())
 	}
 	if ms := in.GetFirstTokenMs(); ms > 0 {
-		left = float64(ms)
+		remaining = float64(ms)
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		left = min(left, clock.Millis(time.Until(deadline))) // not by the wall clock, which may be stepped
+		remaining = min(remaining, clock.Millis(time.Until(deadline))) // time.Until uses the monotonic clock; the wall clock may be stepped
 	}
 	return &gateway.Request{Front: frontName, Client: clientAddr(ctx), Body: raw, Call: ashwood.Call{
 		ID: ashwood.RequestID(in.GetRequestId()), Class: in.GetClass(), Tenant: in.GetTenant(),
 		Session: gateway.Key(in.GetSession()), Prefix: gateway.Key(in.GetPrefix()), PromptTokens: float64(in.GetPromptTokens()),
 		PrefixTokens: float64(in.GetPrefixTokens()), MaxOut: float64(in.GetMaxTokens()),
-		Remaining: max(left, 0), Retry: in.GetResent(),
+		Remaining: max(remaining, 0), Retry: in.GetResent(),
 	}}, nil
 }
 
-// clientAddr is the address that a call comes from, zero where it has none.
+// clientAddr returns the address that a call comes from, or the zero Addr if it has none.
 func clientAddr(ctx context.Context) netip.Addr {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
--- a/router/parts.go
+++ b/router/parts.go
@@ -29,7 +29,7 @@
 		creds = insecure.NewCredentials()
 	}
 	return func(set ashwood.Settings, c gateway.Clock) (Transport, error) {
-		return grpcfront.NewBoxes(set, creds, c), nil
+		return grpcfront.NewEngines(set, creds, c), nil
 	}
 }
 
