--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -1,6 +1,6 @@
-// Package xds follows Envoy's clusters and endpoints over an aggregated
-// discovery stream (ADS, state of the world) and turns them into the module's
-// list of engines.
+// Package xds watches Envoy's clusters and endpoints over an aggregated
+// discovery stream (ADS, state of the world) and turns them into membership
+// snapshots. It keeps no health of its own and chooses no engine.
 package xds
 
 import (
@@ -31,97 +31,97 @@
 	"ashwood.example/ashwood/internal/clock"
 )
 
-// Type URLs of the resources that are followed.
+// Type URLs of the resources that are watched.
 const (
-	typeCluster  = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
-	typeEndpoint = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
+	typeURLCluster  = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
+	typeURLEndpoint = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 )
 
-// metadataKey is the filter name under which clusters and endpoints tell what
-// Envoy has no field for: a cluster its "kind" (otherwise its name is the
-// kind), an endpoint its "id" (otherwise its address), its "cell" (otherwise
-// its sub-zone) and "started_at_ms".
+// metadataKey is the filter name under which the metadata of clusters and endpoints
+// holds what Envoy has no field for: a cluster's "kind" (its name if absent), and an
+// endpoint's "id" (its address if absent), "cell" (its sub-zone if absent) and
+// "started_at_ms".
 const metadataKey = "ashwood"
 
 const (
-	pauseFirst = 100.0 // ms after a stream has ended, doubling
-	pauseMost  = 5000.0
-	pingEvery  = 20 * time.Second
-	pingWait   = 5 * time.Second
+	minReconnectBackoff = 100.0 // ms after a stream has ended; doubles with each stream that received nothing
+	maxReconnectBackoff = 5000.0
+	keepaliveInterval   = 20 * time.Second
+	keepaliveTimeout    = 5 * time.Second
 )
 
-// Config tells whom to follow, and as whom.
+// Config names the management server, this node and the clusters to watch.
 type Config struct {
 	Server   string   `toml:"server"`   // host:port of the management server
-	Node     string   `toml:"node"`     // id of this node; by default the gateway's name
-	Clusters []string `toml:"clusters"` // names of clusters; none = all that the server has
+	Node     string   `toml:"node"`     // id of this node; the gateway's name by default
+	Clusters []string `toml:"clusters"` // names of clusters to watch; empty = all that the server has
 
 	Credentials credentials.TransportCredentials `toml:"-"`
 }
 
-// Client follows a management server.
+// Client watches the clusters and endpoints of a management server.
 type Client struct {
-	cfg    Config
-	clock  clock.Clock
-	log    *slog.Logger
-	update func(ashwood.ListForm, []ashwood.Server)
+	cfg      Config
+	clock    clock.Clock
+	log      *slog.Logger
+	onUpdate func(ashwood.ListForm, []ashwood.Server)
 
-	versions  map[string]string // last accepted, by type
+	versions  map[string]string // last accepted version, by type URL
 	clusters  map[string]cluster
-	endpoints map[string][]*endpointv3.LocalityLbEndpoints // by service name; nil = not told yet
+	endpoints map[string][]*endpointv3.LocalityLbEndpoints // by service name; nil = not received yet
 }
 
-// cluster is what is kept of an Envoy cluster.
+// cluster holds the parts of an Envoy cluster that are used.
 type cluster struct {
 	kind    string
-	service string // its name in EDS, "" where the endpoints came with the cluster
+	service string // its name in EDS; "" if the endpoints came with the cluster
 	inline  []*endpointv3.LocalityLbEndpoints
 }
 
-// New makes a client that tells update of each change, as a whole list.
-func New(cfg Config, c clock.Clock, log *slog.Logger, update func(ashwood.ListForm, []ashwood.Server)) *Client {
+// New returns a client that calls onUpdate with a membership snapshot at each accepted response.
+func New(cfg Config, c clock.Clock, log *slog.Logger, onUpdate func(ashwood.ListForm, []ashwood.Server)) *Client {
 	return &Client{
-		cfg: cfg, clock: c, log: log, update: update, versions: map[string]string{},
+		cfg: cfg, clock: c, log: log, onUpdate: onUpdate, versions: map[string]string{},
 		clusters: map[string]cluster{}, endpoints: map[string][]*endpointv3.LocalityLbEndpoints{},
 	}
 }
 
-// Run follows the server until ctx ends. While the server is gone, the list in
-// hand stays.
+// Run watches the server until ctx ends. While the server is unreachable, the last
+// snapshot stays in effect.
 func (c *Client) Run(ctx context.Context) error {
 	cc, err := grpc.NewClient("passthrough:///"+c.cfg.Server, grpc.WithTransportCredentials(c.cfg.Credentials),
-		grpc.WithDisableServiceConfig(), grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingEvery, Timeout: pingWait}))
+		grpc.WithDisableServiceConfig(), grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}))
 	if err != nil {
 		return fmt.Errorf("xds: %s: %w", c.cfg.Server, err)
 	}
 	defer cc.Close()
-	pause := pauseFirst
+	backoff := minReconnectBackoff
 	for ctx.Err() == nil {
-		told, err := c.follow(ctx, cc)
-		if told {
-			pause = pauseFirst
+		received, err := c.runStream(ctx, cc)
+		if received {
+			backoff = minReconnectBackoff
 		}
-		c.log.Warn("xds: the stream has ended", "err", err)
-		clock.Wait(ctx, c.clock, pause)
-		pause = min(2*pause, pauseMost)
+		c.log.Warn("xds: stream ended", "err", err)
+		clock.Wait(ctx, c.clock, backoff)
+		backoff = min(2*backoff, maxReconnectBackoff)
 	}
 	return ctx.Err()
 }
 
-// follow runs one stream; told says whether it brought anything.
-func (c *Client) follow(ctx context.Context, cc *grpc.ClientConn) (told bool, err error) {
+// runStream runs one stream; received reports whether any response came.
+func (c *Client) runStream(ctx context.Context, cc *grpc.ClientConn) (received bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s, err := discoveryv3.NewAggregatedDiscoveryServiceClient(cc).StreamAggregatedResources(ctx, grpc.WaitForReady(true))
 	if err != nil {
 		return false, err
 	}
-	asked := c.services()
-	if err := s.Send(c.ask(typeCluster, c.cfg.Clusters)); err != nil {
+	services := c.endpointServices()
+	if err := s.Send(c.newRequest(typeURLCluster, c.cfg.Clusters)); err != nil {
 		return false, err
 	}
-	if len(asked) > 0 {
-		if err := s.Send(c.ask(typeEndpoint, asked)); err != nil {
+	if len(services) > 0 {
+		if err := s.Send(c.newRequest(typeURLEndpoint, services)); err != nil {
 			return false, err
 		}
 	}
@@ -129,52 +129,52 @@
 	for {
 		res, err := s.Recv()
 		if err != nil {
-			return told, err
+			return received, err
 		}
-		told = true
-		kind := res.GetTypeUrl()
-		if kind != typeCluster && kind != typeEndpoint {
-			continue // not asked for
+		received = true
+		typeURL := res.GetTypeUrl()
+		if typeURL != typeURLCluster && typeURL != typeURLEndpoint {
+			continue // not requested
 		}
-		nonces[kind] = res.GetNonce()
-		names := asked
-		if kind == typeCluster {
+		nonces[typeURL] = res.GetNonce()
+		names := services
+		if typeURL == typeURLCluster {
 			names = c.cfg.Clusters
 		}
-		problem := c.take(kind, res.GetResources())
-		if problem == nil {
-			c.versions[kind] = res.GetVersionInfo()
+		rejection := c.applyResponse(typeURL, res.GetResources())
+		if rejection == nil {
+			c.versions[typeURL] = res.GetVersionInfo()
 		} else {
-			c.log.Warn("xds: rejected", "type", kind, "version", res.GetVersionInfo(), "err", problem)
+			c.log.Warn("xds: response rejected", "type", typeURL, "version", res.GetVersionInfo(), "err", rejection)
 		}
-		answer := c.ask(kind, names)
-		answer.ResponseNonce = nonces[kind]
-		if problem != nil {
-			answer.ErrorDetail = &rpcstatus.Status{Code: int32(codes.InvalidArgument), Message: problem.Error()}
+		request := c.newRequest(typeURL, names)
+		request.ResponseNonce = nonces[typeURL]
+		if rejection != nil {
+			request.ErrorDetail = &rpcstatus.Status{Code: int32(codes.InvalidArgument), Message: rejection.Error()}
 		}
-		if err := s.Send(answer); err != nil {
-			return told, err
+		if err := s.Send(request); err != nil {
+			return received, err
 		}
-		if want := c.services(); kind == typeCluster && !slices.Equal(want, asked) {
-			asked = want
-			more := c.ask(typeEndpoint, asked)
-			more.ResponseNonce = nonces[typeEndpoint]
-			if err := s.Send(more); err != nil {
-				return told, err
+		if newServices := c.endpointServices(); typeURL == typeURLCluster && !slices.Equal(newServices, services) {
+			services = newServices
+			endpointRequest := c.newRequest(typeURLEndpoint, services)
+			endpointRequest.ResponseNonce = nonces[typeURLEndpoint]
+			if err := s.Send(endpointRequest); err != nil {
+				return received, err
 			}
 		}
 	}
 }
 
-func (c *Client) ask(kind string, names []string) *discoveryv3.DiscoveryRequest {
+func (c *Client) newRequest(typeURL string, names []string) *discoveryv3.DiscoveryRequest {
 	return &discoveryv3.DiscoveryRequest{
-		TypeUrl: kind, ResourceNames: names, VersionInfo: c.versions[kind],
+		TypeUrl: typeURL, ResourceNames: names, VersionInfo: c.versions[typeURL],
 		Node: &corev3.Node{Id: c.cfg.Node, UserAgentName: "ashwood"},
 	}
 }
 
-// services are the names to ask EDS for.
-func (c *Client) services() (names []string) {
+// endpointServices returns the names to request from EDS.
+func (c *Client) endpointServices() (names []string) {
 	for _, cl := range c.clusters {
 		if cl.service != "" {
 			names = append(names, cl.service)
@@ -184,28 +184,28 @@
 	return slices.Compact(names)
 }
 
-// take accepts a response whole or, on an error, not at all.
-func (c *Client) take(kind string, resources []*anypb.Any) error {
+// applyResponse accepts a whole response or, on an error, nothing of it.
+func (c *Client) applyResponse(typeURL string, resources []*anypb.Any) error {
 	clusters, endpoints := c.clusters, maps.Clone(c.endpoints)
 	var err error
-	if kind == typeCluster {
-		err = c.takeClusters(resources)
+	if typeURL == typeURLCluster {
+		err = c.applyClusters(resources)
 	} else {
-		err = c.takeEndpoints(resources)
+		err = c.applyEndpoints(resources)
 	}
 	var list []ashwood.Server
 	if err == nil {
-		list, err = c.list()
+		list, err = c.allServers()
 	}
 	if err != nil {
 		c.clusters, c.endpoints = clusters, endpoints
 		return err
 	}
-	c.update(ashwood.ListWhole, list)
+	c.onUpdate(ashwood.ListWhole, list)
 	return nil
 }
 
-func (c *Client) takeClusters(resources []*anypb.Any) error {
+func (c *Client) applyClusters(resources []*anypb.Any) error {
 	next := map[string]cluster{}
 	for _, r := range resources {
 		var in clusterv3.Cluster
@@ -213,13 +213,13 @@
 			return fmt.Errorf("xds: cluster: %w", err)
 		}
 		if in.GetName() == "" {
-			return errors.New("xds: a cluster without a name")
+			return errors.New("xds: cluster without a name")
 		}
 		if len(c.cfg.Clusters) > 0 && !slices.Contains(c.cfg.Clusters, in.GetName()) {
 			continue
 		}
 		cl := cluster{kind: in.GetName()}
-		if kind := told(in.GetMetadata(), "kind").GetStringValue(); kind != "" {
+		if kind := metadataValue(in.GetMetadata(), "kind").GetStringValue(); kind != "" {
 			cl.kind = kind
 		}
 		switch in.GetType() {
@@ -230,7 +230,7 @@
 			}
 		case clusterv3.Cluster_STATIC:
 			cl.inline = in.GetLoadAssignment().GetEndpoints()
-			if _, err := servers(cl.kind, cl.inline); err != nil {
+			if _, err := localityServers(cl.kind, cl.inline); err != nil {
 				return err
 			}
 		default:
@@ -239,22 +239,22 @@
 		next[in.GetName()] = cl
 	}
 	c.clusters = next
-	wanted := c.services()
+	services := c.endpointServices()
 	maps.DeleteFunc(c.endpoints, func(name string, _ []*endpointv3.LocalityLbEndpoints) bool {
-		return !slices.Contains(wanted, name)
+		return !slices.Contains(services, name)
 	})
 	return nil
 }
 
-// takeEndpoints replaces the clusters that are named; EDS need not name all.
-func (c *Client) takeEndpoints(resources []*anypb.Any) error {
+// applyEndpoints replaces the endpoints of the clusters in the response; EDS need not send all clusters.
+func (c *Client) applyEndpoints(resources []*anypb.Any) error {
 	next := map[string][]*endpointv3.LocalityLbEndpoints{}
 	for _, r := range resources {
 		var in endpointv3.ClusterLoadAssignment
 		if err := r.UnmarshalTo(&in); err != nil {
 			return fmt.Errorf("xds: endpoints: %w", err)
 		}
-		if _, err := servers("", in.GetEndpoints()); err != nil {
+		if _, err := localityServers("", in.GetEndpoints()); err != nil {
 			return fmt.Errorf("xds: endpoints of %s: %w", in.GetClusterName(), err)
 		}
 		next[in.GetClusterName()] = in.GetEndpoints()
@@ -263,8 +263,8 @@
 	return nil
 }
 
-// list is the module's list of all that is known.
-func (c *Client) list() (all []ashwood.Server, err error) {
+// allServers returns the servers of all known clusters.
+func (c *Client) allServers() (all []ashwood.Server, err error) {
 	seen := map[ashwood.ServerID]bool{}
 	for _, name := range slices.Sorted(maps.Keys(c.clusters)) {
 		cl := c.clusters[name]
@@ -272,13 +272,13 @@
 		if cl.service != "" {
 			endpoints = c.endpoints[cl.service]
 		}
-		list, err := servers(cl.kind, endpoints)
+		list, err := localityServers(cl.kind, endpoints)
 		if err != nil {
 			return nil, err
 		}
 		for _, v := range list {
 			if seen[v.ID] {
-				return nil, fmt.Errorf("xds: two endpoints have the id %q", v.ID)
+				return nil, fmt.Errorf("xds: two endpoints have the same id %q", v.ID)
 			}
 			seen[v.ID] = true
 			all = append(all, v)
@@ -287,24 +287,24 @@
 	return all, nil
 }
 
-// servers are the engines of a cluster.
-func servers(kind string, localities []*endpointv3.LocalityLbEndpoints) (list []ashwood.Server, err error) {
+// localityServers returns the servers of one cluster's localities.
+func localityServers(kind string, localities []*endpointv3.LocalityLbEndpoints) (list []ashwood.Server, err error) {
 	for _, l := range localities {
 		for _, e := range l.GetLbEndpoints() {
 			at := e.GetEndpoint().GetAddress().GetSocketAddress()
 			if at.GetAddress() == "" || at.GetPortValue() == 0 {
-				return nil, errors.New("an endpoint without a socket address")
+				return nil, errors.New("endpoint without a socket address")
 			}
 			addr := net.JoinHostPort(at.GetAddress(), strconv.Itoa(int(at.GetPortValue())))
 			v := ashwood.Server{
 				ID: ashwood.ServerID(addr), Address: addr, Kind: kind, Zone: l.GetLocality().GetZone(),
-				Cell: cell(l.GetLocality().GetSubZone()), State: state(e.GetHealthStatus()), Weight: 1,
-				Started: started(e),
+				Cell: cellNumber(l.GetLocality().GetSubZone()), State: serverState(e.GetHealthStatus()), Weight: 1,
+				Started: startTime(e),
 			}
-			if id := told(e.GetMetadata(), "id").GetStringValue(); id != "" {
+			if id := metadataValue(e.GetMetadata(), "id").GetStringValue(); id != "" {
 				v.ID = ashwood.ServerID(id)
 			}
-			if n, ok := told(e.GetMetadata(), "cell").GetKind().(*structpb.Value_NumberValue); ok {
+			if n, ok := metadataValue(e.GetMetadata(), "cell").GetKind().(*structpb.Value_NumberValue); ok {
 				v.Cell = int(n.NumberValue)
 			}
 			if w := e.GetLoadBalancingWeight().GetValue(); w > 0 {
@@ -316,16 +316,16 @@
 	return list, nil
 }
 
-func started(e *endpointv3.LbEndpoint) time.Duration {
-	return clock.Duration(max(told(e.GetMetadata(), "started_at_ms").GetNumberValue(), 0))
+func startTime(e *endpointv3.LbEndpoint) time.Duration {
+	return clock.Duration(max(metadataValue(e.GetMetadata(), "started_at_ms").GetNumberValue(), 0))
 }
 
-func told(m *corev3.Metadata, key string) *structpb.Value {
+func metadataValue(m *corev3.Metadata, key string) *structpb.Value {
 	return m.GetFilterMetadata()[metadataKey].GetFields()[key]
 }
 
-// cell numbers a sub-zone; names that are no numbers are hashed.
-func cell(subZone string) int {
+// cellNumber returns a sub-zone's number, or the hash of a name that is not a number.
+func cellNumber(subZone string) int {
 	if n, err := strconv.Atoi(subZone); err == nil || subZone == "" {
 		return n
 	}
@@ -334,8 +334,8 @@
 	return int(h.Sum32())
 }
 
-// state turns a health status into the list's life cycle.
-func state(h corev3.HealthStatus) ashwood.ServerState {
+// serverState returns the lifecycle state for a health status.
+func serverState(h corev3.HealthStatus) ashwood.ServerState {
 	switch h {
 	case corev3.HealthStatus_DRAINING:
 		return ashwood.StateFading
--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -23,44 +23,45 @@
 	"ashwood.example/ashwood/internal/clock"
 )
 
-// manager is a scripted management server: the test holds each stream.
-type manager struct {
+// scriptedServer is a management server that hands each stream to the test.
+type scriptedServer struct {
 	discoveryv3.UnimplementedAggregatedDiscoveryServiceServer
-	streams chan *talk
+	streams chan *scriptedStream
 }
 
-type talk struct {
+// scriptedStream is one discovery stream, which ends when closed is closed.
+type scriptedStream struct {
 	discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer
-	end chan struct{}
+	closed chan struct{}
 }
 
-func (m *manager) StreamAggregatedResources(s discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
-	t := &talk{s, make(chan struct{})}
+func (m *scriptedServer) StreamAggregatedResources(s discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
+	t := &scriptedStream{s, make(chan struct{})}
 	m.streams <- t
-	<-t.end
+	<-t.closed
 	return nil
 }
 
-// asked is what a request of the client says.
-type asked struct {
+// requestSummary holds the compared parts of a client's discovery request.
+type requestSummary struct {
 	Type, Version, Nonce, Names string
 	Rejects                     bool
 }
 
-func (k *talk) next(t *testing.T) asked {
+func (s *scriptedStream) nextRequest(t *testing.T) requestSummary {
 	t.Helper()
-	in, err := k.Recv()
+	in, err := s.Recv()
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := asked{in.TypeUrl, in.VersionInfo, in.ResponseNonce, "", in.ErrorDetail != nil}
+	a := requestSummary{in.TypeUrl, in.VersionInfo, in.ResponseNonce, "", in.ErrorDetail != nil}
 	for _, n := range in.ResourceNames {
 		a.Names += n + " "
 	}
 	return a
 }
 
-func (k *talk) tell(t *testing.T, url, version, nonce string, list ...proto.Message) {
+func (s *scriptedStream) respond(t *testing.T, url, version, nonce string, list ...proto.Message) {
 	t.Helper()
 	out := &discoveryv3.DiscoveryResponse{TypeUrl: url, VersionInfo: version, Nonce: nonce}
 	for _, m := range list {
@@ -70,12 +71,12 @@
 		}
 		out.Resources = append(out.Resources, a)
 	}
-	if err := k.Send(out); err != nil {
+	if err := s.Send(out); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func meta(fields map[string]any) *corev3.Metadata {
+func ashwoodMetadata(fields map[string]any) *corev3.Metadata {
 	s, err := structpb.NewStruct(fields)
 	if err != nil {
 		panic(err)
@@ -84,7 +85,7 @@
 }
 
 func edsCluster(name, kind string) *clusterv3.Cluster {
-	return &clusterv3.Cluster{Name: name, Metadata: meta(map[string]any{"kind": kind}),
+	return &clusterv3.Cluster{Name: name, Metadata: ashwoodMetadata(map[string]any{"kind": kind}),
 		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS}}
 }
 
@@ -95,64 +96,64 @@
 				PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: port}}}}}}}
 }
 
-func load(cluster string, list ...*endpointv3.LbEndpoint) *endpointv3.ClusterLoadAssignment {
+func loadAssignment(cluster string, list ...*endpointv3.LbEndpoint) *endpointv3.ClusterLoadAssignment {
 	return &endpointv3.ClusterLoadAssignment{ClusterName: cluster, Endpoints: []*endpointv3.LocalityLbEndpoints{
 		{Locality: &corev3.Locality{Zone: "glenorchy", SubZone: "4"}, LbEndpoints: list}}}
 }
 
-func TestClustersAndEndpointsBecomeTheList(t *testing.T) {
+func TestClient_MembershipUpdates(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, s := &manager{streams: make(chan *talk, 9)}, grpc.NewServer()
-	discoveryv3.RegisterAggregatedDiscoveryServiceServer(s, m)
-	go s.Serve(l)
-	defer s.Stop()
-	lists := make(chan []ashwood.Server, 9)
+	management, server := &scriptedServer{streams: make(chan *scriptedStream, 9)}, grpc.NewServer()
+	discoveryv3.RegisterAggregatedDiscoveryServiceServer(server, management)
+	go server.Serve(l)
+	defer server.Stop()
+	snapshots := make(chan []ashwood.Server, 9)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c := New(Config{Server: l.Addr().String(), Node: "n", Credentials: insecure.NewCredentials()}, clock.System(), slog.New(slog.DiscardHandler),
-		func(_ ashwood.ListForm, list []ashwood.Server) { lists <- list })
+		func(_ ashwood.ListForm, list []ashwood.Server) { snapshots <- list })
 	go c.Run(ctx)
-	k := <-m.streams
-	same := func(what string, want, got any) {
+	stream := <-management.streams
+	wantEqual := func(what string, want, got any) {
 		t.Helper()
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Fatalf("%s: %s", what, diff)
 		}
 	}
-	same("first", asked{Type: typeCluster}, k.next(t))
-	k.tell(t, typeCluster, "1", "a", edsCluster("readers", "prefill"), edsCluster("writers", "decode-a"))
-	same("accepted", asked{Type: typeCluster, Version: "1", Nonce: "a"}, k.next(t))
-	same("services", asked{Type: typeEndpoint, Names: "readers writers "}, k.next(t))
-	same("no endpoints yet", 0, len(<-lists))
-
-	k.tell(t, typeEndpoint, "1", "b",
-		load("readers", endpoint(1, corev3.HealthStatus_HEALTHY, meta(map[string]any{"id": "s-1", "cell": 7, "started_at_ms": 2500}))),
-		load("writers", endpoint(2, corev3.HealthStatus_UNKNOWN, nil), endpoint(3, corev3.HealthStatus_UNHEALTHY, nil)))
-	same("accepted", asked{Type: typeEndpoint, Version: "1", Nonce: "b", Names: "readers writers "}, k.next(t))
-	reader := ashwood.Server{ID: "s-1", Address: "127.0.0.9:1", Kind: "prefill", Zone: "glenorchy", Cell: 7,
+	wantEqual("first request", requestSummary{Type: typeURLCluster}, stream.nextRequest(t))
+	stream.respond(t, typeURLCluster, "1", "a", edsCluster("pool-a", "prefill"), edsCluster("pool-b", "decode-a"))
+	wantEqual("accepted", requestSummary{Type: typeURLCluster, Version: "1", Nonce: "a"}, stream.nextRequest(t))
+	wantEqual("services", requestSummary{Type: typeURLEndpoint, Names: "pool-a pool-b "}, stream.nextRequest(t))
+	wantEqual("no endpoints yet", 0, len(<-snapshots))
+
+	stream.respond(t, typeURLEndpoint, "1", "b",
+		loadAssignment("pool-a", endpoint(1, corev3.HealthStatus_HEALTHY, ashwoodMetadata(map[string]any{"id": "s-1", "cell": 7, "started_at_ms": 2500}))),
+		loadAssignment("pool-b", endpoint(2, corev3.HealthStatus_UNKNOWN, nil), endpoint(3, corev3.HealthStatus_UNHEALTHY, nil)))
+	wantEqual("accepted", requestSummary{Type: typeURLEndpoint, Version: "1", Nonce: "b", Names: "pool-a pool-b "}, stream.nextRequest(t))
+	prefill := ashwood.Server{ID: "s-1", Address: "127.0.0.9:1", Kind: "prefill", Zone: "glenorchy", Cell: 7,
 		State: ashwood.StateOn, Weight: 3, Started: 2500 * time.Millisecond}
-	writer := func(addr string, state ashwood.ServerState) ashwood.Server {
+	decode := func(addr string, state ashwood.ServerState) ashwood.Server {
 		return ashwood.Server{ID: ashwood.ServerID(addr), Address: addr, Kind: "decode-a", Zone: "glenorchy", Cell: 4, State: state, Weight: 3}
 	}
-	same("list", []ashwood.Server{reader, writer("127.0.0.9:2", ashwood.StateOn), writer("127.0.0.9:3", ashwood.StateOff)}, <-lists)
-
-	// A bad update is rejected whole, the list in hand stays; a later good one counts.
-	k.tell(t, typeEndpoint, "2", "c", load("writers", endpoint(0, corev3.HealthStatus_HEALTHY, nil)))
-	same("rejected", asked{typeEndpoint, "1", "c", "readers writers ", true}, k.next(t))
-	k.tell(t, typeEndpoint, "3", "d", load("writers", endpoint(2, corev3.HealthStatus_DRAINING, nil)))
-	same("accepted", asked{Type: typeEndpoint, Version: "3", Nonce: "d", Names: "readers writers "}, k.next(t))
-	same("draining", []ashwood.Server{reader, writer("127.0.0.9:2", ashwood.StateFading)}, <-lists)
-
-	// A new stream goes on from the versions in hand.
-	close(k.end)
-	k = <-m.streams
-	defer func() { close(k.end) }()
-	same("again", asked{Type: typeCluster, Version: "1"}, k.next(t))
-	same("again", asked{Type: typeEndpoint, Version: "3", Names: "readers writers "}, k.next(t))
-	k.tell(t, typeCluster, "2", "e", edsCluster("readers", "prefill"))
-	same("accepted", asked{Type: typeCluster, Version: "2", Nonce: "e"}, k.next(t))
-	same("one cluster less", []ashwood.Server{reader}, <-lists)
+	wantEqual("membership", []ashwood.Server{prefill, decode("127.0.0.9:2", ashwood.StateOn), decode("127.0.0.9:3", ashwood.StateOff)}, <-snapshots)
+
+	// A malformed update is rejected as a whole and the last snapshot stays; a later valid one is applied.
+	stream.respond(t, typeURLEndpoint, "2", "c", loadAssignment("pool-b", endpoint(0, corev3.HealthStatus_HEALTHY, nil)))
+	wantEqual("rejected", requestSummary{typeURLEndpoint, "1", "c", "pool-a pool-b ", true}, stream.nextRequest(t))
+	stream.respond(t, typeURLEndpoint, "3", "d", loadAssignment("pool-b", endpoint(2, corev3.HealthStatus_DRAINING, nil)))
+	wantEqual("accepted", requestSummary{Type: typeURLEndpoint, Version: "3", Nonce: "d", Names: "pool-a pool-b "}, stream.nextRequest(t))
+	wantEqual("draining", []ashwood.Server{prefill, decode("127.0.0.9:2", ashwood.StateFading)}, <-snapshots)
+
+	// A new stream continues from the last accepted versions.
+	close(stream.closed)
+	stream = <-management.streams
+	defer func() { close(stream.closed) }()
+	wantEqual("again", requestSummary{Type: typeURLCluster, Version: "1"}, stream.nextRequest(t))
+	wantEqual("again", requestSummary{Type: typeURLEndpoint, Version: "3", Names: "pool-a pool-b "}, stream.nextRequest(t))
+	stream.respond(t, typeURLCluster, "2", "e", edsCluster("pool-a", "prefill"))
+	wantEqual("accepted", requestSummary{Type: typeURLCluster, Version: "2", Nonce: "e"}, stream.nextRequest(t))
+	wantEqual("one cluster removed", []ashwood.Server{prefill}, <-snapshots)
 }
