--- a/internal/handover/group.go
+++ b/internal/handover/group.go
@@ -1,10 +1,13 @@
-// Package handover lets the processes that serve one gateway's address know of one another
-// while a new version takes an old one's place: which there are, how far each has come, and
-// what each has taken note of. They meet in a folder; nothing is sent.
+// Package handover lets the processes that serve one gateway's address discover each other
+// while a new version replaces an old one: which processes there are, their states, and
+// which members each has noted. It also shares the address between their listeners and passes
+// messages with open connections from one process to another. It does not decide when a
+// process starts or stops, and does not know what the messages mean.
 //
-// Each process holds a file there, locked for as long as it lives: the kernel drops the lock
-// however the process ends, so that a stale file is told from a living process without a
-// clock. What a file says is read whole or believed not at all.
+// Membership is shared through a directory, without messages. Each process holds a file there,
+// locked for as long as it lives. The kernel drops the lock however the process ends, so a stale
+// file can be told from a living process without a clock. A file's content is used only if it
+// can be read as a whole.
 package handover
 
 import (
@@ -21,33 +24,33 @@
 	"syscall"
 )
 
-// State is how far a process has come.
+// State is the lifecycle state of a process.
 type State string
 
 // The states, in their order.
 const (
 	Starting State = "starting"
-	Serving  State = "serving" // it takes clients
-	Leaving  State = "leaving" // it finishes what it has taken
+	Serving  State = "serving" // it accepts clients
+	Leaving  State = "leaving" // it finishes the requests that it has accepted
 )
 
 // Member is a living process of the gateway.
 type Member struct {
-	Name  string  `json:"name"`
-	Since float64 `json:"since"` // ms of its start, by the machine's clock
-	State State   `json:"state"`
-	// Sees are the members that it had taken note of, itself among them.
-	Sees []string `json:"sees"`
+	Name      string  `json:"name"`
+	StartedAt float64 `json:"since"` // start time in ms, by the machine's clock
+	State     State   `json:"state"`
+	// Noted holds the names of the members that the process has noted, itself included.
+	Noted []string `json:"sees"`
 }
 
 const (
-	fileSuffix = ".member"
-	fileBytes  = 4096 // a file's whole length; more members than fit are not told
-	maxMembers = 64   // looked at; a folder with more is not ours
+	memberFileSuffix = ".member"
+	memberFileBytes  = 4096 // fixed length of a file; a list of members that does not fit is an error
+	maxMembers       = 64   // read at most; a directory with more was not made by this package
 )
 
-// Group is this process's place among the members. Its methods may be called from several
-// goroutines.
+// Group is this process's membership among the processes of one address. Its methods may be
+// called from several goroutines.
 type Group struct {
 	dir string
 
@@ -56,16 +59,16 @@
 	self Member
 }
 
-// Join takes a place in the folder for an address under dir, as a process that starts.
-// Since is the ms of its start. The error says why there is none; the process can serve alone.
-func Join(dir, address, name string, since float64) (*Group, error) {
+// Join registers this process, in state Starting, in the directory for an address under dir.
+// startedAt is the process's start time in ms. On an error, the process can still serve alone.
+func Join(dir, address, name string, startedAt float64) (*Group, error) {
 	h := fnv.New64a()
 	h.Write([]byte(address))
-	g := &Group{dir: filepath.Join(dir, fmt.Sprintf("ashwood-%016x", h.Sum64())), self: Member{Name: name, Since: since, State: Starting}}
+	g := &Group{dir: filepath.Join(dir, fmt.Sprintf("ashwood-%016x", h.Sum64())), self: Member{Name: name, StartedAt: startedAt, State: Starting}}
 	if err := os.MkdirAll(g.dir, 0o700); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	// The file gets its name once it is locked: before, it would look stale.
+	// The file gets its final name once it is locked: without the lock it would look stale.
 	f, err := os.CreateTemp(g.dir, "new-")
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -84,63 +87,63 @@
 	return g, nil
 }
 
-func (g *Group) path(name string) string { return filepath.Join(g.dir, name+fileSuffix) }
+func (g *Group) path(name string) string { return filepath.Join(g.dir, name+memberFileSuffix) }
 
-// Leave gives the place up.
+// Leave removes this process from the group.
 func (g *Group) Leave() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return errors.Join(os.Remove(g.path(g.self.Name)), g.file.Close())
 }
 
-// Tell says how far this process has come.
-func (g *Group) Tell(s State) error {
+// SetState publishes the state of this process.
+func (g *Group) SetState(s State) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.self.State = s
 	return g.write()
 }
 
-// Self is this process as the others are told of it.
+// Self returns this process as it is published to the others.
 func (g *Group) Self() Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.self
 }
 
-// Note says which members this process has taken note of, once it acts on it.
-func (g *Group) Note(members []Member) error {
-	sees := make([]string, len(members))
+// NoteMembers publishes the members that this process has noted, once it acts on them.
+func (g *Group) NoteMembers(members []Member) error {
+	noted := make([]string, len(members))
 	for i, m := range members {
-		sees[i] = m.Name
+		noted[i] = m.Name
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if slices.Equal(sees, g.self.Sees) {
+	if slices.Equal(noted, g.self.Noted) {
 		return nil
 	}
-	g.self.Sees = sees
+	g.self.Noted = noted
 	return g.write()
 }
 
-// write has the file say what this process is, in one call and always at the same length.
+// write writes this process's entry to its file, in one call and always with the same length.
 func (g *Group) write() error {
 	raw, err := json.Marshal(g.self)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	if len(raw) > fileBytes {
-		return fmt.Errorf("handover: %d members are too many to tell of", len(g.self.Sees))
+	if len(raw) > memberFileBytes {
+		return fmt.Errorf("handover: %d noted members do not fit into the member file", len(g.self.Noted))
 	}
-	text := append(raw, strings.Repeat(" ", fileBytes-len(raw))...)
+	text := append(raw, strings.Repeat(" ", memberFileBytes-len(raw))...)
 	if _, err := g.file.WriteAt(text, 0); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
 	return nil
 }
 
-// Members gives the living processes, this one among them, oldest first. Files of those
-// that have ended are taken away. One whose file can't be read lives all the same.
+// Members returns the living processes, this one included, oldest first. It removes the files
+// of processes that have ended. A process whose file can't be read still counts as living.
 func (g *Group) Members() ([]Member, error) {
 	self := g.Self()
 	entries, err := os.ReadDir(g.dir)
@@ -149,22 +152,22 @@
 	}
 	members := []Member{self}
 	for _, e := range entries {
-		name, ok := strings.CutSuffix(e.Name(), fileSuffix)
+		name, ok := strings.CutSuffix(e.Name(), memberFileSuffix)
 		if !ok || name == self.Name || len(members) == maxMembers {
 			continue
 		}
-		if m, alive := g.look(name); alive {
+		if m, alive := g.readMember(name); alive {
 			members = append(members, m)
 		}
 	}
 	slices.SortFunc(members, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(a.Name, b.Name))
 	})
 	return members, nil
 }
 
-// look reads another's file, and takes it away if nobody holds it any more.
-func (g *Group) look(name string) (m Member, alive bool) {
+// readMember reads another process's file, and removes it if no process holds its lock.
+func (g *Group) readMember(name string) (m Member, alive bool) {
 	f, err := os.Open(g.path(name))
 	if err != nil {
 		return m, false // it has just left
@@ -174,11 +177,11 @@
 		os.Remove(g.path(name))
 		return m, false
 	}
-	raw := make([]byte, fileBytes)
+	raw := make([]byte, memberFileBytes)
 	n, _ := f.ReadAt(raw, 0)
 	if json.Unmarshal(raw[:n], &m) != nil {
 		m = Member{State: Starting}
 	}
-	m.Name = name // whatever it says
+	m.Name = name // whatever the file says
 	return m, true
 }
--- a/internal/handover/group_test.go
+++ b/internal/handover/group_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func join(t *testing.T, dir, name string, since float64) *Group {
+func joinGroup(t *testing.T, dir, name string, since float64) *Group {
 	t.Helper()
 	g, err := Join(dir, "127.0.0.1:7070", name, since)
 	if err != nil {
@@ -16,7 +16,7 @@
 	return g
 }
 
-func names(t *testing.T, g *Group) string {
+func memberStates(t *testing.T, g *Group) string {
 	t.Helper()
 	members, err := g.Members()
 	if err != nil {
@@ -29,19 +29,19 @@
 	return strings.Join(list, " ")
 }
 
-// Those that live are seen, oldest first, with how far each has come; a process that has
-// ended is not, whether it took its file away or was killed, and neither is what lies
-// about: stale files, foreign ones, another address's.
-func TestMembersAreThoseThatLive(t *testing.T) {
+// Members returns the living processes, oldest first, with their states. Processes that have
+// ended are left out, whether they removed their file or were killed, and so are stale files,
+// foreign files and the processes of another address.
+func TestGroup_LivingMembers(t *testing.T) {
 	dir := t.TempDir()
-	a, b := join(t, dir, "a", 10), join(t, dir, "b", 5)
+	a, b := joinGroup(t, dir, "a", 10), joinGroup(t, dir, "b", 5)
 	defer a.Leave()
 	other, err := Join(dir, "127.0.0.1:7071", "c", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.Leave()
-	if err := b.Tell(Serving); err != nil {
+	if err := b.SetState(Serving); err != nil {
 		t.Fatal(err)
 	}
 	for name, text := range map[string]string{"stale.member": `{"name":"stale","state":"serving"}`, "new-123": "", "x": "y"} {
@@ -49,82 +49,82 @@
 			t.Fatal(err)
 		}
 	}
-	if got := names(t, a); got != "b:serving a:starting" {
+	if got := memberStates(t, a); got != "b:serving a:starting" {
 		t.Errorf("a sees %q", got)
 	}
 	if _, err := os.Stat(filepath.Join(a.dir, "stale.member")); !os.IsNotExist(err) {
-		t.Errorf("the stale file stays: %v", err)
+		t.Errorf("the stale file was not removed: %v", err)
 	}
-	// One whose file has been spoilt lives all the same.
+	// A process whose file is corrupted still counts as living.
 	if _, err := b.file.WriteAt([]byte("{{{"), 0); err != nil {
 		t.Fatal(err)
 	}
-	if got := names(t, a); got != "b:starting a:starting" && got != "a:starting b:starting" {
-		t.Errorf("a sees %q of a spoilt file", got)
+	if got := memberStates(t, a); got != "b:starting a:starting" && got != "a:starting b:starting" {
+		t.Errorf("with a corrupted file a sees %q", got)
 	}
 	b.file.Close() // as the kernel does for a process that is killed
-	if got := names(t, a); got != "a:starting" {
-		t.Errorf("after the other's end a sees %q", got)
+	if got := memberStates(t, a); got != "a:starting" {
+		t.Errorf("after the other process's end a sees %q", got)
 	}
 }
 
-// A new process knows that the others have taken note of it; an older one yields while a
-// newer one serves, and no longer than that one lives.
-func TestPlanFollowsTheMembers(t *testing.T) {
+// A new process can tell whether the others have noted it. An older process is superseded while
+// a newer one serves, and only as long as that one lives.
+func TestMakePlan_MembersChange(t *testing.T) {
 	dir := t.TempDir()
-	old, fresh := join(t, dir, "old", 1), join(t, dir, "new", 2)
-	defer old.Leave()
+	older, newer := joinGroup(t, dir, "old", 1), joinGroup(t, dir, "new", 2)
+	defer older.Leave()
 	plan := func(g *Group) Plan {
 		members, err := g.Members()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := g.Note(members); err != nil {
+		if err := g.NoteMembers(members); err != nil {
 			t.Fatal(err)
 		}
-		return Decide(g.Self().Name, members)
+		return MakePlan(g.Self().Name, members)
 	}
 	want := func(g *Group, p Plan) {
 		t.Helper()
 		if got := plan(g); got != p {
-			t.Errorf("%s does %+v, want %+v", g.Self().Name, got, p)
+			t.Errorf("plan of %s: %+v, want %+v", g.Self().Name, got, p)
 		}
 	}
-	members, _ := fresh.Members()
-	if Noted("new", members) {
-		t.Error("noted before the other has looked")
-	}
-	old.Tell(Serving)
-	want(old, Plan{Processes: 2})
-	if members, _ = fresh.Members(); !Noted("new", members) {
-		t.Error("the other has looked, and it is not noted")
-	}
-	want(fresh, Plan{Processes: 2})
-	fresh.Tell(Serving)
-	want(old, Plan{Processes: 2, Yield: true})
-	want(fresh, Plan{Processes: 2}) // an older one that serves is nobody to yield to
-	third := join(t, dir, "third", 3)
-	want(fresh, Plan{Processes: 3})
-	third.Tell(Serving)
-	want(fresh, Plan{Processes: 3, Yield: true})
-	members, _ = old.Members()
-	if heir, ok := Heir("old", members); heir != "third" || !ok {
-		t.Errorf("the oldest's heir is %q, %v", heir, ok)
-	}
-	if heir, ok := Heir("third", members); ok {
-		t.Errorf("the newest's heir is %q", heir)
+	members, _ := newer.Members()
+	if NotedByAll("new", members) {
+		t.Error("noted before the older process has read the members")
+	}
+	older.SetState(Serving)
+	want(older, Plan{Processes: 2})
+	if members, _ = newer.Members(); !NotedByAll("new", members) {
+		t.Error("not noted although the older process has read the members")
+	}
+	want(newer, Plan{Processes: 2})
+	newer.SetState(Serving)
+	want(older, Plan{Processes: 2, Superseded: true})
+	want(newer, Plan{Processes: 2}) // an older process that serves supersedes nobody
+	third := joinGroup(t, dir, "third", 3)
+	want(newer, Plan{Processes: 3})
+	third.SetState(Serving)
+	want(newer, Plan{Processes: 3, Superseded: true})
+	members, _ = older.Members()
+	if successor, ok := Successor("old", members); successor != "third" || !ok {
+		t.Errorf("the oldest process's successor is %q, %v; want third", successor, ok)
+	}
+	if successor, ok := Successor("third", members); ok {
+		t.Errorf("the newest process has the successor %q", successor)
 	}
 	if err := third.Leave(); err != nil {
 		t.Fatal(err)
 	}
-	fresh.Tell(Leaving)
-	want(old, Plan{Processes: 2})
-	fresh.file.Close()
-	want(old, Plan{Processes: 1})
+	newer.SetState(Leaving)
+	want(older, Plan{Processes: 2})
+	newer.file.Close()
+	want(older, Plan{Processes: 1})
 }
 
-// A folder that is not to be had is said, with its name, and nothing is left open.
-func TestNoFolderIsSaid(t *testing.T) {
+// If the directory can't be made, the error names it.
+func TestJoin_UnusableFolder(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/handover/listen_test.go
+++ b/internal/handover/listen_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// With two listeners on an address, every new connection comes to the one that opened
-// last; once that has gone, all come to the one that is left, and to a third that opens.
-func TestConnectionsComeToTheListenerThatOpenedLast(t *testing.T) {
+// With two listeners on an address, every new connection goes to the one that opened last.
+// Once that one is closed, all go to the remaining listener, and then to a third one that opens.
+func TestSteer_NewestListener(t *testing.T) {
 	var addr string
 	open := func() (net.Listener, chan net.Conn) {
 		l, err := Listen(addr)
@@ -15,22 +15,22 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { l.Close() })
-		came := make(chan net.Conn, 99)
+		accepted := make(chan net.Conn, 99)
 		go func() {
 			for {
 				c, err := l.Accept()
 				if err != nil {
 					return
 				}
-				came <- c
+				accepted <- c
 			}
 		}()
-		return l, came
+		return l, accepted
 	}
 	addr = "127.0.0.1:0"
-	first, old := open()
+	first, firstConns := open()
 	addr = first.Addr().String()
-	wantAll := func(where string, came chan net.Conn) {
+	wantAll := func(where string, accepted chan net.Conn) {
 		t.Helper()
 		for range 40 {
 			c, err := net.Dial("tcp", addr)
@@ -39,30 +39,30 @@
 			}
 			defer c.Close()
 			select {
-			case s := <-came:
+			case s := <-accepted:
 				defer s.Close()
 			case <-t.Context().Done():
 			}
 		}
-		if len(came) > 0 {
-			t.Errorf("%s got more than there were", where)
+		if len(accepted) > 0 {
+			t.Errorf("%s got more connections than were opened", where)
 		}
 	}
-	wantAll("the first, alone", old)
-	second, mid := open()
+	wantAll("the first, alone", firstConns)
+	second, secondConns := open()
 	if err := Steer(second, 2); err != nil {
 		t.Fatal(err)
 	}
-	wantAll("the second", mid)
-	if len(old) > 0 {
-		t.Errorf("the first got %d", len(old))
+	wantAll("the second", secondConns)
+	if len(firstConns) > 0 {
+		t.Errorf("the first got %d connections, want 0", len(firstConns))
 	}
 	second.Close()
-	wantAll("the first, again", old)
-	third, last := open()
+	wantAll("the first, again", firstConns)
+	third, thirdConns := open()
 	if err := Steer(third, 2); err != nil {
 		t.Fatal(err)
 	}
 	first.Close()
-	wantAll("the third", last)
+	wantAll("the third", thirdConns)
 }
--- a/internal/handover/plan.go
+++ b/internal/handover/plan.go
@@ -2,27 +2,27 @@
 
 import "slices"
 
-// Plan is what a process does by the members that live.
+// Plan is what a process has to do, given the living members.
 type Plan struct {
-	Processes int  // that share the gateway's part, this one among them
-	Yield     bool // a newer one takes clients: this one sends its own there
+	Processes  int  // that share the gateway's work, this one included
+	Superseded bool // a newer process accepts clients: this one sends its own clients there
 }
 
-// Decide gives a process's plan. Members are as Group.Members gives them, oldest first. A
-// process that starts counts from its first sign, before it takes any client, and one that
-// leaves until it is gone.
-func Decide(self string, members []Member) Plan {
+// MakePlan returns a process's plan. Members are as returned by Group.Members, oldest first.
+// A starting process counts from its first entry, before it accepts any client, and a leaving
+// one until it has ended.
+func MakePlan(selfName string, members []Member) Plan {
 	p := Plan{Processes: max(len(members), 1)}
-	at := slices.IndexFunc(members, func(m Member) bool { return m.Name == self })
+	at := slices.IndexFunc(members, func(m Member) bool { return m.Name == selfName })
 	for _, m := range members[at+1:] {
-		p.Yield = p.Yield || m.State == Serving
+		p.Superseded = p.Superseded || m.State == Serving
 	}
 	return p
 }
 
-// Heir is the newest process that serves, if one newer than this does.
-func Heir(self string, members []Member) (name string, ok bool) {
-	at := slices.IndexFunc(members, func(m Member) bool { return m.Name == self })
+// Successor returns the newest process that serves, if one that is newer than this process does.
+func Successor(selfName string, members []Member) (name string, ok bool) {
+	at := slices.IndexFunc(members, func(m Member) bool { return m.Name == selfName })
 	for _, m := range members[at+1:] {
 		if m.State == Serving {
 			name, ok = m.Name, true
@@ -31,9 +31,9 @@
 	return name, ok
 }
 
-// Noted tells whether all others have taken note of a process.
-func Noted(self string, members []Member) bool {
+// NotedByAll reports whether all other processes have noted this one.
+func NotedByAll(selfName string, members []Member) bool {
 	return !slices.ContainsFunc(members, func(m Member) bool {
-		return m.Name != self && !slices.Contains(m.Sees, self)
+		return m.Name != selfName && !slices.Contains(m.Noted, selfName)
 	})
 }
--- a/internal/handover/streams_test.go
+++ b/internal/handover/streams_test.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Guards against dropping what was handed over to a process that was stopped between its accept and its first read: its deadline was
-// over when it ran again, and the message, with a client's answer, lay unread.
-func TestReadMessage_ComeWhileStopped(t *testing.T) {
+// Guards against losing a message to a process that was stopped between its accept and its first read: its deadline had passed
+// when it ran again, and the message, with a client's answer, stayed unread.
+func TestReadMessage_DeadlinePassedWhileStopped(t *testing.T) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_SEQPACKET, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -31,12 +31,12 @@
 		t.Fatal(err)
 	}
 	ends[1].SetReadDeadline(time.Now().Add(-time.Second))
-	raw := make([]byte, handBytes)
+	raw := make([]byte, maxMessageBytes)
 	if n, _, _, err := readMessage(ends[1], raw, nil); string(raw[:n]) != "an answer" || err != nil {
 		t.Errorf("got %q, %v", raw[:n], err)
 	}
 	ends[1].SetReadDeadline(time.Now().Add(-time.Second))
 	if _, _, _, err := readMessage(ends[1], raw, nil); err == nil {
-		t.Error("a message that never came")
+		t.Error("read a message that was never sent")
 	}
 }
