--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -107,7 +107,7 @@
 		begun := d.clock.Now()
 		hold, patience := d.pace.Call()
 		t, err := askList(client, from, inHand, hold, patience)
-		d.log.Debug("list", "from", from, "watch", inHand, "generation", t.Generation, "whole", t.Whole, "entries", len(t.Engines),
+		d.log.Debug("list", "from", from, "watch", inHand, "generation", t.Generation, "whole", t.Snapshot, "entries", len(t.Engines),
 			"ms", d.clock.Now()-begun, "err", err)
 		if ctx.Err() != nil {
 			return
@@ -126,7 +126,7 @@
 		}
 		d.pace.Answered()
 		switch {
-		case t.Whole:
+		case t.Snapshot:
 			d.update(ashwood.ListWhole, t.Engines)
 		case len(t.Engines) > 0:
 			d.update(ashwood.ListPatch, t.Engines)
@@ -185,7 +185,7 @@
 func once(t wire.Targets) error {
 	seen := map[ashwood.ServerID]bool{}
 	for _, v := range t.Engines {
-		if t.Whole && seen[v.ID] {
+		if t.Snapshot && seen[v.ID] {
 			return fmt.Errorf("platform: discovery: the whole list names %q twice", v.ID)
 		}
 		seen[v.ID] = true
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,6 @@
-// Package wire translates between the JSON wire of a batch and the events and
-// actions of package ashwood. It decides nothing.
+// Package wire translates between JSON and the types of package ashwood: a simulator's
+// batches of events and actions, settings, discovery's membership updates and load reports.
+// It makes no decisions and does no I/O.
 package wire
 
 import (
@@ -14,66 +15,66 @@
 	"ashwood.example/ashwood"
 )
 
-// Batch is one line of input.
+// Batch is one line of input: messages for several instances at one time.
 type Batch struct {
 	Now   time.Duration
 	Parts []Part
 }
 
-// Part holds the messages for one instance, in their order.
+// Part holds the messages for one instance, in order.
 type Part struct {
 	Instance int
 	Messages []Message
 }
 
-// Message is one of *Start, Stop and a ashwood.Event. Messages that the
-// library has no use for are left out of a Part.
+// Message is a *Start, a Stop or an ashwood.Event. Messages that the decision
+// module does not use are left out of a Part.
 type Message any
 
-// Start begins an instance.
+// Start creates an instance, or replaces it.
 type Start struct {
 	Seed     int64
 	Settings ashwood.Settings
 }
 
-// Stop kills an instance.
+// Stop removes an instance.
 type Stop struct{}
 
-// ms is a time in milliseconds on the wire.
-type ms float64
+// milliseconds is a time on the wire.
+type milliseconds float64
 
-func (m ms) duration() time.Duration {
+func (m milliseconds) duration() time.Duration {
 	return time.Duration(math.Round(float64(m)*1000)) * time.Microsecond
 }
 
 type batchLine struct {
-	TS    *ms         `json:"ts"`
-	Parts *[]partLine `json:"parts"`
+	Timestamp *milliseconds `json:"ts"`
+	Parts     *[]partLine   `json:"parts"`
 }
 
 type partLine struct {
-	I      *int              `json:"i"`
-	Events []json.RawMessage `json:"events"`
+	Instance *int              `json:"i"`
+	Events   []json.RawMessage `json:"events"`
 }
 
-// DecodeBatch reads one line of input.
+// DecodeBatch decodes one line of input.
 func DecodeBatch(line []byte) (Batch, error) {
 	var in batchLine
-	if err := unmarshal("batch", line, &in); err != nil {
+	if err := unmarshalObject("batch", line, &in); err != nil {
 		return Batch{}, err
 	}
-	if in.TS == nil {
-		return Batch{}, missing("batch", "ts")
+	if in.Timestamp == nil {
+		return Batch{}, missingField("batch", "ts")
 	}
 	if in.Parts == nil {
-		return Batch{}, missing("batch", "parts")
+		return Batch{}, missingField("batch", "parts")
 	}
-	b := Batch{Now: in.TS.duration(), Parts: make([]Part, 0, len(*in.Parts))}
+	b := Batch{Now: in.Timestamp.duration(), Parts: make([]Part, 0, len(*in.Parts))}
 	for _, p := range *in.Parts {
-		if p.I == nil {
-			return Batch{}, missing("batch", "i")
+		if p.Instance == nil {
+			return Batch{}, missingField("batch", "i")
 		}
-		part := Part{Instance: *p.I}
+		part := Part{Instance: *p.Instance}
 		for _, raw := range p.Events {
 			m, err := decodeMessage(raw)
 			if err != nil {
@@ -88,44 +89,44 @@
 	return b, nil
 }
 
-type head struct {
+type messageHeader struct {
 	Cmd *string `json:"cmd"`
 }
 
 func decodeMessage(raw []byte) (Message, error) {
-	var h head
-	if err := unmarshal("event", raw, &h); err != nil {
+	var h messageHeader
+	if err := unmarshalObject("event", raw, &h); err != nil {
 		return nil, err
 	}
 	if h.Cmd == nil {
-		return nil, missing("event", "cmd")
+		return nil, missingField("event", "cmd")
 	}
-	decode, ok := decoders[*h.Cmd]
+	decode, ok := messageDecoders[*h.Cmd]
 	if !ok {
 		return nil, fmt.Errorf("wire: unknown message %q", *h.Cmd)
 	}
 	return decode(raw)
 }
 
-var decoders = map[string]func([]byte) (Message, error){
+var messageDecoders = map[string]func([]byte) (Message, error){
 	"NEW_INSTANCE":  decodeStart,
 	"STOP":          func([]byte) (Message, error) { return Stop{}, nil },
-	"SYNC":          decodeMembers,
+	"SYNC":          decodeMembershipUpdate,
 	"CALL":          decodeRequest,
-	"HEAD_RECEIVED": decodeFirst,
-	"PLACE_NOTE":    decodeNote,
+	"HEAD_RECEIVED": decodeAnswerStarted,
+	"PLACE_NOTE":    decodeReservationResult,
 	"FINISHED":      decodeOutcome,
-	"HANGUP":        decodeGone,
-	"RING":          decodeTimer,
-	"CHECKED":       decodeProbed,
+	"HANGUP":        decodeClientDisconnected,
+	"RING":          decodeTimerFired,
+	"CHECKED":       decodeProbeResult,
 	"DATAGRAM":      func([]byte) (Message, error) { return nil, nil },
 }
 
-func unmarshal(message string, raw []byte, into any) error {
+func unmarshalObject(message string, raw []byte, into any) error {
 	if bytes.Equal(bytes.TrimSpace(raw), []byte("null")) {
-		return fmt.Errorf("wire: %s: null in place of an object", message)
+		return fmt.Errorf("wire: %s: null instead of an object", message)
 	}
-	if !utf8.Valid(raw) { // names would be read as others
+	if !utf8.Valid(raw) { // encoding/json would replace the invalid bytes, which changes names
 		return fmt.Errorf("wire: %s: not in UTF-8", message)
 	}
 	err := json.Unmarshal(raw, into)
@@ -134,45 +135,45 @@
 	case err == nil:
 		return nil
 	case errors.As(err, &wrong):
-		return fmt.Errorf("wire: %s: field %q: %s in place of %s", message, wrong.Field, wrong.Value, wrong.Type)
+		return fmt.Errorf("wire: %s: field %q: %s instead of %s", message, wrong.Field, wrong.Value, wrong.Type)
 	}
 	return fmt.Errorf("wire: %s: %w", message, err)
 }
 
-func missing(message, field string) error {
+func missingField(message, field string) error {
 	return fmt.Errorf("wire: %s: field %q is missing", message, field)
 }
 
-func unknown(message, field, value string) error {
+func unknownValue(message, field, value string) error {
 	return fmt.Errorf("wire: %s: field %q: unknown value %q", message, field, value)
 }
 
-// field pairs a field's name with whether it was given.
-type field struct {
-	name  string
-	given bool
+// requiredField is a field's name and whether the message has it.
+type requiredField struct {
+	name    string
+	present bool
 }
 
-func require(message string, fields ...field) error {
+func require(message string, fields ...requiredField) error {
 	for _, f := range fields {
-		if !f.given {
-			return missing(message, f.name)
+		if !f.present {
+			return missingField(message, f.name)
 		}
 	}
 	return nil
 }
 
-func opt[T any](p *T) (v T) {
+func valueOrZero[T any](p *T) (v T) {
 	if p != nil {
 		v = *p
 	}
 	return v
 }
 
-func notNegative(message, name string, values ...float64) error {
+func requireNotNegative(message, name string, values ...float64) error {
 	for _, v := range values {
 		if v < 0 {
-			return fmt.Errorf("wire: %s: field %q is below zero", message, name)
+			return fmt.Errorf("wire: %s: field %q is negative", message, name)
 		}
 	}
 	return nil
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -13,25 +13,25 @@
 	Parts []ReplyPart `json:"parts"`
 }
 
-// ReplyPart holds what one instance wants done.
+// ReplyPart holds the encoded actions of one instance.
 type ReplyPart struct {
 	Instance int   `json:"i"`
 	Out      []any `json:"out"`
 }
 
 type command struct {
-	Cmd     string            `json:"cmd"`
-	ID      ashwood.RequestID `json:"tid,omitempty"`
-	Engine  ashwood.ServerID  `json:"engine,omitempty"`
-	Round   *int              `json:"round_no,omitempty"`
-	Within  *float64          `json:"within,omitempty"`
-	Pause   *float64          `json:"pause,omitempty"`
-	When    *float64          `json:"when,omitempty"`
-	KeyBack *uint64           `json:"key_back,omitempty"`
-	On      *bool             `json:"on,omitempty"`
+	Cmd        string            `json:"cmd"`
+	ID         ashwood.RequestID `json:"tid,omitempty"`
+	Engine     ashwood.ServerID  `json:"engine,omitempty"`
+	Attempt    *int              `json:"round_no,omitempty"`
+	Timeout    *float64          `json:"within,omitempty"`
+	RetryAfter *float64          `json:"pause,omitempty"`
+	At         *float64          `json:"when,omitempty"`
+	TimerToken *uint64           `json:"key_back,omitempty"`
+	On         *bool             `json:"on,omitempty"`
 }
 
-// EncodeReply writes one line of output, without its end.
+// EncodeReply encodes one line of output, without the newline.
 func EncodeReply(r Reply) ([]byte, error) {
 	if r.Parts == nil {
 		r.Parts = []ReplyPart{}
@@ -39,28 +39,28 @@
 	return json.Marshal(r)
 }
 
-func millis(d time.Duration) *float64 {
+func toMillis(d time.Duration) *float64 {
 	v := float64(d.Microseconds()) / 1000
 	return &v
 }
 
-// EncodeAction gives the wire form of an action.
+// EncodeAction returns the wire form of an action.
 func EncodeAction(a ashwood.Action) (any, error) {
 	switch a := a.(type) {
 	case ashwood.Attempt:
-		return command{Cmd: "RELAY", ID: a.ID, Engine: a.Server, Within: millis(a.Timeout)}, nil
+		return command{Cmd: "RELAY", ID: a.ID, Engine: a.Server, Timeout: toMillis(a.Timeout)}, nil
 	case ashwood.Ahead:
 		return command{Cmd: "SET_ASIDE", ID: a.ID, Engine: a.Server}, nil
 	case ashwood.Release:
 		return command{Cmd: "UNHOLD", ID: a.ID}, nil
 	case ashwood.Cancel:
-		return command{Cmd: "REVOKE", ID: a.ID, Round: &a.Attempt}, nil
+		return command{Cmd: "REVOKE", ID: a.ID, Attempt: &a.Attempt}, nil
 	case ashwood.Refuse:
-		return command{Cmd: "PUSH_BACK", ID: a.ID, Pause: millis(a.RetryAfter)}, nil
+		return command{Cmd: "PUSH_BACK", ID: a.ID, RetryAfter: toMillis(a.RetryAfter)}, nil
 	case ashwood.Fail:
 		return command{Cmd: "DROP_REQUEST", ID: a.ID}, nil
 	case ashwood.SetTimer:
-		return command{Cmd: "AFTER", When: millis(a.At), KeyBack: &a.Token}, nil
+		return command{Cmd: "AFTER", At: toMillis(a.At), TimerToken: &a.Token}, nil
 	case ashwood.Probe:
 		return command{Cmd: "POLL", Engine: a.Server}, nil
 	case ashwood.Watch:
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -7,60 +7,60 @@
 	"ashwood.example/ashwood"
 )
 
-func decodeMembers(raw []byte) (Message, error) {
+func decodeMembershipUpdate(raw []byte) (Message, error) {
 	const name = "SYNC"
 	var in struct {
 		Form    *string `json:"form"`
 		Records []struct {
 			Engine    *ashwood.ServerID `json:"engine"`
 			Zone      *string           `json:"region_part"`
-			Type      *string           `json:"type"`
-			Bay       *int              `json:"bay"`
+			Kind      *string           `json:"type"`
+			Cell      *int              `json:"bay"`
 			Lifecycle *string           `json:"lifecycle"`
 			Weight    *float64          `json:"weight"`
-			Started   *ms               `json:"start_time"`
+			Started   *milliseconds     `json:"start_time"`
 		} `json:"records"`
 	}
-	if err := unmarshal(name, raw, &in); err != nil {
+	if err := unmarshalObject(name, raw, &in); err != nil {
 		return nil, err
 	}
 	if in.Form == nil {
-		return nil, missing(name, "form")
+		return nil, missingField(name, "form")
 	}
-	form, ok := listForms[*in.Form]
+	form, ok := membershipForms[*in.Form]
 	if !ok {
-		return nil, unknown(name, "form", *in.Form)
+		return nil, unknownValue(name, "form", *in.Form)
 	}
-	e := ashwood.Members{Form: form}
-	for _, r := range in.Records {
-		if err := require(name, field{"engine", r.Engine != nil}, field{"lifecycle", r.Lifecycle != nil}); err != nil {
+	update := ashwood.Members{Form: form}
+	for _, record := range in.Records {
+		if err := require(name, requiredField{"engine", record.Engine != nil}, requiredField{"lifecycle", record.Lifecycle != nil}); err != nil {
 			return nil, err
 		}
-		state, ok := states[*r.Lifecycle]
+		state, ok := serverStates[*record.Lifecycle]
 		if !ok {
-			return nil, unknown(name, "lifecycle", *r.Lifecycle)
+			return nil, unknownValue(name, "lifecycle", *record.Lifecycle)
 		}
-		e.Entries = append(e.Entries, ashwood.Server{
-			ID: *r.Engine, Zone: opt(r.Zone), Kind: opt(r.Type), Cell: opt(r.Bay),
-			State: state, Weight: opt(r.Weight), Started: opt(r.Started).duration(),
+		update.Entries = append(update.Entries, ashwood.Server{
+			ID: *record.Engine, Zone: valueOrZero(record.Zone), Kind: valueOrZero(record.Kind), Cell: valueOrZero(record.Cell),
+			State: state, Weight: valueOrZero(record.Weight), Started: valueOrZero(record.Started).duration(),
 		})
 	}
-	return e, nil
+	return update, nil
 }
 
-var listForms = map[string]ashwood.ListForm{
+var membershipForms = map[string]ashwood.ListForm{
 	"patch": ashwood.ListPatch, "whole": ashwood.ListWhole,
 	"stale_copy": ashwood.ListStale, "broken": ashwood.ListBroken,
 }
 
-var states = map[string]ashwood.ServerState{
+var serverStates = map[string]ashwood.ServerState{
 	"on": ashwood.StateOn, "fading": ashwood.StateFading, "off": ashwood.StateOff,
 }
 
-// tenantName is a tenant's name; sites without tenants may write 0.
+// tenantName is a tenant's name; sites without tenants may send 0.
 type tenantName string
 
-// UnmarshalJSON takes a string, null or the number 0.
+// UnmarshalJSON accepts a string, null or the number 0.
 func (t *tenantName) UnmarshalJSON(raw []byte) error {
 	if string(raw) == "0" || string(raw) == "null" {
 		return nil
@@ -71,80 +71,80 @@
 func decodeRequest(raw []byte) (Message, error) {
 	const name = "CALL"
 	var in struct {
-		ID       *ashwood.RequestID `json:"tid"`
-		Talk     *uint64            `json:"talk"`
-		Again    *bool              `json:"again"`
-		Customer tenantName         `json:"customer"`
-		Estimate *float64           `json:"estimate"`
-		Shared   *float64           `json:"shared_len"`
-		Left     *ms                `json:"time_left"`
-		Prefix   *uint64            `json:"shared_prefix"`
-		Retry    *bool              `json:"again_by_client"`
-		Prompt   *float64           `json:"prompt_tokens"`
-		Max      *float64           `json:"n_max"`
-		Service  *string            `json:"service"`
-	}
-	if err := unmarshal(name, raw, &in); err != nil {
+		ID              *ashwood.RequestID `json:"tid"`
+		Session         *uint64            `json:"talk"`
+		Again           *bool              `json:"again"`
+		Tenant          tenantName         `json:"customer"`
+		Estimate        *float64           `json:"estimate"`
+		PrefixTokens    *float64           `json:"shared_len"`
+		TimeLeft        *milliseconds      `json:"time_left"`
+		Prefix          *uint64            `json:"shared_prefix"`
+		Retry           *bool              `json:"again_by_client"`
+		PromptTokens    *float64           `json:"prompt_tokens"`
+		MaxOutputTokens *float64           `json:"n_max"`
+		Class           *string            `json:"service"`
+	}
+	if err := unmarshalObject(name, raw, &in); err != nil {
 		return nil, err
 	}
-	err := require(name, field{"tid", in.ID != nil}, field{"service", in.Service != nil},
-		field{"time_left", in.Left != nil})
+	err := require(name, requiredField{"tid", in.ID != nil}, requiredField{"service", in.Class != nil},
+		requiredField{"time_left", in.TimeLeft != nil})
 	if err != nil {
 		return nil, err
 	}
-	if err := notNegative(name, "prompt_tokens", opt(in.Prompt)); err != nil {
+	if err := requireNotNegative(name, "prompt_tokens", valueOrZero(in.PromptTokens)); err != nil {
 		return nil, err
 	}
 	return ashwood.Request{
-		ID: *in.ID, Class: *in.Service, Tenant: string(in.Customer), Session: opt(in.Talk),
-		Prefix: opt(in.Prefix), PrefixTokens: opt(in.Shared), PromptTokens: opt(in.Prompt),
-		MaxOut: opt(in.Max), TimeLeft: in.Left.duration(), Retry: opt(in.Retry),
+		ID: *in.ID, Class: *in.Class, Tenant: string(in.Tenant), Session: valueOrZero(in.Session),
+		Prefix: valueOrZero(in.Prefix), PrefixTokens: valueOrZero(in.PrefixTokens), PromptTokens: valueOrZero(in.PromptTokens),
+		MaxOut: valueOrZero(in.MaxOutputTokens), TimeLeft: in.TimeLeft.duration(), Retry: valueOrZero(in.Retry),
 	}, nil
 }
 
-// attemptLine holds the fields that name an attempt.
-type attemptLine struct {
-	ID      *ashwood.RequestID  `json:"tid"`
-	Round   *int                `json:"round_no"`
-	Engine  *ashwood.ServerID   `json:"engine"`
-	Wait    *ms                 `json:"wait_time"`
-	Topic   *int                `json:"topic"`
-	Done    *bool               `json:"done_flag"`
-	Note    *float64            `json:"note"`
-	Status  *string             `json:"disposition"`
-	Load    map[string]*float64 `json:"load"`
-	KeyBack *uint64             `json:"key_back"`
+// attemptFields holds the fields of all messages about attempts, disconnects, timers and probes.
+type attemptFields struct {
+	ID          *ashwood.RequestID  `json:"tid"`
+	Attempt     *int                `json:"round_no"`
+	Engine      *ashwood.ServerID   `json:"engine"`
+	Latency     *milliseconds       `json:"wait_time"`
+	Topic       *int                `json:"topic"`
+	RequestDone *bool               `json:"done_flag"`
+	Detail      *float64            `json:"note"`
+	Status      *string             `json:"disposition"`
+	Load        map[string]*float64 `json:"load"`
+	TimerToken  *uint64             `json:"key_back"`
 }
 
-func decodeAttempt(name string, raw []byte) (in attemptLine, err error) {
-	if err = unmarshal(name, raw, &in); err == nil {
-		err = require(name, field{"tid", in.ID != nil}, field{"round_no", in.Round != nil},
-			field{"engine", in.Engine != nil})
+func decodeAttemptFields(name string, raw []byte) (in attemptFields, err error) {
+	if err = unmarshalObject(name, raw, &in); err == nil {
+		err = require(name, requiredField{"tid", in.ID != nil}, requiredField{"round_no", in.Attempt != nil},
+			requiredField{"engine", in.Engine != nil})
 	}
 	return in, err
 }
 
-func decodeFirst(raw []byte) (Message, error) {
-	in, err := decodeAttempt("HEAD_RECEIVED", raw)
+func decodeAnswerStarted(raw []byte) (Message, error) {
+	in, err := decodeAttemptFields("HEAD_RECEIVED", raw)
 	if err != nil {
 		return nil, err
 	}
-	return ashwood.First{ID: *in.ID, Attempt: *in.Round, Server: *in.Engine, Latency: opt(in.Wait).duration()}, nil
+	return ashwood.First{ID: *in.ID, Attempt: *in.Attempt, Server: *in.Engine, Latency: valueOrZero(in.Latency).duration()}, nil
 }
 
-func decodeNote(raw []byte) (Message, error) {
+func decodeReservationResult(raw []byte) (Message, error) {
 	const name = "PLACE_NOTE"
-	in, err := decodeAttempt(name, raw)
+	in, err := decodeAttemptFields(name, raw)
 	if err != nil {
 		return nil, err
 	}
 	if in.Topic == nil {
-		return nil, missing(name, "topic")
+		return nil, missingField(name, "topic")
 	}
 	if *in.Topic != 1 && *in.Topic != 2 {
-		return nil, unknown(name, "topic", fmt.Sprint(*in.Topic))
+		return nil, unknownValue(name, "topic", fmt.Sprint(*in.Topic))
 	}
-	return ashwood.PlaceNote{ID: *in.ID, Attempt: *in.Round, Server: *in.Engine, Held: *in.Topic == 1}, nil
+	return ashwood.PlaceNote{ID: *in.ID, Attempt: *in.Attempt, Server: *in.Engine, Held: *in.Topic == 1}, nil
 }
 
 var statuses = map[string]ashwood.Status{
@@ -154,20 +154,20 @@
 	"not_sent": ashwood.NotSent, "parsed": ashwood.Parsed,
 }
 
-func decodeStatus(name string, in attemptLine) (ashwood.Status, error) {
+func decodeStatus(name string, in attemptFields) (ashwood.Status, error) {
 	if in.Status == nil {
-		return 0, missing(name, "disposition")
+		return 0, missingField(name, "disposition")
 	}
 	st, ok := statuses[*in.Status]
 	if !ok {
-		return 0, unknown(name, "disposition", *in.Status)
+		return 0, unknownValue(name, "disposition", *in.Status)
 	}
 	return st, nil
 }
 
 func decodeOutcome(raw []byte) (Message, error) {
 	const name = "FINISHED"
-	in, err := decodeAttempt(name, raw)
+	in, err := decodeAttemptFields(name, raw)
 	if err != nil {
 		return nil, err
 	}
@@ -176,49 +176,49 @@
 		return nil, err
 	}
 	return ashwood.Outcome{
-		ID: *in.ID, Attempt: *in.Round, Server: *in.Engine, Status: st, Done: opt(in.Done),
-		Note: opt(in.Note), Latency: opt(in.Wait).duration(), Report: report(in.Load),
+		ID: *in.ID, Attempt: *in.Attempt, Server: *in.Engine, Status: st, Done: valueOrZero(in.RequestDone),
+		Note: valueOrZero(in.Detail), Latency: valueOrZero(in.Latency).duration(), Report: decodeLoad(in.Load),
 	}, nil
 }
 
-func decodeGone(raw []byte) (Message, error) {
+func decodeClientDisconnected(raw []byte) (Message, error) {
 	const name = "HANGUP"
-	var in attemptLine
-	if err := unmarshal(name, raw, &in); err != nil {
+	var in attemptFields
+	if err := unmarshalObject(name, raw, &in); err != nil {
 		return nil, err
 	}
 	if in.ID == nil {
-		return nil, missing(name, "tid")
+		return nil, missingField(name, "tid")
 	}
 	return ashwood.Gone{ID: *in.ID}, nil
 }
 
-func decodeTimer(raw []byte) (Message, error) {
+func decodeTimerFired(raw []byte) (Message, error) {
 	const name = "RING"
-	var in attemptLine
-	if err := unmarshal(name, raw, &in); err != nil {
+	var in attemptFields
+	if err := unmarshalObject(name, raw, &in); err != nil {
 		return nil, err
 	}
-	if in.KeyBack == nil {
-		return nil, missing(name, "key_back")
+	if in.TimerToken == nil {
+		return nil, missingField(name, "key_back")
 	}
-	return ashwood.Timer{Token: *in.KeyBack}, nil
+	return ashwood.Timer{Token: *in.TimerToken}, nil
 }
 
-func decodeProbed(raw []byte) (Message, error) {
+func decodeProbeResult(raw []byte) (Message, error) {
 	const name = "CHECKED"
-	var in attemptLine
-	if err := unmarshal(name, raw, &in); err != nil {
+	var in attemptFields
+	if err := unmarshalObject(name, raw, &in); err != nil {
 		return nil, err
 	}
 	if in.Engine == nil {
-		return nil, missing(name, "engine")
+		return nil, missingField(name, "engine")
 	}
 	st, err := decodeStatus(name, in)
 	if err != nil {
 		return nil, err
 	}
 	return ashwood.Probed{
-		Server: *in.Engine, Status: st, Latency: opt(in.Wait).duration(), Report: report(in.Load),
+		Server: *in.Engine, Status: st, Latency: valueOrZero(in.Latency).duration(), Report: decodeLoad(in.Load),
 	}, nil
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,55 +8,55 @@
 	"ashwood.example/ashwood"
 )
 
-type setupLine struct {
-	Siblings int      `json:"siblings"`
-	Number   int      `json:"my_number"`
-	Locality string   `json:"locality"`
-	Kinds    []string `json:"kinds"`
-	Lanes    []struct {
-		Name   string  `json:"name"`
-		Aim    ms      `json:"aim"`
-		Dead   ms      `json:"deadline"`
-		Worth  float64 `json:"worth"`
-		Late   float64 `json:"late_share"`
-		Effect string  `json:"effect"`
-		Group  string  `json:"group"`
-		Window ms      `json:"memory_span"`
+type settingsObject struct {
+	Nodes   int      `json:"siblings"`
+	Node    int      `json:"my_number"`
+	Zone    string   `json:"locality"`
+	Kinds   []string `json:"kinds"`
+	Classes []struct {
+		Name      string       `json:"name"`
+		Aim       milliseconds `json:"aim"`
+		Deadline  milliseconds `json:"deadline"`
+		Worth     float64      `json:"worth"`
+		LateShare float64      `json:"late_share"`
+		Effect    string       `json:"effect"`
+		Group     string       `json:"group"`
+		Window    milliseconds `json:"memory_span"`
 	} `json:"lanes"`
 	Tenants []struct {
-		Name  string  `json:"name"`
-		Share float64 `json:"share"`
-		Quota float64 `json:"allowance_per_s"`
+		Name        string  `json:"name"`
+		Share       float64 `json:"share"`
+		QuotaPerSec float64 `json:"allowance_per_s"`
 	} `json:"tenants"`
-	OverShare float64 `json:"over_share_worth"`
-	WorthBy   string  `json:"worth_by"`
-	Discovery string  `json:"discovery"`
-	Family    struct {
-		Ahead       bool      `json:"early_pairing"`
-		AimPer1K    []float64 `json:"aim_us_per_1000_prompt_tokens"`
-		Tokens      []float64 `json:"tokens_by_kind"`
-		Roles       []string  `json:"kind_role"`
-		Release     ms        `json:"release"`
-		Resume      bool      `json:"resume"`
-		TokenAim    []ms      `json:"token_aim"`
-		WritersRead bool      `json:"writers_read"`
+	OverShareWorth float64 `json:"over_share_worth"`
+	WorthBy        string  `json:"worth_by"`
+	Discovery      string  `json:"discovery"`
+	Family         struct {
+		Reservations     bool           `json:"early_pairing"`
+		AimPer1K         []float64      `json:"aim_us_per_1000_prompt_tokens"`
+		MemoryTokens     []float64      `json:"tokens_by_kind"`
+		Roles            []string       `json:"kind_role"`
+		ReleaseTimeout   milliseconds   `json:"release"`
+		Resume           bool           `json:"resume"`
+		TokenAim         []milliseconds `json:"token_aim"`
+		DecodeCanPrefill bool           `json:"writers_read"`
 	} `json:"family_info"`
-	Ceilings struct {
-		Attempts      int  `json:"attempts_cap"`
-		Cancel        bool `json:"cancel"`
-		Copies        bool `json:"second_copies"`
-		Probes        bool `json:"probes"`
-		RetryAfter    bool `json:"retry_after"`
-		MaxRetryAfter ms   `json:"max_retry_after"`
-		Connect       ms   `json:"connect_timeout"`
-		ConnIdle      ms   `json:"conn_idle"`
+	Limits struct {
+		MaxAttempts    int          `json:"attempts_cap"`
+		Cancel         bool         `json:"cancel"`
+		Hedging        bool         `json:"second_copies"`
+		Probes         bool         `json:"probes"`
+		RetryAfter     bool         `json:"retry_after"`
+		MaxRetryAfter  milliseconds `json:"max_retry_after"`
+		ConnectTimeout milliseconds `json:"connect_timeout"`
+		ConnIdle       milliseconds `json:"conn_idle"`
 	} `json:"ceilings"`
-	Obligations struct {
-		Multiple float64 `json:"fall_multiple"`
-		Fall     ms      `json:"fall"`
-		Start    float64 `json:"start_capacity"`
-		Warm     ms      `json:"warm_within"`
-		Ask      ms      `json:"ask_every"`
+	Rules struct {
+		SlowStartMultiple float64      `json:"fall_multiple"`
+		SlowStartWindow   milliseconds `json:"fall"`
+		SlowStartCapacity float64      `json:"start_capacity"`
+		SlowStartDuration milliseconds `json:"warm_within"`
+		ResubscribeWithin milliseconds `json:"ask_every"`
 	} `json:"obligations"`
 	Report struct {
 		How    string   `json:"how"`
@@ -72,7 +72,7 @@
 	scopes = map[string]ashwood.Scope{
 		"": ashwood.ScopeAll, "all": ashwood.ScopeAll, "zone": ashwood.ScopeZone, "cell": ashwood.ScopeCell,
 	}
-	modes = map[string]ashwood.ReportMode{
+	reportModes = map[string]ashwood.ReportMode{
 		"": ashwood.ReportNone, "off": ashwood.ReportNone,
 		"on_probe": ashwood.ReportProbe, "inline": ashwood.ReportInline,
 	}
@@ -81,142 +81,142 @@
 func decodeStart(raw []byte) (Message, error) {
 	const name = "NEW_INSTANCE"
 	var in struct {
-		Seed  *int64     `json:"prng"`
-		Setup *setupLine `json:"setup"`
+		Seed  *int64          `json:"prng"`
+		Setup *settingsObject `json:"setup"`
 	}
-	if err := unmarshal(name, raw, &in); err != nil {
+	if err := unmarshalObject(name, raw, &in); err != nil {
 		return nil, err
 	}
-	if err := require(name, field{"prng", in.Seed != nil}, field{"setup", in.Setup != nil}); err != nil {
+	if err := require(name, requiredField{"prng", in.Seed != nil}, requiredField{"setup", in.Setup != nil}); err != nil {
 		return nil, err
 	}
-	set, err := in.Setup.settings(name)
+	settings, err := in.Setup.settings(name)
 	if err != nil {
 		return nil, err
 	}
-	return &Start{Seed: *in.Seed, Settings: set}, nil
+	return &Start{Seed: *in.Seed, Settings: settings}, nil
 }
 
-// DecodeSettings reads the settings object alone, as a real gateway's
-// configuration holds it.
+// DecodeSettings decodes a settings object alone, as in the configuration of a
+// gateway.
 func DecodeSettings(raw []byte) (ashwood.Settings, error) {
 	const name = "settings"
-	var in setupLine
-	if err := unmarshal(name, raw, &in); err != nil {
+	var in settingsObject
+	if err := unmarshalObject(name, raw, &in); err != nil {
 		return ashwood.Settings{}, err
 	}
 	return in.settings(name)
 }
 
-func at[T any](list []T, i int) (v T) {
+func elementOrZero[T any](list []T, i int) (v T) {
 	if i < len(list) {
 		v = list[i]
 	}
 	return v
 }
 
-// longestMs is the longest time that settings may name, in ms: beyond a day, the unit is wrong.
-const longestMs = 86400e3
+// maxMillis is the longest time that settings may contain, in ms: more than a day means a wrong unit.
+const maxMillis = 86400e3
 
-// check tells of the first number that can't be what its key says.
-func (in *setupLine) check(name string) error {
+// validate returns an error for the first number out of its key's range, and for classes without a unique name.
+func (in *settingsObject) validate(name string) error {
 	type number struct {
-		key          string
-		value, least float64
-		most         float64
-	}
-	o, c := in.Obligations, in.Ceilings
-	all := []number{
-		{"siblings", float64(in.Siblings), 0, math.MaxInt32}, {"my_number", float64(in.Number), 0, math.MaxInt32},
-		{"over_share_worth", in.OverShare, 0, math.MaxFloat64},
-		{"family_info.release", float64(in.Family.Release), 0, longestMs},
-		{"ceilings.attempts_cap", float64(c.Attempts), 0, math.MaxInt32},
-		{"ceilings.max_retry_after", float64(c.MaxRetryAfter), 0, longestMs},
-		{"ceilings.connect_timeout", float64(c.Connect), 0, longestMs}, {"ceilings.conn_idle", float64(c.ConnIdle), 0, longestMs},
-		{"obligations.fall_multiple", o.Multiple, 0, math.MaxFloat64}, {"obligations.fall", float64(o.Fall), 0, longestMs},
-		{"obligations.start_capacity", o.Start, 0, math.MaxFloat64}, {"obligations.warm_within", float64(o.Warm), 0, longestMs},
-		{"obligations.ask_every", float64(o.Ask), 0, longestMs},
+		key        string
+		value, min float64
+		max        float64
+	}
+	rules, limits := in.Rules, in.Limits
+	numbers := []number{
+		{"siblings", float64(in.Nodes), 0, math.MaxInt32}, {"my_number", float64(in.Node), 0, math.MaxInt32},
+		{"over_share_worth", in.OverShareWorth, 0, math.MaxFloat64},
+		{"family_info.release", float64(in.Family.ReleaseTimeout), 0, maxMillis},
+		{"ceilings.attempts_cap", float64(limits.MaxAttempts), 0, math.MaxInt32},
+		{"ceilings.max_retry_after", float64(limits.MaxRetryAfter), 0, maxMillis},
+		{"ceilings.connect_timeout", float64(limits.ConnectTimeout), 0, maxMillis}, {"ceilings.conn_idle", float64(limits.ConnIdle), 0, maxMillis},
+		{"obligations.fall_multiple", rules.SlowStartMultiple, 0, math.MaxFloat64}, {"obligations.fall", float64(rules.SlowStartWindow), 0, maxMillis},
+		{"obligations.start_capacity", rules.SlowStartCapacity, 0, math.MaxFloat64}, {"obligations.warm_within", float64(rules.SlowStartDuration), 0, maxMillis},
+		{"obligations.ask_every", float64(rules.ResubscribeWithin), 0, maxMillis},
 	}
 	seen := map[string]bool{}
-	for i, l := range in.Lanes {
+	for i, class := range in.Classes {
 		at := func(key string) string { return fmt.Sprintf("lanes[%d].%s", i, key) }
-		if l.Name == "" || seen[l.Name] {
-			return fmt.Errorf("wire: %s: field %q: %q is no name of its own", name, at("name"), l.Name)
+		if class.Name == "" || seen[class.Name] {
+			return fmt.Errorf("wire: %s: field %q: %q is empty or not unique", name, at("name"), class.Name)
 		}
-		seen[l.Name] = true
-		all = append(all, number{at("deadline"), float64(l.Dead), math.SmallestNonzeroFloat64, longestMs},
-			number{at("aim"), float64(l.Aim), 0, longestMs}, number{at("worth"), l.Worth, 0, math.MaxFloat64},
-			number{at("late_share"), l.Late, 0, 1}, number{at("memory_span"), float64(l.Window), 0, longestMs})
+		seen[class.Name] = true
+		numbers = append(numbers, number{at("deadline"), float64(class.Deadline), math.SmallestNonzeroFloat64, maxMillis},
+			number{at("aim"), float64(class.Aim), 0, maxMillis}, number{at("worth"), class.Worth, 0, math.MaxFloat64},
+			number{at("late_share"), class.LateShare, 0, 1}, number{at("memory_span"), float64(class.Window), 0, maxMillis})
 	}
-	for i, t := range in.Tenants {
+	for i, tenant := range in.Tenants {
 		at := func(key string) string { return fmt.Sprintf("tenants[%d].%s", i, key) }
-		all = append(all, number{at("share"), t.Share, 0, math.MaxFloat64}, number{at("allowance_per_s"), t.Quota, 0, math.MaxFloat64})
+		numbers = append(numbers, number{at("share"), tenant.Share, 0, math.MaxFloat64}, number{at("allowance_per_s"), tenant.QuotaPerSec, 0, math.MaxFloat64})
 	}
-	for i, n := range in.Family.Tokens {
-		all = append(all, number{fmt.Sprintf("family_info.tokens_by_kind[%d]", i), n, 0, math.MaxFloat64})
+	for i, n := range in.Family.MemoryTokens {
+		numbers = append(numbers, number{fmt.Sprintf("family_info.tokens_by_kind[%d]", i), n, 0, math.MaxFloat64})
 	}
-	for _, n := range all {
-		if n.value < n.least || n.value > n.most {
+	for _, n := range numbers {
+		if n.value < n.min || n.value > n.max {
 			return fmt.Errorf("wire: %s: field %q: %v is out of range", name, n.key, n.value)
 		}
 	}
 	return nil
 }
 
-func (in *setupLine) settings(name string) (ashwood.Settings, error) {
-	if err := in.check(name); err != nil {
+func (in *settingsObject) settings(name string) (ashwood.Settings, error) {
+	if err := in.validate(name); err != nil {
 		return ashwood.Settings{}, err
 	}
-	mode, ok := modes[in.Report.How]
+	reportMode, ok := reportModes[in.Report.How]
 	if !ok {
-		return ashwood.Settings{}, unknown(name, "report.how", in.Report.How)
+		return ashwood.Settings{}, unknownValue(name, "report.how", in.Report.How)
 	}
 	if d := in.Discovery; d != "" && d != "automatic" && d != "subscribe" {
-		return ashwood.Settings{}, unknown(name, "discovery", d)
+		return ashwood.Settings{}, unknownValue(name, "discovery", d)
 	}
-	set := ashwood.Settings{
-		Node: in.Number, Nodes: in.Siblings, Zone: in.Locality,
-		OverShareWorth: in.OverShare, WorthByWork: in.WorthBy == "work",
-		Subscribe: in.Discovery == "subscribe", Reports: mode, ReportFields: in.Report.Fields,
-		Ahead: in.Family.Ahead, WritersRead: in.Family.WritersRead, Resume: in.Family.Resume,
+	settings := ashwood.Settings{
+		Node: in.Node, Nodes: in.Nodes, Zone: in.Zone,
+		OverShareWorth: in.OverShareWorth, WorthByWork: in.WorthBy == "work",
+		Subscribe: in.Discovery == "subscribe", Reports: reportMode, ReportFields: in.Report.Fields,
+		Ahead: in.Family.Reservations, WritersRead: in.Family.DecodeCanPrefill, Resume: in.Family.Resume,
 		Limits: ashwood.Limits{
-			MaxAttempts: in.Ceilings.Attempts, Cancel: in.Ceilings.Cancel, SecondCopies: in.Ceilings.Copies,
-			Probes: in.Ceilings.Probes, RetryAfter: in.Ceilings.RetryAfter,
-			MaxRetryAfter:  in.Ceilings.MaxRetryAfter.duration(),
-			ConnectTimeout: in.Ceilings.Connect.duration(),
-			ConnIdle:       in.Ceilings.ConnIdle.duration(),
+			MaxAttempts: in.Limits.MaxAttempts, Cancel: in.Limits.Cancel, SecondCopies: in.Limits.Hedging,
+			Probes: in.Limits.Probes, RetryAfter: in.Limits.RetryAfter,
+			MaxRetryAfter:  in.Limits.MaxRetryAfter.duration(),
+			ConnectTimeout: in.Limits.ConnectTimeout.duration(),
+			ConnIdle:       in.Limits.ConnIdle.duration(),
 		},
 		Rules: ashwood.Rules{
-			FallMultiple: in.Obligations.Multiple, FallWindow: in.Obligations.Fall.duration(),
-			ColdFrom: in.Obligations.Start, ColdTime: in.Obligations.Warm.duration(),
-			Release: in.Family.Release.duration(), AskWithin: in.Obligations.Ask.duration(),
+			FallMultiple: in.Rules.SlowStartMultiple, FallWindow: in.Rules.SlowStartWindow.duration(),
+			ColdFrom: in.Rules.SlowStartCapacity, ColdTime: in.Rules.SlowStartDuration.duration(),
+			Release: in.Family.ReleaseTimeout.duration(), AskWithin: in.Rules.ResubscribeWithin.duration(),
 		},
 	}
-	for i, k := range in.Kinds {
-		role, ok := roles[at(in.Family.Roles, i)]
+	for i, kind := range in.Kinds {
+		role, ok := roles[elementOrZero(in.Family.Roles, i)]
 		if !ok {
-			return set, unknown(name, fmt.Sprintf("family_info.kind_role[%d]", i), at(in.Family.Roles, i))
+			return settings, unknownValue(name, fmt.Sprintf("family_info.kind_role[%d]", i), elementOrZero(in.Family.Roles, i))
 		}
-		set.Kinds = append(set.Kinds, ashwood.Kind{Name: k, Role: role, MemoryTokens: at(in.Family.Tokens, i)})
+		settings.Kinds = append(settings.Kinds, ashwood.Kind{Name: kind, Role: role, MemoryTokens: elementOrZero(in.Family.MemoryTokens, i)})
 	}
-	for i, l := range in.Lanes {
-		effect, ok := effects[l.Effect]
+	for i, class := range in.Classes {
+		effect, ok := effects[class.Effect]
 		if !ok {
-			return set, unknown(name, fmt.Sprintf("lanes[%d].effect", i), l.Effect)
+			return settings, unknownValue(name, fmt.Sprintf("lanes[%d].effect", i), class.Effect)
 		}
-		scope, ok := scopes[l.Group]
+		scope, ok := scopes[class.Group]
 		if !ok {
-			return set, unknown(name, fmt.Sprintf("lanes[%d].group", i), l.Group)
+			return settings, unknownValue(name, fmt.Sprintf("lanes[%d].group", i), class.Group)
 		}
-		set.Classes = append(set.Classes, ashwood.Class{
-			Name: l.Name, Aim: l.Aim.duration(), Deadline: l.Dead.duration(), Worth: l.Worth, LateShare: l.Late,
-			Effect: effect, Group: scope, Window: l.Window.duration(),
-			TokenAim: at(in.Family.TokenAim, i).duration(),
-			AimPer1K: time.Duration(at(in.Family.AimPer1K, i)) * time.Microsecond,
+		settings.Classes = append(settings.Classes, ashwood.Class{
+			Name: class.Name, Aim: class.Aim.duration(), Deadline: class.Deadline.duration(), Worth: class.Worth, LateShare: class.LateShare,
+			Effect: effect, Group: scope, Window: class.Window.duration(),
+			TokenAim: elementOrZero(in.Family.TokenAim, i).duration(),
+			AimPer1K: time.Duration(elementOrZero(in.Family.AimPer1K, i)) * time.Microsecond,
 		})
 	}
-	for _, t := range in.Tenants {
-		set.Tenants = append(set.Tenants, ashwood.Tenant{Name: t.Name, Share: t.Share, QuotaPerSec: t.Quota})
+	for _, tenant := range in.Tenants {
+		settings.Tenants = append(settings.Tenants, ashwood.Tenant{Name: tenant.Name, Share: tenant.Share, QuotaPerSec: tenant.QuotaPerSec})
 	}
-	return set, nil
+	return settings, nil
 }
--- a/internal/wire/targets.go
+++ b/internal/wire/targets.go
@@ -7,10 +7,10 @@
 	"ashwood.example/ashwood"
 )
 
-// Targets is a list of engines, or of changes to it, in discovery's form.
+// Targets is a membership snapshot or delta in discovery's form.
 type Targets struct {
 	Generation int64
-	Whole      bool // all engines, not changed ones alone
+	Snapshot   bool // Engines holds all engines, not only changed ones
 	Engines    []ashwood.Server
 }
 
@@ -18,8 +18,8 @@
 	"up": ashwood.StateOn, "draining": ashwood.StateFading, "removed": ashwood.StateOff,
 }
 
-// DecodeTargets reads a list in discovery's form. An engine's id is the same
-// at all gateways, its address is this gateway's own.
+// DecodeTargets decodes a membership update in discovery's form. An engine's ID is the
+// same at all gateways; its address may differ from gateway to gateway.
 func DecodeTargets(raw []byte) (Targets, error) {
 	const name = "targets"
 	var in struct {
@@ -33,31 +33,31 @@
 			Cell      int               `json:"cell"`
 			Lifecycle *string           `json:"lifecycle"`
 			Weight    float64           `json:"weight"`
-			Started   ms                `json:"startedAtMs"`
+			Started   milliseconds      `json:"startedAtMs"`
 		} `json:"instances"`
 	}
-	if err := unmarshal(name, raw, &in); err != nil {
+	if err := unmarshalObject(name, raw, &in); err != nil {
 		return Targets{}, err
 	}
 	if in.Generation == nil {
-		return Targets{}, missing(name, "generation")
+		return Targets{}, missingField(name, "generation")
 	}
-	t := Targets{Generation: *in.Generation, Whole: in.Reset}
+	targets := Targets{Generation: *in.Generation, Snapshot: in.Reset}
 	for i, e := range in.Instances {
 		at := func(key string) string { return fmt.Sprintf("instances[%d].%s", i, key) }
-		err := require(name, field{at("instanceId"), e.ID != nil}, field{at("hostPort"), e.HostPort != nil},
-			field{at("lifecycle"), e.Lifecycle != nil})
+		err := require(name, requiredField{at("instanceId"), e.ID != nil}, requiredField{at("hostPort"), e.HostPort != nil},
+			requiredField{at("lifecycle"), e.Lifecycle != nil})
 		if err != nil {
 			return Targets{}, err
 		}
 		state, ok := lifecycles[*e.Lifecycle]
 		if !ok {
-			return Targets{}, unknown(name, at("lifecycle"), *e.Lifecycle)
+			return Targets{}, unknownValue(name, at("lifecycle"), *e.Lifecycle)
 		}
-		t.Engines = append(t.Engines, ashwood.Server{
+		targets.Engines = append(targets.Engines, ashwood.Server{
 			ID: *e.ID, Address: *e.HostPort, Zone: e.Zone, Kind: e.Type, Cell: e.Cell, State: state,
 			Weight: e.Weight, Started: max(e.Started.duration(), time.Duration(0)),
 		})
 	}
-	return t, nil
+	return targets, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,9 +11,9 @@
 	"ashwood.example/ashwood"
 )
 
-const ms1 = time.Millisecond
+const millisecond = time.Millisecond
 
-func TestDecodeEvents(t *testing.T) {
+func TestDecodeMessage_Events(t *testing.T) {
 	tests := []struct {
 		in   string
 		want Message
@@ -32,7 +32,7 @@
 			ashwood.Request{ID: "q", Class: "c", Tenant: "t", Session: 9, Prefix: 8, PrefixTokens: 120,
 				PromptTokens: 180, MaxOut: 25, TimeLeft: 240250 * time.Microsecond, Retry: true}},
 		{`{"cmd":"CALL","tid":"q","customer":0,"time_left":1,"service":"c"}`,
-			ashwood.Request{ID: "q", Class: "c", TimeLeft: ms1}},
+			ashwood.Request{ID: "q", Class: "c", TimeLeft: millisecond}},
 		{`{"cmd":"HEAD_RECEIVED","tid":"q","round_no":1,"engine":"s","wait_time":9.25}`,
 			ashwood.First{ID: "q", Attempt: 1, Server: "s", Latency: 9250 * time.Microsecond}},
 		{`{"cmd":"PLACE_NOTE","tid":"q","round_no":0,"engine":"s","topic":1,"level":0}`,
@@ -45,7 +45,7 @@
 				Latency: 18500 * time.Microsecond,
 				Report:  ashwood.Report{ashwood.ReportInFlight: 7, ashwood.ReportMemory: 0.4}}},
 		{`{"cmd":"CHECKED","disposition":"no_answer","engine":"s","wait_time":250,"load":null}`,
-			ashwood.Probed{Server: "s", Status: ashwood.NoAnswer, Latency: 250 * ms1}},
+			ashwood.Probed{Server: "s", Status: ashwood.NoAnswer, Latency: 250 * millisecond}},
 	}
 	for _, tt := range tests {
 		got, err := decodeMessage([]byte(tt.in))
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestDecodeStatuses(t *testing.T) {
+func TestDecodeMessage_Statuses(t *testing.T) {
 	for word, want := range statuses {
 		m, err := decodeMessage([]byte(`{"cmd":"FINISHED","tid":"q","round_no":0,"engine":"s","disposition":"` + word + `"}`))
 		if o, ok := m.(ashwood.Outcome); err != nil || !ok || o.Status != want {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestDecodeStart(t *testing.T) {
+func TestDecodeMessage_NewInstance(t *testing.T) {
 	in := `{"cmd":"NEW_INSTANCE","prng":5,"setup":{"siblings":2,"my_number":1,"locality":"a","kinds":["r","w"],
 	"lanes":[{"name":"c","aim":1000,"deadline":5000,"worth":2,"late_share":0.3,"effect":"token","group":"zone",
 	"memory_span":4000}],"tenants":[{"name":"t","share":0.5,"allowance_per_s":7}],"over_share_worth":0.1,
@@ -83,20 +83,20 @@
 		Kinds: []ashwood.Kind{{Name: "r", Role: ashwood.RoleRead, MemoryTokens: 10},
 			{Name: "w", Role: ashwood.RoleBoth, MemoryTokens: 20}},
 		Classes: []ashwood.Class{{Name: "c", Aim: time.Second, Deadline: 5 * time.Second, Worth: 2, LateShare: 0.3,
-			Effect: ashwood.Token, Group: ashwood.ScopeZone, Window: 4 * time.Second, TokenAim: 50 * ms1,
-			AimPer1K: 60 * ms1}},
+			Effect: ashwood.Token, Group: ashwood.ScopeZone, Window: 4 * time.Second, TokenAim: 50 * millisecond,
+			AimPer1K: 60 * millisecond}},
 		Tenants: []ashwood.Tenant{{Name: "t", Share: 0.5, QuotaPerSec: 7}},
 		Limits: ashwood.Limits{MaxAttempts: 4, Cancel: true, SecondCopies: true, Probes: true, RetryAfter: true,
-			MaxRetryAfter: 2 * time.Second, ConnectTimeout: 250 * ms1},
-		Rules: ashwood.Rules{FallMultiple: 3, FallWindow: 1500 * ms1, ColdFrom: 0.26, ColdTime: 14 * time.Second,
-			Release: 500 * ms1, AskWithin: 10 * time.Second},
+			MaxRetryAfter: 2 * time.Second, ConnectTimeout: 250 * millisecond},
+		Rules: ashwood.Rules{FallMultiple: 3, FallWindow: 1500 * millisecond, ColdFrom: 0.26, ColdTime: 14 * time.Second,
+			Release: 500 * millisecond, AskWithin: 10 * time.Second},
 	}}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v, %v\nwant %+v", got, err, want)
 	}
 }
 
-func TestMalformedLinesNameMessageAndField(t *testing.T) {
+func TestDecodeBatch_MalformedLines(t *testing.T) {
 	batch := func(event string) string { return `{"ts":1,"parts":[{"i":0,"events":[` + event + `]}]}` }
 	tests := []struct{ in, message, field string }{
 		{`{`, "batch", ""},
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestEncodeActions(t *testing.T) {
+func TestEncodeAction(t *testing.T) {
 	tests := []struct {
 		in   ashwood.Action
 		want string
@@ -145,7 +145,7 @@
 		{ashwood.Cancel{ID: "q"}, `{"cmd":"REVOKE","tid":"q","round_no":0}`},
 		{ashwood.Refuse{ID: "q"}, `{"cmd":"PUSH_BACK","tid":"q","pause":0}`},
 		{ashwood.Fail{ID: "q"}, `{"cmd":"DROP_REQUEST","tid":"q"}`},
-		{ashwood.SetTimer{At: 5 * ms1, Token: 3}, `{"cmd":"AFTER","when":5,"key_back":3}`},
+		{ashwood.SetTimer{At: 5 * millisecond, Token: 3}, `{"cmd":"AFTER","when":5,"key_back":3}`},
 		{ashwood.Probe{Server: "s"}, `{"cmd":"POLL","engine":"s"}`},
 		{ashwood.Watch{}, `{"cmd":"SUBSCRIBE","on":true}`},
 	}
@@ -164,8 +164,8 @@
 	}
 }
 
-// Engines may send reports that can't be read: nothing of such a one counts.
-func TestLoadReports(t *testing.T) {
+// Engines may send malformed reports, which are ignored as a whole.
+func TestParseReport(t *testing.T) {
 	two := ashwood.Report{ashwood.ReportInFlight: 7, ashwood.ReportMemory: 0.61}
 	for text, want := range map[string]ashwood.Report{
 		"inflight=7,x0=0.61,odd=3": two, "busy_reqs=7,pending=2,x0=0.61,x1=4": {
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -174,7 +174,7 @@
 func TestCrashIsToldAndComesBack(t *testing.T) {
 	e := open(t, small+"[[fault]]\nkind = \"crash\"\nat_s = 0\nlen_s = 0.3\nboxes = [\"prefill-1\"]\n", false)
 	list := targets(t, e, "")
-	if !list.Whole || len(list.Engines) != 2 {
+	if !list.Snapshot || len(list.Engines) != 2 {
 		t.Fatalf("%+v", list)
 	}
 	if err := e.Begin(); err != nil {
@@ -182,7 +182,7 @@
 	}
 	watch := func(from int64) wire.Targets { return targets(t, e, fmt.Sprintf("?from=%d&hold_ms=20000", from)) }
 	gone := watch(list.Generation)
-	if len(gone.Engines) != 1 || gone.Whole || gone.Engines[0].ID != "prefill-1" || gone.Generation <= list.Generation {
+	if len(gone.Engines) != 1 || gone.Snapshot || gone.Engines[0].ID != "prefill-1" || gone.Generation <= list.Generation {
 		t.Fatalf("%+v", gone)
 	}
 	back := watch(gone.Generation)
