--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,6 @@
-// Command adapter hosts instances of the decision module and drives them by
-// the batches of the wire: one line in, one line out.
+// Command adapter hosts instances of the decision module for a simulator. It reads one
+// batch of events per line from standard input and writes one line of actions for each. It
+// decides nothing itself.
 package main
 
 import (
@@ -20,15 +21,15 @@
 	}
 }
 
-// run answers each batch of in until its end.
+// run answers each batch from in until end of file.
 func run(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, 1<<16)
-	w := bufio.NewWriterSize(out, 1<<16)
-	h := host{}
+	reader := bufio.NewReaderSize(in, 1<<16)
+	writer := bufio.NewWriterSize(out, 1<<16)
+	hosted := instances{}
 	for {
-		line, err := r.ReadBytes('\n')
+		line, err := reader.ReadBytes('\n')
 		if len(line) > 0 {
-			if err := h.answer(line, w); err != nil {
+			if err := hosted.handleLine(line, writer); err != nil {
 				return err
 			}
 		}
@@ -41,42 +42,42 @@
 	}
 }
 
-// host maps instances to their schedulers, which share nothing.
-type host map[int]*ashwood.Scheduler
+// instances maps instance numbers to their schedulers, which share no state.
+type instances map[int]*ashwood.Scheduler
 
-func (h host) answer(line []byte, w *bufio.Writer) error {
+func (h instances) handleLine(line []byte, writer *bufio.Writer) error {
 	batch, err := wire.DecodeBatch(line)
 	if err != nil {
 		return err
 	}
 	var reply wire.Reply
 	for _, part := range batch.Parts {
-		actions, err := h.part(batch, part)
+		actions, err := h.handlePart(batch, part)
 		if err != nil {
 			return err
 		}
 		if len(actions) == 0 {
 			continue
 		}
-		p := wire.ReplyPart{Instance: part.Instance, Out: make([]any, len(actions))}
+		replyPart := wire.ReplyPart{Instance: part.Instance, Out: make([]any, len(actions))}
 		for i, a := range actions {
-			if p.Out[i], err = wire.EncodeAction(a); err != nil {
+			if replyPart.Out[i], err = wire.EncodeAction(a); err != nil {
 				return err
 			}
 		}
-		reply.Parts = append(reply.Parts, p)
+		reply.Parts = append(reply.Parts, replyPart)
 	}
 	data, err := wire.EncodeReply(reply)
 	if err != nil {
 		return err
 	}
-	if _, err := w.Write(append(data, '\n')); err != nil {
+	if _, err := writer.Write(append(data, '\n')); err != nil {
 		return err
 	}
-	return w.Flush()
+	return writer.Flush()
 }
 
-func (h host) part(batch wire.Batch, part wire.Part) (actions []ashwood.Action, err error) {
+func (h instances) handlePart(batch wire.Batch, part wire.Part) (actions []ashwood.Action, err error) {
 	for _, m := range part.Messages {
 		switch m := m.(type) {
 		case *wire.Start:
@@ -87,11 +88,11 @@
 			delete(h, part.Instance)
 			actions = nil
 		case ashwood.Event:
-			s := h[part.Instance]
-			if s == nil {
+			scheduler := h[part.Instance]
+			if scheduler == nil {
 				return nil, fmt.Errorf("instance %d: event %T before NEW_INSTANCE", part.Instance, m)
 			}
-			actions = s.Handle(batch.Now, m, actions)
+			actions = scheduler.Handle(batch.Now, m, actions)
 		}
 	}
 	return actions, nil
