--- a/internal/grpcfront/boxes.go
+++ b/internal/grpcfront/boxes.go
@@ -33,7 +33,7 @@
 )
 
 const (
-	defaultConnectTimeout = 250.0
+	defaultConnectTimeout = 250.0            // ms
 	removedConnGrace      = 120000.0         // ms that the answers of a removed engine have to end
 	keepaliveInterval     = 10 * time.Second // on a connection with calls in flight
 	keepaliveTimeout      = 2 * time.Second
@@ -45,7 +45,7 @@
 type Engines struct {
 	clock          clock.Clock
 	creds          credentials.TransportCredentials
-	connectTimeout float64
+	connectTimeout float64 // ms
 
 	mu    sync.Mutex
 	conns map[string]*engineConn // by address
--- a/internal/grpcfront/server.go
+++ b/internal/grpcfront/server.go
@@ -82,11 +82,11 @@
 }
 
 func classDeadlines(settings ashwood.Settings) map[string]float64 {
-	classes := map[string]float64{}
+	deadlines := map[string]float64{}
 	for _, class := range settings.Classes {
-		classes[class.Name] = clock.Millis(class.Deadline)
+		deadlines[class.Name] = clock.Millis(class.Deadline)
 	}
-	return classes
+	return deadlines
 }
 
 // newMessage returns a message to receive into or to send, and a function that returns its
--- a/internal/release/fallback.go
+++ b/internal/release/fallback.go
@@ -233,7 +233,7 @@
 }
 
 // search calls the next engines of the current pass, or starts a new pass.
-func (f *Fallback) search(now float64, w *waitingRelease, candidates func() (latest, all []ashwood.Server)) (calls []FallbackCall, next float64) {
+func (f *Fallback) search(now float64, w *waitingRelease, candidates func() (answeredLast, all []ashwood.Server)) (calls []FallbackCall, next float64) {
 	if len(f.pass) == 0 {
 		if now < f.nextPassAt {
 			return nil, f.nextPassAt - now
@@ -252,7 +252,7 @@
 }
 
 // startPass starts a pass over the engines that are not called for other reasons.
-func (f *Fallback) startPass(now float64, candidates func() (latest, all []ashwood.Server)) {
+func (f *Fallback) startPass(now float64, candidates func() (answeredLast, all []ashwood.Server)) {
 	answeredLast, all := candidates()
 	f.cfg.Rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	f.pass = nil
--- a/internal/release/fallback_test.go
+++ b/internal/release/fallback_test.go
@@ -15,8 +15,8 @@
 	})
 }
 
-func candidateFleet(n int) func() (latest, all []ashwood.Server) {
-	return func() (latest, all []ashwood.Server) {
+func candidateFleet(n int) func() (answeredLast, all []ashwood.Server) {
+	return func() (answeredLast, all []ashwood.Server) {
 		for i := range n {
 			all = append(all, testServer(fmt.Sprint("e", i)))
 		}
@@ -34,8 +34,8 @@
 	answered bool
 }
 
-func (e scheduledResult) result() CallResult {
-	if e.answered {
+func (s scheduledResult) result() CallResult {
+	if s.answered {
 		return CallAnswered
 	}
 	return CallFailed
@@ -76,7 +76,7 @@
 // While 40 engines are silent for 4 s, one of 300 gateways calls each of them at most once in 225 ms,
 // however many releases wait. The first engine that recovers gets each release once.
 func TestFallback_CallCountManyWaiting(t *testing.T) {
-	const engines, silence, every = 40, 4000, 450
+	const engines, silence, passInterval = 40, 4000, 450
 	for _, waiting := range []int{1, 10, 1000} {
 		f := newTestFallback(8192)
 		for i := range waiting {
@@ -84,7 +84,7 @@
 		}
 		unansweredCalls, answeredCalls := simulateFallback(f, engines, "e7", silence, silence+2000)
 		for engine, n := range unansweredCalls {
-			if n > silence/(every/2)+1 {
+			if n > silence/(passInterval/2)+1 {
 				t.Errorf("%d waiting: %d calls at %s in %d ms", waiting, n, engine, silence)
 			}
 		}
--- a/internal/release/ledger.go
+++ b/internal/release/ledger.go
@@ -97,18 +97,18 @@
 }
 
 type pendingRelease struct {
-	key          Key
-	addedAt      float64
-	tries        int
-	callInFlight int  // id of its call in flight; 0 = none
-	renewed      bool // the engine may have come to hold more during the call in flight
-	uncertain    bool
-	paused       bool    // repeats wait because the request is being sent to an engine
-	callAtSend   int     // id of the call in flight when the request reached an engine; 0 = none
-	deliveries   int     // how often an uncertain release has been delivered; its end is reported with the first
-	passedOn     int     // repeats handed to other engines
-	notBefore    float64 // ms; no call before this time
-	element      *list.Element
+	key           Key
+	addedAt       float64
+	tries         int
+	callInFlight  int  // id of its call in flight; 0 = none
+	renewed       bool // the engine may have come to hold more during the call in flight
+	uncertain     bool
+	paused        bool    // repeats wait because the request is being sent to an engine
+	callAtArrival int     // id of the call in flight when the request reached an engine; 0 = none
+	deliveries    int     // how often an uncertain release has been delivered; its end is reported with the first
+	passedOn      int     // repeats handed to other engines
+	notBefore     float64 // ms; no call before this time
+	element       *list.Element
 }
 
 // New returns an empty ledger.
@@ -307,7 +307,7 @@
 	}
 	switch {
 	case delivered && renewed:
-	case delivered && r.uncertain && r.callAtSend != call.id && r.deliveries < len(l.cfg.RepeatDelays):
+	case delivered && r.uncertain && r.callAtArrival != call.id && r.deliveries < len(l.cfg.RepeatDelays):
 		l.scheduleRepeat(r, now)
 	case delivered:
 		l.endRelease(r, now, Delivered)
--- a/internal/release/ledger_test.go
+++ b/internal/release/ledger_test.go
@@ -41,14 +41,14 @@
 func TestLedger_EngineUnreachableForSixSeconds(t *testing.T) {
 	l := newTestLedger(10)
 	l.Add(0, testServer("a"), "q", false)
-	calls, made := 0, 0.0
-	for now := 0.0; made == 0 && now < 10000; {
+	calls, deliveredAt := 0, 0.0
+	for now := 0.0; deliveredAt == 0 && now < 10000; {
 		got, next := l.NextCalls(now)
 		for _, c := range got {
 			calls++
 			if now >= 6000 {
 				l.Done(now, c, true)
-				made = now
+				deliveredAt = now
 				continue
 			}
 			now += 250 // a connect that times out
@@ -60,8 +60,8 @@
 		}
 		now += next
 	}
-	if made < 6000 || made > 6000+250+200 || calls > 25 {
-		t.Errorf("made at %v with %d calls", made, calls)
+	if deliveredAt < 6000 || deliveredAt > 6000+250+200 || calls > 25 {
+		t.Errorf("delivered at %v with %d calls", deliveredAt, calls)
 	}
 	if s := takeEndedTexts(l); len(s) != 1 || s[0] != "a/q made" || l.Len() != 0 {
 		t.Errorf("%v, %d left", s, l.Len())
@@ -155,16 +155,16 @@
 func TestLedger_UncertainRelease(t *testing.T) {
 	l := newTestLedger(10)
 	l.Add(0, testServer("a"), "q", true)
-	made := []float64{}
+	deliveredAt := []float64{}
 	for now := 0.0; now < 2000; now += 10 {
 		calls, _ := l.NextCalls(now)
 		for _, c := range calls {
-			made = append(made, now)
+			deliveredAt = append(deliveredAt, now)
 			l.Done(now, c, true)
 		}
 	}
-	if s := takeEndedTexts(l); fmt.Sprint(made) != "[0 150 450]" || fmt.Sprint(s) != "[a/q made]" || len(l.engines) != 0 {
-		t.Errorf("made at %v: %v", made, s)
+	if s := takeEndedTexts(l); fmt.Sprint(deliveredAt) != "[0 150 450]" || fmt.Sprint(s) != "[a/q made]" || len(l.engines) != 0 {
+		t.Errorf("delivered at %v: %v", deliveredAt, s)
 	}
 	l.Add(2000, testServer("a"), "q", true)
 	l.Done(2000, wantCalls(t, l, 2000, 1)[0], true)
@@ -255,16 +255,16 @@
 	inFlight := wantCalls(t, l, 0, 1)[0]
 	l.RequestArrived(5, testKey("a", "q"))
 	l.Done(300, inFlight, false)
-	made := []float64{}
+	deliveredAt := []float64{}
 	for now := 300.0; now < 3000; now += 10 {
 		calls, _ := l.NextCalls(now)
 		for _, c := range calls {
-			made = append(made, now)
+			deliveredAt = append(deliveredAt, now)
 			l.Done(now, c, true)
 		}
 	}
-	if len(made) != 3 || made[1]-made[0] != 150 || made[2]-made[1] != 300 {
-		t.Errorf("delivered at %v, want three times, 150 and 300 ms apart", made)
+	if len(deliveredAt) != 3 || deliveredAt[1]-deliveredAt[0] != 150 || deliveredAt[2]-deliveredAt[1] != 300 {
+		t.Errorf("delivered at %v, want three times, 150 and 300 ms apart", deliveredAt)
 	}
 }
 
--- a/internal/release/repeat.go
+++ b/internal/release/repeat.go
@@ -28,7 +28,7 @@
 	case r.deliveries > 0:
 		l.endRelease(r, now, Withdrawn)
 	default:
-		r.callAtSend = r.callInFlight
+		r.callAtArrival = r.callInFlight
 	}
 }
 
