--- a/cmd/ashwood/versions.go
+++ b/cmd/ashwood/versions.go
@@ -196,8 +196,8 @@
 	first chan struct{}
 }
 
-func (h *heard) Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error {
-	return h.Source.Run(ctx, func(form ashwood.ListForm, list []ashwood.Server) {
+func (h *heard) Run(ctx context.Context, update func(ashwood.MembershipForm, []ashwood.Server)) error {
+	return h.Source.Run(ctx, func(form ashwood.MembershipForm, list []ashwood.Server) {
 		update(form, list)
 		h.once.Do(func() { close(h.first) })
 	})
--- a/gateway/fallback.go
+++ b/gateway/fallback.go
@@ -90,7 +90,7 @@
 		end = release.CallUnanswered
 	default:
 		end = release.CallFailed
-		if context.Cause(ctx) != errWithdrawn && !errors.Is(err, ErrLocal) { // a call that was ended or failed here tells nothing of its engine
+		if context.Cause(ctx) != errWithdrawn && !errors.Is(err, ErrLocalFailure) { // a call that was ended or failed here tells nothing of its engine
 			o.fallback.Unreachable(c.Engine.ID)
 		}
 	}
--- a/gateway/owner.go
+++ b/gateway/owner.go
@@ -125,24 +125,24 @@
 var errWithdrawn = errors.New("gateway: the request is there again")
 
 // update follows the list of engines.
-func (o *owner) update(form ashwood.ListForm, list []ashwood.Server) {
+func (o *owner) update(form ashwood.MembershipForm, list []ashwood.Server) {
 	o.mu.Lock()
 	now := o.g.clock.Now()
-	if form != ashwood.ListPatch {
+	if form != ashwood.MembershipDelta {
 		clear(o.listed)
 	}
 	for _, v := range list {
 		o.ledger.EngineRestarted(now, v.ID, clock.Millis(v.Started))
-		if delete(o.listed, v.ID); v.State == ashwood.StateOn {
+		if delete(o.listed, v.ID); v.State == ashwood.StateActive {
 			o.listed[v.ID] = v
 		}
-		if v.State == ashwood.StateOff {
+		if v.State == ashwood.StateRemoved {
 			o.ledger.EngineRemoved(v.ID)
 			o.fallback.Unreachable(v.ID)
 			o.g.live.forget(v.ID)
 		}
 	}
-	if form == ashwood.ListWhole {
+	if form == ashwood.MembershipSnapshot {
 		there := map[ashwood.ServerID]bool{}
 		for _, v := range list {
 			there[v.ID] = true
@@ -244,7 +244,7 @@
 	err := o.g.transport.Release(ctx, v, id, n > 0)
 	if err == nil {
 		o.answered(v)
-	} else if context.Cause(ctx) != errWithdrawn && !errors.Is(err, ErrLocal) {
+	} else if context.Cause(ctx) != errWithdrawn && !errors.Is(err, ErrLocalFailure) {
 		o.unheard(v, "release", errors.Is(err, ErrUnanswered))
 	}
 	o.g.log.Debug("release", "id", id, "engine", v.ID, "try", n, "ms", o.g.clock.Now()-begun, "err", err)
--- a/internal/grpcfront/boxes.go
+++ b/internal/grpcfront/boxes.go
@@ -261,9 +261,9 @@
 func alwaysReady() bool { return true }
 
 // Send makes an attempt. For a decode attempt it returns once the first token has arrived.
-func (e *Engines) Send(ctx context.Context, attempt gateway.Attempt) gateway.Answer {
+func (e *Engines) Send(ctx context.Context, attempt gateway.Attempt) gateway.AttemptResult {
 	method := ashwoodpb.Box_Write_FullMethodName
-	if attempt.Reads {
+	if attempt.Prefill {
 		method = ashwoodpb.Box_Read_FullMethodName
 	}
 	startedAt := e.clock.Now()
@@ -271,41 +271,41 @@
 		remainingMs := max(attempt.Remaining-(e.clock.Now()-startedAt), 0)
 		return metaRemaining, strconv.FormatFloat(remainingMs, 'f', 0, 64)
 	}
-	c, err := e.openCall(ctx, attempt.Engine, method, &rawMessage{attempt.Body}, attempt.Ready, remaining)
+	c, err := e.openCall(ctx, attempt.Engine, method, &rawMessage{attempt.Body}, attempt.MayWrite, remaining)
 	if err != nil {
-		status := ashwood.NoConnection
+		status := ashwood.StatusConnectFailed
 		if ctx.Err() != nil || errors.Is(err, errNotReady) {
-			status = ashwood.NotSent
+			status = ashwood.StatusNotSent
 		}
-		return gateway.Answer{Result: ashwood.Result{Status: status}, Err: err}
+		return gateway.AttemptResult{Result: ashwood.Result{Status: status}, Err: err}
 	}
-	attempt.Sent()
-	if attempt.Reads {
+	attempt.OnSent()
+	if attempt.Prefill {
 		return c.receivePrefill(attempt.Engine.ID)
 	}
 	first := &rawMessage{}
 	if err := c.RecvMsg(first); err != nil {
 		return c.failedAttempt(attempt.Engine.ID, err)
 	}
-	return gateway.Answer{
-		Result: ashwood.Result{Status: ashwood.Served}, Stream: &engineStream{engineCall: c, engine: attempt.Engine.ID, first: first},
+	return gateway.AttemptResult{
+		Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: &engineStream{engineCall: c, engine: attempt.Engine.ID, first: first},
 	}
 }
 
 // Reserve asks a decode engine for a reservation.
-func (e *Engines) Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, ready func() bool) gateway.Place {
+func (e *Engines) Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, ready func() bool) gateway.ReserveResult {
 	c, err := e.openCall(ctx, engine, ashwoodpb.Box_Reserve_FullMethodName, &ashwoodpb.RoomRequest{RequestId: string(id)}, ready)
 	if err != nil {
-		return gateway.PlaceUnasked
+		return gateway.ReserveNotSent
 	}
 	var res ashwoodpb.ReserveResult
 	switch err := c.RecvMsg(&res); {
 	case err != nil:
-		return gateway.PlaceUnknown
+		return gateway.ReserveUnknown
 	case res.GetHeld():
-		return gateway.PlaceHeld
+		return gateway.ReserveHeld
 	}
-	return gateway.PlaceRefused
+	return gateway.ReserveRefused
 }
 
 // Release has an engine drop its holds for a request. After a try without an answer, newConn makes it use a connection of
@@ -345,13 +345,13 @@
 func (e *Engines) Probe(ctx context.Context, engine ashwood.Server) (ashwood.Status, ashwood.Report) {
 	c, err := e.openCall(ctx, engine, ashwoodpb.Box_Load_FullMethodName, &ashwoodpb.LoadRequest{}, alwaysReady)
 	if err != nil {
-		return ashwood.NoConnection, nil
+		return ashwood.StatusConnectFailed, nil
 	}
 	if err = c.RecvMsg(&rawMessage{}); err == nil {
 		err = c.RecvMsg(&rawMessage{})
 	}
 	if !errors.Is(err, io.EOF) {
-		return ashwood.ServerError, c.report()
+		return ashwood.StatusServerError, c.report()
 	}
-	return ashwood.Served, c.report()
+	return ashwood.StatusServed, c.report()
 }
--- a/internal/grpcfront/call.go
+++ b/internal/grpcfront/call.go
@@ -40,7 +40,7 @@
 	return fmt.Errorf("grpcfront: %s: %v", engine, err)
 }
 
-func (c *engineCall) receivePrefill(engine ashwood.ServerID) gateway.Answer {
+func (c *engineCall) receivePrefill(engine ashwood.ServerID) gateway.AttemptResult {
 	var result ashwoodpb.ReadResult
 	err := c.RecvMsg(&result)
 	if err == nil {
@@ -49,29 +49,29 @@
 	if !errors.Is(err, io.EOF) {
 		return c.failedAttempt(engine, err)
 	}
-	return gateway.Answer{Result: ashwood.Result{
-		Status: ashwood.Parsed, Note: float64(result.GetCachedTokens()), Report: c.report(),
+	return gateway.AttemptResult{Result: ashwood.Result{
+		Status: ashwood.StatusPrefilled, Detail: float64(result.GetCachedTokens()), Report: c.report(),
 	}}
 }
 
 // failedAttempt returns the result of an attempt that got no answer, as far as the
 // call's status and trailer prove it.
-func (c *engineCall) failedAttempt(engine ashwood.ServerID, err error) gateway.Answer {
-	result := ashwood.Result{Status: ashwood.ConnectionLost, Report: c.report()}
+func (c *engineCall) failedAttempt(engine ashwood.ServerID, err error) gateway.AttemptResult {
+	result := ashwood.Result{Status: ashwood.StatusConnectionLost, Report: c.report()}
 	switch {
 	case !c.trailerSeen.Load():
 	case len(c.Trailer().Get(trailerTurnedAway)) > 0:
-		result.Status = ashwood.TurnedAway
+		result.Status = ashwood.StatusRejected
 		if status.Code(err) == codes.FailedPrecondition {
-			result.Note = 1
+			result.Detail = 1
 		}
 	default:
-		result.Status = ashwood.ServerError
+		result.Status = ashwood.StatusServerError
 	}
 	if errors.Is(err, io.EOF) {
 		err = errors.New("stream ended without a token")
 	}
-	return gateway.Answer{Result: result, Err: c.wrapError(engine, err)}
+	return gateway.AttemptResult{Result: result, Err: c.wrapError(engine, err)}
 }
 
 // engineStream is an answer whose tokens are passed on as the bytes received.
--- a/internal/grpcfront/grpcfront_test.go
+++ b/internal/grpcfront/grpcfront_test.go
@@ -145,20 +145,20 @@
 		}
 	}
 	check(&ashwoodpb.GenerateRequest{RequestId: "a", Class: "send-order", Session: "refused", PromptTokens: 64, FirstTokenMs: 200}, codes.Unavailable)
-	gw.Update(ashwood.ListWhole, nil) // no engine left
+	gw.UpdateMembership(ashwood.MembershipSnapshot, nil) // no engine left
 	check(&ashwoodpb.GenerateRequest{RequestId: "b", Class: "send-order", PromptTokens: 64, FirstTokenMs: 200}, codes.ResourceExhausted)
 }
 
 func TestProbe_LoadReport(t *testing.T) {
 	_, fleet, _ := startGateway(t)
 	status, report := fleet.transport.Probe(context.Background(), fleet.servers[0])
-	if diff := cmp.Diff(ashwood.Report{ashwood.ReportInFlight: 2}, report); status != ashwood.Served || diff != "" {
+	if diff := cmp.Diff(ashwood.Report{ashwood.ReportInFlight: 2}, report); status != ashwood.StatusServed || diff != "" {
 		t.Errorf("status %v\n%s", status, diff)
 	}
 	gone := listen(t)
 	gone.Close()
 	status, _ = fleet.transport.Probe(context.Background(), ashwood.Server{ID: "gone", Address: gone.Addr().String()})
-	if status != ashwood.NoConnection {
+	if status != ashwood.StatusConnectFailed {
 		t.Errorf("status %v of an engine that is gone", status)
 	}
 }
--- a/internal/grpcfront/harness_test.go
+++ b/internal/grpcfront/harness_test.go
@@ -156,7 +156,7 @@
 		return ashwood.Class{Name: name, Aim: 2 * time.Second, Deadline: 15 * time.Second, Worth: 1, Effect: e}
 	}
 	return ashwood.Settings{
-		Nodes: 1, Ahead: true, Reports: ashwood.ReportInline,
+		Nodes: 1, Reservations: true, Reports: ashwood.ReportInline,
 		Kinds: []ashwood.Kind{
 			{Name: "prefill", Role: ashwood.RoleRead, MemoryTokens: 1e5}, {Name: "decode", Role: ashwood.RoleWrite, MemoryTokens: 1e5}},
 		Classes: []ashwood.Class{class("case-chat", ashwood.Pure), class("send-order", ashwood.SideEffect)},
@@ -189,7 +189,7 @@
 		go s.Serve(l)
 		t.Cleanup(s.Stop)
 		kind := map[byte]string{'r': "prefill", 'w': "decode"}[name[0]]
-		f.servers = append(f.servers, ashwood.Server{ID: ashwood.ServerID(name), Kind: kind, State: ashwood.StateOn, Address: l.Addr().String()})
+		f.servers = append(f.servers, ashwood.Server{ID: ashwood.ServerID(name), Kind: kind, State: ashwood.StateActive, Address: l.Addr().String()})
 	}
 	log := slog.New(slog.DiscardHandler)
 	f.transport = NewEngines(testSettings(), insecure.NewCredentials(), c)
@@ -198,7 +198,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gw.Update(ashwood.ListWhole, f.servers)
+	gw.UpdateMembership(ashwood.MembershipSnapshot, f.servers)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go gw.Run(ctx)
--- a/internal/grpcfront/remaining_test.go
+++ b/internal/grpcfront/remaining_test.go
@@ -49,11 +49,11 @@
 	transport := NewEngines(testSettings(), insecure.NewCredentials(), steppingClock{clock.NewManual(0)})
 	t.Cleanup(transport.Close)
 	answer := transport.Send(t.Context(), gateway.Attempt{
-		Request: &gateway.Request{Call: ashwood.Call{ID: "q", Class: "case-chat"}},
-		Engine:  ashwood.Server{ID: "r1", Kind: "prefill", Address: l.Addr().String()}, Reads: true, Remaining: 5000,
-		Ready: func() bool { return true }, Sent: func() {},
+		Request: &gateway.Request{RequestInfo: ashwood.RequestInfo{ID: "q", Class: "case-chat"}},
+		Engine:  ashwood.Server{ID: "r1", Kind: "prefill", Address: l.Addr().String()}, Prefill: true, Remaining: 5000,
+		MayWrite: func() bool { return true }, OnSent: func() {},
 	})
-	if answer.Status != ashwood.Parsed {
+	if answer.Status != ashwood.StatusPrefilled {
 		t.Fatalf("status %v, error %v", answer.Status, answer.Err)
 	}
 	remaining := <-engine.remaining
--- a/internal/grpcfront/server.go
+++ b/internal/grpcfront/server.go
@@ -140,7 +140,7 @@
 		return s.relayStream(serverStream, reply.Stream)
 	case gateway.Refused:
 		return refusalStatus(reply)
-	case gateway.Gone:
+	case gateway.ClientGone:
 		return status.FromContextError(context.Cause(serverStream.Context())).Err()
 	}
 	return failureStatus(reply.Err)
@@ -186,7 +186,7 @@
 func failureStatus(err error) error {
 	st, ok := status.FromError(err)
 	switch {
-	case errors.Is(err, gateway.ErrTimedOut):
+	case errors.Is(err, gateway.ErrFirstTokenTimeout):
 		return status.Error(codes.DeadlineExceeded, err.Error())
 	case errors.Is(err, gateway.ErrClientGone):
 		return status.Error(codes.Canceled, err.Error())
@@ -217,10 +217,10 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		remaining = min(remaining, clock.Millis(time.Until(deadline))) // time.Until uses the monotonic clock; the wall clock may be stepped
 	}
-	return &gateway.Request{Front: frontName, Client: clientAddr(ctx), Body: raw, Call: ashwood.Call{
+	return &gateway.Request{Front: frontName, ClientAddr: clientAddr(ctx), Body: raw, RequestInfo: ashwood.RequestInfo{
 		ID: ashwood.RequestID(in.GetRequestId()), Class: in.GetClass(), Tenant: in.GetTenant(),
-		Session: gateway.Key(in.GetSession()), Prefix: gateway.Key(in.GetPrefix()), PromptTokens: float64(in.GetPromptTokens()),
-		PrefixTokens: float64(in.GetPrefixTokens()), MaxOut: float64(in.GetMaxTokens()),
+		Session: gateway.AffinityKey(in.GetSession()), Prefix: gateway.AffinityKey(in.GetPrefix()), PromptTokens: float64(in.GetPromptTokens()),
+		PrefixTokens: float64(in.GetPrefixTokens()), MaxOutputTokens: float64(in.GetMaxTokens()),
 		Remaining: max(remaining, 0), Retry: in.GetResent(),
 	}}, nil
 }
--- a/internal/release/ledger.go
+++ b/internal/release/ledger.go
@@ -150,7 +150,7 @@
 func (l *Ledger) Add(now float64, server ashwood.Server, request ashwood.RequestID, uncertain bool) {
 	e := l.engines[server.ID]
 	if e == nil {
-		e = &engineState{pending: map[ashwood.RequestID]*pendingRelease{}, backoff: pacing.Backoff{First: l.cfg.MinBackoff, Last: l.cfg.MaxBackoff, Rand: l.cfg.Rand}}
+		e = &engineState{pending: map[ashwood.RequestID]*pendingRelease{}, backoff: pacing.Backoff{Initial: l.cfg.MinBackoff, Max: l.cfg.MaxBackoff, Rand: l.cfg.Rand}}
 		l.engines[server.ID] = e
 	}
 	e.Server, e.removed = server, false
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -31,7 +31,7 @@
 	if !ok {
 		return nil, unknownValue(name, "form", *in.Form)
 	}
-	update := ashwood.Members{Form: form}
+	update := ashwood.MembershipUpdate{Form: form}
 	for _, record := range in.Records {
 		if err := require(name, requiredField{"engine", record.Engine != nil}, requiredField{"lifecycle", record.Lifecycle != nil}); err != nil {
 			return nil, err
@@ -48,13 +48,13 @@
 	return update, nil
 }
 
-var membershipForms = map[string]ashwood.ListForm{
-	"patch": ashwood.ListPatch, "whole": ashwood.ListWhole,
-	"stale_copy": ashwood.ListStale, "broken": ashwood.ListBroken,
+var membershipForms = map[string]ashwood.MembershipForm{
+	"patch": ashwood.MembershipDelta, "whole": ashwood.MembershipSnapshot,
+	"stale_copy": ashwood.MembershipStale, "broken": ashwood.MembershipFailed,
 }
 
 var serverStates = map[string]ashwood.ServerState{
-	"on": ashwood.StateOn, "fading": ashwood.StateFading, "off": ashwood.StateOff,
+	"on": ashwood.StateActive, "fading": ashwood.StateDraining, "off": ashwood.StateRemoved,
 }
 
 // tenantName is a tenant's name; sites without tenants may send 0.
@@ -98,7 +98,7 @@
 	return ashwood.Request{
 		ID: *in.ID, Class: *in.Class, Tenant: string(in.Tenant), Session: valueOrZero(in.Session),
 		Prefix: valueOrZero(in.Prefix), PrefixTokens: valueOrZero(in.PrefixTokens), PromptTokens: valueOrZero(in.PromptTokens),
-		MaxOut: valueOrZero(in.MaxOutputTokens), TimeLeft: in.TimeLeft.duration(), Retry: valueOrZero(in.Retry),
+		MaxOutputTokens: valueOrZero(in.MaxOutputTokens), TimeLeft: in.TimeLeft.duration(), Retry: valueOrZero(in.Retry),
 	}, nil
 }
 
@@ -129,7 +129,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return ashwood.First{ID: *in.ID, Attempt: *in.Attempt, Server: *in.Engine, Latency: valueOrZero(in.Latency).duration()}, nil
+	return ashwood.AnswerStarted{ID: *in.ID, Attempt: *in.Attempt, Server: *in.Engine, Latency: valueOrZero(in.Latency).duration()}, nil
 }
 
 func decodeReservationResult(raw []byte) (Message, error) {
@@ -144,14 +144,14 @@
 	if *in.Topic != 1 && *in.Topic != 2 {
 		return nil, unknownValue(name, "topic", fmt.Sprint(*in.Topic))
 	}
-	return ashwood.PlaceNote{ID: *in.ID, Attempt: *in.Attempt, Server: *in.Engine, Held: *in.Topic == 1}, nil
+	return ashwood.ReservationResult{ID: *in.ID, Attempt: *in.Attempt, Server: *in.Engine, Held: *in.Topic == 1}, nil
 }
 
 var statuses = map[string]ashwood.Status{
-	"served": ashwood.Served, "server_error": ashwood.ServerError, "turned_away": ashwood.TurnedAway,
-	"no_answer": ashwood.NoAnswer, "no_connection": ashwood.NoConnection,
-	"connection_lost": ashwood.ConnectionLost, "called_off": ashwood.CalledOff,
-	"not_sent": ashwood.NotSent, "parsed": ashwood.Parsed,
+	"served": ashwood.StatusServed, "server_error": ashwood.StatusServerError, "turned_away": ashwood.StatusRejected,
+	"no_answer": ashwood.StatusTimedOut, "no_connection": ashwood.StatusConnectFailed,
+	"connection_lost": ashwood.StatusConnectionLost, "called_off": ashwood.StatusCancelled,
+	"not_sent": ashwood.StatusNotSent, "parsed": ashwood.StatusPrefilled,
 }
 
 func decodeStatus(name string, in attemptFields) (ashwood.Status, error) {
@@ -176,8 +176,8 @@
 		return nil, err
 	}
 	return ashwood.Outcome{
-		ID: *in.ID, Attempt: *in.Attempt, Server: *in.Engine, Status: st, Done: valueOrZero(in.RequestDone),
-		Note: valueOrZero(in.Detail), Latency: valueOrZero(in.Latency).duration(), Report: decodeLoad(in.Load),
+		ID: *in.ID, Attempt: *in.Attempt, Server: *in.Engine, Status: st, RequestDone: valueOrZero(in.RequestDone),
+		Detail: valueOrZero(in.Detail), Latency: valueOrZero(in.Latency).duration(), Report: decodeLoad(in.Load),
 	}, nil
 }
 
@@ -190,7 +190,7 @@
 	if in.ID == nil {
 		return nil, missingField(name, "tid")
 	}
-	return ashwood.Gone{ID: *in.ID}, nil
+	return ashwood.ClientDisconnected{ID: *in.ID}, nil
 }
 
 func decodeTimerFired(raw []byte) (Message, error) {
@@ -202,7 +202,7 @@
 	if in.TimerToken == nil {
 		return nil, missingField(name, "key_back")
 	}
-	return ashwood.Timer{Token: *in.TimerToken}, nil
+	return ashwood.TimerFired{Token: *in.TimerToken}, nil
 }
 
 func decodeProbeResult(raw []byte) (Message, error) {
@@ -218,7 +218,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return ashwood.Probed{
+	return ashwood.ProbeResult{
 		Server: *in.Engine, Status: st, Latency: valueOrZero(in.Latency).duration(), Report: decodeLoad(in.Load),
 	}, nil
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -65,9 +65,9 @@
 }
 
 var (
-	roles   = map[string]ashwood.Role{"read": ashwood.RoleRead, "write": ashwood.RoleWrite, "both": ashwood.RoleBoth}
+	roles   = map[string]ashwood.Role{"read": ashwood.RoleRead, "write": ashwood.RoleWrite, "both": ashwood.RoleMixed}
 	effects = map[string]ashwood.Effect{
-		"pure": ashwood.Pure, "token": ashwood.Token, "side_effect": ashwood.SideEffect,
+		"pure": ashwood.Pure, "token": ashwood.TokenEffect, "side_effect": ashwood.SideEffect,
 	}
 	scopes = map[string]ashwood.Scope{
 		"": ashwood.ScopeAll, "all": ashwood.ScopeAll, "zone": ashwood.ScopeZone, "cell": ashwood.ScopeCell,
@@ -178,18 +178,18 @@
 		Node: in.Node, Nodes: in.Nodes, Zone: in.Zone,
 		OverShareWorth: in.OverShareWorth, WorthByWork: in.WorthBy == "work",
 		Subscribe: in.Discovery == "subscribe", Reports: reportMode, ReportFields: in.Report.Fields,
-		Ahead: in.Family.Reservations, WritersRead: in.Family.DecodeCanPrefill, Resume: in.Family.Resume,
+		Reservations: in.Family.Reservations, DecodeCanPrefill: in.Family.DecodeCanPrefill, Resume: in.Family.Resume,
 		Limits: ashwood.Limits{
-			MaxAttempts: in.Limits.MaxAttempts, Cancel: in.Limits.Cancel, SecondCopies: in.Limits.Hedging,
+			MaxAttempts: in.Limits.MaxAttempts, Cancel: in.Limits.Cancel, Hedging: in.Limits.Hedging,
 			Probes: in.Limits.Probes, RetryAfter: in.Limits.RetryAfter,
 			MaxRetryAfter:  in.Limits.MaxRetryAfter.duration(),
 			ConnectTimeout: in.Limits.ConnectTimeout.duration(),
 			ConnIdle:       in.Limits.ConnIdle.duration(),
 		},
 		Rules: ashwood.Rules{
-			FallMultiple: in.Rules.SlowStartMultiple, FallWindow: in.Rules.SlowStartWindow.duration(),
-			ColdFrom: in.Rules.SlowStartCapacity, ColdTime: in.Rules.SlowStartDuration.duration(),
-			Release: in.Family.ReleaseTimeout.duration(), AskWithin: in.Rules.ResubscribeWithin.duration(),
+			SlowStartMultiple: in.Rules.SlowStartMultiple, SlowStartWindow: in.Rules.SlowStartWindow.duration(),
+			SlowStartCapacity: in.Rules.SlowStartCapacity, SlowStartDuration: in.Rules.SlowStartDuration.duration(),
+			ReleaseTimeout: in.Family.ReleaseTimeout.duration(), ResubscribeWithin: in.Rules.ResubscribeWithin.duration(),
 		},
 	}
 	for i, kind := range in.Kinds {
--- a/internal/wire/targets.go
+++ b/internal/wire/targets.go
@@ -15,7 +15,7 @@
 }
 
 var lifecycles = map[string]ashwood.ServerState{
-	"up": ashwood.StateOn, "draining": ashwood.StateFading, "removed": ashwood.StateOff,
+	"up": ashwood.StateActive, "draining": ashwood.StateDraining, "removed": ashwood.StateRemoved,
 }
 
 // DecodeTargets decodes a membership update in discovery's form. An engine's ID is the
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -64,7 +64,7 @@
 	cfg      Config
 	clock    clock.Clock
 	log      *slog.Logger
-	onUpdate func(ashwood.ListForm, []ashwood.Server)
+	onUpdate func(ashwood.MembershipForm, []ashwood.Server)
 
 	versions  map[string]string // last accepted version, by type URL
 	clusters  map[string]cluster
@@ -79,7 +79,7 @@
 }
 
 // New returns a client that calls onUpdate with a membership snapshot at each accepted response.
-func New(cfg Config, c clock.Clock, log *slog.Logger, onUpdate func(ashwood.ListForm, []ashwood.Server)) *Client {
+func New(cfg Config, c clock.Clock, log *slog.Logger, onUpdate func(ashwood.MembershipForm, []ashwood.Server)) *Client {
 	return &Client{
 		cfg: cfg, clock: c, log: log, onUpdate: onUpdate, versions: map[string]string{},
 		clusters: map[string]cluster{}, endpoints: map[string][]*endpointv3.LocalityLbEndpoints{},
@@ -201,7 +201,7 @@
 		c.clusters, c.endpoints = clusters, endpoints
 		return err
 	}
-	c.onUpdate(ashwood.ListWhole, list)
+	c.onUpdate(ashwood.MembershipSnapshot, list)
 	return nil
 }
 
@@ -338,9 +338,9 @@
 func serverState(h corev3.HealthStatus) ashwood.ServerState {
 	switch h {
 	case corev3.HealthStatus_DRAINING:
-		return ashwood.StateFading
+		return ashwood.StateDraining
 	case corev3.HealthStatus_UNHEALTHY, corev3.HealthStatus_TIMEOUT:
-		return ashwood.StateOff
+		return ashwood.StateRemoved
 	}
-	return ashwood.StateOn
+	return ashwood.StateActive
 }
--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -114,7 +114,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c := New(Config{Server: l.Addr().String(), Node: "n", Credentials: insecure.NewCredentials()}, clock.System(), slog.New(slog.DiscardHandler),
-		func(_ ashwood.ListForm, list []ashwood.Server) { snapshots <- list })
+		func(_ ashwood.MembershipForm, list []ashwood.Server) { snapshots <- list })
 	go c.Run(ctx)
 	stream := <-management.streams
 	wantEqual := func(what string, want, got any) {
@@ -134,18 +134,18 @@
 		loadAssignment("pool-b", endpoint(2, corev3.HealthStatus_UNKNOWN, nil), endpoint(3, corev3.HealthStatus_UNHEALTHY, nil)))
 	wantEqual("accepted", requestSummary{Type: typeURLEndpoint, Version: "1", Nonce: "b", Names: "pool-a pool-b "}, stream.nextRequest(t))
 	prefill := ashwood.Server{ID: "s-1", Address: "127.0.0.9:1", Kind: "prefill", Zone: "glenorchy", Cell: 7,
-		State: ashwood.StateOn, Weight: 3, Started: 2500 * time.Millisecond}
+		State: ashwood.StateActive, Weight: 3, Started: 2500 * time.Millisecond}
 	decode := func(addr string, state ashwood.ServerState) ashwood.Server {
 		return ashwood.Server{ID: ashwood.ServerID(addr), Address: addr, Kind: "decode-a", Zone: "glenorchy", Cell: 4, State: state, Weight: 3}
 	}
-	wantEqual("membership", []ashwood.Server{prefill, decode("127.0.0.9:2", ashwood.StateOn), decode("127.0.0.9:3", ashwood.StateOff)}, <-snapshots)
+	wantEqual("membership", []ashwood.Server{prefill, decode("127.0.0.9:2", ashwood.StateActive), decode("127.0.0.9:3", ashwood.StateRemoved)}, <-snapshots)
 
 	// A malformed update is rejected as a whole and the last snapshot stays; a later valid one is applied.
 	stream.respond(t, typeURLEndpoint, "2", "c", loadAssignment("pool-b", endpoint(0, corev3.HealthStatus_HEALTHY, nil)))
 	wantEqual("rejected", requestSummary{typeURLEndpoint, "1", "c", "pool-a pool-b ", true}, stream.nextRequest(t))
 	stream.respond(t, typeURLEndpoint, "3", "d", loadAssignment("pool-b", endpoint(2, corev3.HealthStatus_DRAINING, nil)))
 	wantEqual("accepted", requestSummary{Type: typeURLEndpoint, Version: "3", Nonce: "d", Names: "pool-a pool-b "}, stream.nextRequest(t))
-	wantEqual("draining", []ashwood.Server{prefill, decode("127.0.0.9:2", ashwood.StateFading)}, <-snapshots)
+	wantEqual("draining", []ashwood.Server{prefill, decode("127.0.0.9:2", ashwood.StateDraining)}, <-snapshots)
 
 	// A new stream continues from the last accepted versions.
 	close(stream.closed)
--- a/router/stop.go
+++ b/router/stop.go
@@ -24,7 +24,7 @@
 // the stop shorter.
 func (r *Router) Shutdown(ctx context.Context) error {
 	if at, ok := ctx.Deadline(); ok { // no attempt is made, and no engine is told a time, beyond it
-		r.gw.EndBy(r.clock.Now() + clock.Millis(time.Until(at)))
+		r.gw.SetAnswerDeadline(r.clock.Now() + clock.Millis(time.Until(at)))
 	}
 	r.stop(lifecycle.Times{Drain: r.cfg.DrainMs, Grace: math.Inf(1), Settle: settleMs})
 	select {
@@ -51,7 +51,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.life.Expect(l)
-	r.gw.EndBy(l.AnswerBy)
+	r.gw.SetAnswerDeadline(l.AnswerBy)
 	r.endings = append(r.endings, r.clock.AfterFunc(l.AnswerBy+endAnyway-r.clock.Now(), r.EndWaiting))
 }
 
