--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -110,7 +110,7 @@
 		start := d.clock.Now()
 		wait, timeout := d.schedule.NextTimeouts()
 		targets, err := fetchMembership(client, generation, hasMembership, wait, timeout)
-		d.log.Debug("list", "from", generation, "watch", hasMembership, "generation", targets.Generation, "whole", targets.Whole, "entries", len(targets.Engines),
+		d.log.Debug("list", "from", generation, "watch", hasMembership, "generation", targets.Generation, "whole", targets.Snapshot, "entries", len(targets.Engines),
 			"ms", d.clock.Now()-start, "err", err)
 		if ctx.Err() != nil {
 			return
@@ -129,7 +129,7 @@
 		}
 		d.schedule.Succeeded()
 		switch {
-		case targets.Whole:
+		case targets.Snapshot:
 			d.update(ashwood.MembershipSnapshot, targets.Engines)
 		case len(targets.Engines) > 0:
 			d.update(ashwood.MembershipDelta, targets.Engines)
@@ -188,7 +188,7 @@
 func checkUnique(targets wire.Targets) error {
 	seen := map[ashwood.ServerID]bool{}
 	for _, engine := range targets.Engines {
-		if targets.Whole && seen[engine.ID] {
+		if targets.Snapshot && seen[engine.ID] {
 			return fmt.Errorf("platform: discovery: the snapshot contains engine %q twice", engine.ID)
 		}
 		seen[engine.ID] = true
