--- a/lab/emulator/driver.go
+++ b/lab/emulator/driver.go
@@ -43,7 +43,7 @@
 func (d *driver) do(f func(*engine.Fleet)) {
 	d.mu.Lock()
 	now := d.clock.Now()
-	if due := d.fleet.Next(); due < now {
+	if due := d.fleet.NextEventAt(); due < now {
 		_ = d.late.RecordValue(min(int64((now-due)*1000), maxLateUs)) // the bound keeps it within range
 	}
 	d.fleet.Advance(now)
@@ -60,9 +60,9 @@
 
 // dispatch hands events out, and gives the boxes that have changed.
 func (d *driver) dispatch() (boxes []string) {
-	for _, e := range d.fleet.Take() {
-		if e.Kind == engine.EventBox {
-			boxes = append(boxes, e.Box)
+	for _, e := range d.fleet.TakeEvents() {
+		if e.Kind == engine.EventCondition {
+			boxes = append(boxes, e.Engine)
 			continue
 		}
 		c := d.calls[e.Call]
@@ -79,7 +79,7 @@
 
 // arm sets the timer to the fleet's next event.
 func (d *driver) arm() {
-	next := d.fleet.Next()
+	next := d.fleet.NextEventAt()
 	if next >= d.armed || math.IsInf(next, 1) {
 		return
 	}
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -77,7 +77,7 @@
 // view is a box as one gateway reaches it.
 type view struct {
 	gateway int
-	spec    engine.BoxSpec
+	spec    engine.Spec
 	reads   bool
 	oneWay  float64 // ms between the two
 	http    *gate
@@ -132,7 +132,7 @@
 	for _, k := range cfg.Plan.Engine.Kinds {
 		kinds[k.Name] = k.Role
 	}
-	for i, b := range cfg.Plan.Engine.Boxes {
+	for i, b := range cfg.Plan.Engine.Engines {
 		e.boxes[b.ID] = i
 	}
 	e.serveHTTP()
@@ -140,9 +140,9 @@
 		e.serveGRPC()
 	}
 	for g := range cfg.Plan.Gateways {
-		views := make([]*view, 0, len(cfg.Plan.Engine.Boxes))
-		for _, b := range cfg.Plan.Engine.Boxes {
-			v := &view{gateway: g, spec: b, reads: kinds[b.Kind] == engine.Reads, oneWay: cfg.Plan.Network.SameMs}
+		views := make([]*view, 0, len(cfg.Plan.Engine.Engines))
+		for _, b := range cfg.Plan.Engine.Engines {
+			v := &view{gateway: g, spec: b, reads: kinds[b.Kind] == engine.RolePrefill, oneWay: cfg.Plan.Network.SameMs}
 			if b.Zone != cfg.Plan.Zone(g) {
 				v.oneWay = cfg.Plan.Network.CrossMs
 			}
@@ -205,7 +205,7 @@
 	e.driver.do(func(f *engine.Fleet) {
 		err = e.begin(f)
 		for _, fault := range e.plan.Boxes {
-			fault.At += e.began
+			fault.Start += e.began
 			err = errors.Join(err, f.Inject(fault))
 		}
 	})
@@ -220,10 +220,10 @@
 	for _, k := range e.plan.Engine.Kinds {
 		kinds[k.Name] = k
 	}
-	for _, b := range e.plan.Engine.Boxes {
+	for _, b := range e.plan.Engine.Engines {
 		k := kinds[b.Kind]
 		left := k.MemoryTokens * e.plan.Fleet.ReadersBegin
-		for n, more := 0, k.Role == engine.Reads; more; n++ {
+		for n, more := 0, k.Role == engine.RolePrefill; more; n++ {
 			more = false
 			for class, c := range e.plan.Load.Classes {
 				if n >= c.Prefixes {
@@ -234,7 +234,7 @@
 					break
 				}
 				more = true
-				if err := f.Keep(b.ID, engine.Prompt{Shared: name, SharedTokens: float64(tokens), Tokens: float64(tokens)}); err != nil {
+				if err := f.PreloadCache(b.ID, engine.Prompt{Prefix: name, PrefixTokens: float64(tokens), Tokens: float64(tokens)}); err != nil {
 					return err
 				}
 			}
@@ -286,11 +286,11 @@
 	var started float64
 	e.driver.do(func(f *engine.Fleet) {
 		c, _ = f.Condition(box)
-		started = f.ColdSince(box)
+		started = f.StartedAt(box)
 	})
 	now := e.clock.Now()
 	i := e.boxes[box]
-	e.log.Info("box", "id", box, "state", c.State, "fallen", c.Fallen, "draining", c.Draining, "hung", c.Hung, "at_ms", now-e.began)
+	e.log.Info("box", "id", box, "state", c.State, "fallen", c.ColdCrashed, "draining", c.Draining, "hung", c.Hung, "at_ms", now-e.began)
 	for _, views := range e.views {
 		for _, g := range []*gate{views[i].http, views[i].grpc} {
 			if g == nil {
@@ -304,12 +304,12 @@
 	if c.State != engine.Up {
 		e.rules.Stopped(box)
 	}
-	if c.Fallen && !e.fallen[box] {
+	if c.ColdCrashed && !e.fallen[box] {
 		e.rules.Fell(now, box)
 	}
-	e.fallen[box] = c.Fallen
+	e.fallen[box] = c.ColdCrashed
 	e.lists.Lock()
-	e.lists.Box(now, e.plan.Engine.Boxes[i], c, started)
+	e.lists.Box(now, e.plan.Engine.Engines[i], c, started)
 	e.lists.Unlock()
 	e.advanceLists()
 }
@@ -340,7 +340,7 @@
 
 // holding lists the boxes that hold something for a request.
 func (e *Emulator) holding(id string) (boxes []string) {
-	e.driver.do(func(f *engine.Fleet) { boxes = f.Holding(id) })
+	e.driver.do(func(f *engine.Fleet) { boxes = f.EnginesHolding(id) })
 	return boxes
 }
 
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -129,7 +129,7 @@
 		t.Fatalf("an answer: %v, %v", resp, err)
 	}
 	text, err := io.ReadAll(resp.Body)
-	if err != nil || !strings.Contains(string(text), "data: [DONE]\n\n: X-Pressure: inflight=") || !strings.Contains(string(text), engine.Text(id, 0, 1)) {
+	if err != nil || !strings.Contains(string(text), "data: [DONE]\n\n: X-Pressure: inflight=") || !strings.Contains(string(text), engine.AnswerText(id, 0, 1)) {
 		t.Fatalf("%s, %v", text, err)
 	}
 	if n := e.Held(); n != 0 {
@@ -263,7 +263,7 @@
 		}
 		text += piece.GetText()
 	}
-	if want := engine.Text(req.GetRequestId(), 0, len(text)/4); text != want || text == "" {
+	if want := engine.AnswerText(req.GetRequestId(), 0, len(text)/4); text != want || text == "" {
 		t.Errorf("the answer %q, want %q", text, want)
 	}
 	if _, err := writer.Release(ctx, &ashwoodpb.RoomRequest{RequestId: req.GetRequestId()}); err != nil {
--- a/lab/emulator/grpc.go
+++ b/lab/emulator/grpc.go
@@ -60,9 +60,9 @@
 
 func jobOf(ctx context.Context, in *ashwoodpb.GenerateRequest) (engine.Job, error) {
 	j := engine.Job{
-		Request: in.GetRequestId(), Class: in.GetClass(), MaxOut: int(in.GetMaxTokens()),
+		Request: in.GetRequestId(), Class: in.GetClass(), MaxOutputTokens: int(in.GetMaxTokens()),
 		Prompt: engine.Prompt{
-			Session: in.GetSession(), Shared: in.GetPrefix(), Tokens: float64(in.GetPromptTokens()), SharedTokens: float64(in.GetPrefixTokens()),
+			Session: in.GetSession(), Prefix: in.GetPrefix(), Tokens: float64(in.GetPromptTokens()), PrefixTokens: float64(in.GetPrefixTokens()),
 		},
 	}
 	md, _ := metadata.FromIncomingContext(ctx)
@@ -73,7 +73,7 @@
 		}
 		j.Remaining = left
 	}
-	if j.Request == "" || j.Class == "" || j.Prompt.Tokens < 1 || j.Prompt.SharedTokens > j.Prompt.Tokens {
+	if j.Request == "" || j.Class == "" || j.Prompt.Tokens < 1 || j.Prompt.PrefixTokens > j.Prompt.Tokens {
 		return j, status.Error(codes.InvalidArgument, "request_id, class or prompt_tokens can't be used")
 	}
 	return j, nil
@@ -96,12 +96,12 @@
 	if ev.Kind == engine.EventNoState {
 		code = codes.FailedPrecondition
 	}
-	a.err = status.Error(code, "turned away: "+ev.Why)
+	a.err = status.Error(code, "turned away: "+ev.Reason)
 }
 
 func (a *grpcAnswer) read(ev engine.Event, report string) {
 	a.load(report)
-	a.kept = ev.Kept
+	a.kept = ev.CachedTokens
 }
 
 func (a *grpcAnswer) failed(report string) {
@@ -111,7 +111,7 @@
 
 func (a *grpcAnswer) tokens(from int, ev engine.Event) {
 	// A caller that has gone shows in the call's context.
-	_ = a.stream.Send(&ashwoodpb.Token{Text: engine.Text(a.id, from, ev.Tokens)})
+	_ = a.stream.Send(&ashwoodpb.Token{Text: engine.AnswerText(a.id, from, ev.Tokens)})
 }
 
 func (a *grpcAnswer) end(_ int, _ engine.Event, report string) {
@@ -120,7 +120,7 @@
 }
 
 // spoil sends what is no message; the call then ends as broken.
-func (a *grpcAnswer) spoil(engine.Fate) {
+func (a *grpcAnswer) spoil(engine.StreamFault) {
 	a.err = status.Error(codes.DataLoss, "spoilt")
 }
 
@@ -174,10 +174,10 @@
 		return nil, ctx.Err()
 	}
 	_ = grpc.SetTrailer(ctx, metadata.Pairs(trailerLoad, report))
-	if kind == engine.EventUnknown {
+	if kind == engine.EventNoPrefill {
 		return nil, status.Error(codes.NotFound, "no read is out")
 	}
-	return &ashwoodpb.ReserveResult{Held: kind == engine.EventHeld}, nil
+	return &ashwoodpb.ReserveResult{Held: kind == engine.EventReserved}, nil
 }
 
 // Release lets go of what is held.
--- a/lab/emulator/http.go
+++ b/lab/emulator/http.go
@@ -112,10 +112,10 @@
 	if m == nil {
 		m = &metadataJSON{Class: firstClass, Talk: j.Request, Prompt: float64(len(body) / charsAToken)}
 	}
-	j.Class, j.MaxOut = m.Class, in.MaxTokens
-	j.Prompt = engine.Prompt{Session: m.Talk, Shared: m.Prefix, Tokens: m.Prompt, SharedTokens: m.Shared}
-	if !(m.Prompt >= 1) || !(m.Shared >= 0) || m.Shared > m.Prompt || j.MaxOut < 0 {
-		return j, fmt.Errorf("the body: a prompt of %v tokens, %v of them shared, for %d at most", m.Prompt, m.Shared, j.MaxOut)
+	j.Class, j.MaxOutputTokens = m.Class, in.MaxTokens
+	j.Prompt = engine.Prompt{Session: m.Talk, Prefix: m.Prefix, Tokens: m.Prompt, PrefixTokens: m.Shared}
+	if !(m.Prompt >= 1) || !(m.Shared >= 0) || m.Shared > m.Prompt || j.MaxOutputTokens < 0 {
+		return j, fmt.Errorf("the body: a prompt of %v tokens, %v of them shared, for %d at most", m.Prompt, m.Shared, j.MaxOutputTokens)
 	}
 	return j, nil
 }
@@ -145,7 +145,7 @@
 	read(ev engine.Event, report string)
 	failed(report string)
 	tokens(from int, ev engine.Event)
-	spoil(fate engine.Fate) // writes what can't be read, and returns once the caller has closed
+	spoil(fate engine.StreamFault) // writes what can't be read, and returns once the caller has closed
 	end(prompt int, ev engine.Event, report string)
 	lost()
 	hold(ctx context.Context) // says nothing more, and keeps the connection
@@ -181,11 +181,11 @@
 		}
 		report := e.loadText(v.spec.ID, ev.Report)
 		switch ev.Kind {
-		case engine.EventRead:
+		case engine.EventPrefilled:
 			ended(rules.Read)
 			out.read(ev, report)
 			return
-		case engine.EventAway, engine.EventNoState:
+		case engine.EventRejected, engine.EventNoState:
 			ended(rules.Away)
 			out.away(ev, report)
 			return
@@ -197,16 +197,16 @@
 			if sent == 0 {
 				e.rules.Ran(e.clock.Now(), v.spec.ID, j.Request)
 			}
-			if ev.Fate == engine.FateSpoilHead {
-				out.spoil(ev.Fate)
+			if ev.StreamFault == engine.StreamMalformedHead {
+				out.spoil(ev.StreamFault)
 				ended(rules.Reset)
 				return
 			}
 			e.rules.Event(e.clock.Now(), j.Request)
 			out.tokens(sent, ev)
 			sent += ev.Tokens
-			if ev.Fate == engine.FateSpoilChunk {
-				out.spoil(ev.Fate)
+			if ev.StreamFault == engine.StreamMalformedChunk {
+				out.spoil(ev.StreamFault)
 				ended(rules.Reset)
 				return
 			}
@@ -228,7 +228,7 @@
 	at := -1.0
 	e.driver.do(func(f *engine.Fleet) {
 		if f.Cold(box) {
-			at = f.ColdSince(box)
+			at = f.StartedAt(box)
 		}
 	})
 	return at
@@ -239,7 +239,7 @@
 	bad := false
 	e.driver.do(func(f *engine.Fleet) {
 		c, _ := f.Condition(box)
-		bad = c.BadReports
+		bad = c.MalformedReports
 	})
 	if bad {
 		return "inflight=,queue=?,x0=-inf;"
@@ -258,7 +258,7 @@
 	}
 	w.Header().Set(headerLoad, report)
 	w.WriteHeader(map[engine.EventKind]int{
-		engine.EventHeld: http.StatusOK, engine.EventNotHeld: http.StatusConflict, engine.EventUnknown: http.StatusNoContent,
+		engine.EventReserved: http.StatusOK, engine.EventNotReserved: http.StatusConflict, engine.EventNoPrefill: http.StatusNoContent,
 	}[kind])
 }
 
@@ -274,7 +274,7 @@
 		e.driver.give(c)
 		return 0, "", false
 	}
-	e.rules.Place(first, v.gateway, v.spec.ID, id, ev.Kind == engine.EventHeld)
+	e.rules.Place(first, v.gateway, v.spec.ID, id, ev.Kind == engine.EventReserved)
 	if e.travel(ctx, v, ev.At) != nil {
 		return 0, "", false
 	}
--- a/lab/emulator/http_answer.go
+++ b/lab/emulator/http_answer.go
@@ -21,19 +21,19 @@
 	switch {
 	case ev.Kind == engine.EventNoState:
 		code = http.StatusGone
-	case ev.Why == engine.WhyExpired:
+	case ev.Reason == engine.ReasonExpired:
 		code = http.StatusGatewayTimeout
 	}
 	a.w.Header().Set(headerAway, "1")
 	a.w.Header().Set(headerLoad, report)
-	http.Error(a.w, ev.Why, code)
+	http.Error(a.w, ev.Reason, code)
 }
 
 func (a httpAnswer) read(ev engine.Event, report string) {
 	a.w.Header().Set(headerLoad, report)
 	a.w.Header().Set("Content-Type", "application/json")
 	a.w.WriteHeader(http.StatusAccepted)
-	fmt.Fprintf(a.w, `{"cached_tokens":%d}`, ev.Kept)
+	fmt.Fprintf(a.w, `{"cached_tokens":%d}`, ev.CachedTokens)
 }
 
 func (a httpAnswer) failed(report string) {
@@ -45,14 +45,14 @@
 	if from == 0 {
 		a.w.Header().Set("Content-Type", "text/event-stream")
 	}
-	fmt.Fprintf(a.w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", engine.Text(a.id, from, ev.Tokens))
+	fmt.Fprintf(a.w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", engine.AnswerText(a.id, from, ev.Tokens))
 	_ = http.NewResponseController(a.w).Flush() // a caller that has gone shows in the context
 }
 
 func (a httpAnswer) end(prompt int, ev engine.Event, report string) {
 	fmt.Fprintf(a.w, "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"+
 		"data: {\"choices\":[],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":%d,\"prompt_tokens_details\":{\"cached_tokens\":%d}}}\n\n"+
-		"data: [DONE]\n\n: %s: %s\n\n", prompt, ev.Tokens, ev.Kept, headerLoad, report)
+		"data: [DONE]\n\n: %s: %s\n\n", prompt, ev.Tokens, ev.CachedTokens, headerLoad, report)
 }
 
 func (a httpAnswer) lost() { panic(http.ErrAbortHandler) }
@@ -62,14 +62,14 @@
 }
 
 // spoil writes what can't be read, in place of a head or of the next chunk.
-func (a httpAnswer) spoil(fate engine.Fate) {
+func (a httpAnswer) spoil(fate engine.StreamFault) {
 	c, rw, err := http.NewResponseController(a.w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	defer c.Close()
 	text := "HTTP/1.1 2\x00\x00 \xff\xfe garbled\r\nX-Load: \x01\r\n"
-	if fate == engine.FateSpoilChunk {
+	if fate == engine.StreamMalformedChunk {
 		text = "zz;not a size\r\ngarbled\r\n"
 	}
 	if _, err := rw.WriteString(text); err == nil {
--- a/lab/emulator/inspect.go
+++ b/lab/emulator/inspect.go
@@ -7,7 +7,7 @@
 
 // Box is a box's address as a gateway reaches it.
 type Box struct {
-	engine.BoxSpec
+	engine.Spec
 	HTTP, GRPC string
 }
 
@@ -15,7 +15,7 @@
 func (e *Emulator) Boxes(gateway int) []Box {
 	list := make([]Box, len(e.views[gateway]))
 	for i, v := range e.views[gateway] {
-		list[i] = Box{BoxSpec: v.spec, HTTP: v.http.addr}
+		list[i] = Box{Spec: v.spec, HTTP: v.http.addr}
 		if v.grpc != nil {
 			list[i].GRPC = v.grpc.addr
 		}
@@ -56,6 +56,6 @@
 
 // Held tells what is held anywhere; a rehearsal's end finds nothing.
 func (e *Emulator) Held() (n int) {
-	e.driver.do(func(f *engine.Fleet) { n = f.HeldCount() })
+	e.driver.do(func(f *engine.Fleet) { n = f.HoldCount() })
 	return n
 }
--- a/lab/engine/box.go
+++ b/lab/engine/box.go
@@ -1,360 +1,369 @@
 package engine
 
-// State tells whether a box's process can be heard.
+// State tells whether an engine's process runs and can be reached.
 type State string
 
-// The states of a box.
+// The states of an engine.
 const (
 	Up     State = "up"
-	Down   State = "down"   // the process is gone: connects are refused
-	Silent State = "silent" // the machine is cut off: nothing is said, connects never come up
+	Down   State = "down"   // the process has ended: connects are refused
+	Silent State = "silent" // the machine is unreachable: nothing is sent, connects time out
 )
 
-// Fate is what becomes of an answer on its way, drawn when its attempt comes.
-type Fate int
+// StreamFault is what goes wrong with an answer's stream; it is drawn when the
+// attempt arrives.
+type StreamFault int
 
-// The fates of answers.
+// The faults of streams.
 const (
-	FateWhole      Fate = iota
-	FateBreaks          // its connection ends some tokens after the first
-	FateStops           // nothing more comes after the first tokens, the connection stays
-	FateSpoilHead       // in place of its head comes what can't be read
-	FateSpoilChunk      // and in place of its second piece
+	StreamIntact         StreamFault = iota
+	StreamBreaks                     // the connection ends some tokens after the first
+	StreamStalls                     // nothing follows after the first tokens, the connection stays open
+	StreamMalformedHead              // malformed bytes are sent in place of the response head
+	StreamMalformedChunk             // malformed bytes are sent in place of the second chunk
 )
 
-// Condition is how a box is, faults included. Shares are of attempts.
+// Condition is an engine's present condition with the effect of all active faults.
+// Shares are of attempts.
 type Condition struct {
-	State      State
-	Fallen     bool    // knocked over while cold: down until it is started by hand
-	Draining   bool    // it finishes what it has and turns new work away
-	Hung       bool    // it takes work and answers nothing
-	Paused     bool    // it does no work; what needs none is answered
-	Refusing   bool    // it turns all new work away
-	SlowBy     float64 // how much longer its work takes
-	LinkSlowBy float64 // how much longer states take out of its port
-	Errors     float64 // share that ends with an error
-	Breaks     float64 // share of answers that break after they have begun
-	Stops      float64 // share that stop, and stay open
-	SpoilHead  float64 // share that begin with what can't be read
-	SpoilChunk float64 // share that go on with it
-	BadReports bool    // load reports can't be read
+	State               State
+	ColdCrashed         bool    // overloaded while cold: down until it is restarted by hand
+	Draining            bool    // finishes what it has and rejects new work
+	Hung                bool    // accepts work and answers nothing
+	Paused              bool    // does no work; calls that need none are answered
+	Refusing            bool    // rejects all new work
+	SlowFactor          float64 // how many times longer its work takes
+	LinkSlowFactor      float64 // how many times longer KV states take over its local link
+	ErrorShare          float64 // share that ends with an error
+	BreakShare          float64 // share of answers whose connection breaks after they have begun
+	StallShare          float64 // share of answers that stall with the connection open
+	MalformedHeadShare  float64 // share of answers that begin with malformed bytes
+	MalformedChunkShare float64 // share of answers whose second chunk is malformed
+	MalformedReports    bool    // load reports are malformed
 }
 
-// box is one engine.
-type box struct {
-	spec      BoxSpec
-	kind      Kind
-	speed     float64
-	condition Condition
-	coldSince float64
-	cache     *cache
-	port      *link // to boxes of its cell
-	cell      *link // of its cell, to all others
-	shown     shown
-	conns     int
-	pinned    float64 // tokens that are not kept prompts
-	queue     []*job
-	running   []*job // in the order in which they were let in
-	fetching  []*job
-	states    []*hold // that wait here
-	places    []*hold // that are held here, states that have moved here among them
-	extraMs   float64 // of connections and probes, in the next step
-	stepping  bool
-	overdue   bool // the step has ended while the box hung or was paused
-	life      int  // counts starts: what was set before is void
-	work      []arrival
+// engine is the state of one engine.
+type engine struct {
+	spec         Spec
+	kind         Kind
+	speed        float64
+	condition    Condition
+	startedAt    float64
+	cache        *cache
+	localLink    *link // to engines of its cell
+	uplink       *link // of its cell, to all other cells
+	reports      reportHistory
+	conns        int
+	pinned       float64 // tokens in use by attempts, KV states and reservations; cached prompts are not among them
+	queue        []*job
+	running      []*job // in the order of their admission
+	fetching     []*job
+	kvStates     []*hold // waiting in this engine's memory
+	reservations []*hold // held here, with KV states already transferred to them
+	overheadMs   float64 // of connections and probes, added to the next step
+	stepActive   bool
+	stepOverdue  bool // the step's time has passed while the engine hung or was paused
+	incarnation  int  // counts starts; timers of an earlier incarnation are ignored
+	coldWork     []arrival
 }
 
 type arrival struct{ at, ms float64 }
 
-// job is an attempt at a box.
+// job is an attempt at an engine.
 type job struct {
 	Job
-	call     Call
-	box      *box
-	hold     *hold
-	arrived  float64
-	kept     float64 // prompt tokens that need not be read
-	found    int     // of them, at the reader
-	read     float64 // of the rest, read by now
-	pinned   float64 // tokens of the box's memory
-	planned  float64 // tokens read in the step that is on
-	decodes  bool    // a token is made in the step that is on
-	reread   bool    // memory ran out: prompt and answer so far are read anew
-	produced int
-	unsent   int
-	length   int // of the whole answer
-	fate     Fate
-	breakAt  int // tokens after which its fate comes true
-	fails    bool
-	left     bool // nobody waits for it any more
+	call          Call
+	engine        *engine
+	hold          *hold
+	arrivedAt     float64
+	cachedTokens  float64 // prompt tokens found in the prefix cache
+	prefillCached int     // prompt tokens found in the prefill engine's cache
+	prefilled     float64 // prompt tokens computed so far
+	pinned        float64 // tokens of the engine's memory that it uses
+	plannedTokens float64 // tokens to compute in the current step
+	decodes       bool    // the current step generates a token
+	recompute     bool    // preempted for lack of memory: prompt and answer so far are computed again
+	produced      int
+	unsent        int
+	answerLength  int // of the complete answer
+	streamFault   StreamFault
+	faultAt       int // tokens after which the stream fault happens
+	fails         bool
+	abandoned     bool // the caller has cancelled it
 }
 
-// todo is what has still to be read.
-func (j *job) todo() float64 {
-	if j.box.kind.Role == Writes && !j.reread {
+// remainingPrefill returns how many tokens are still to be computed.
+func (j *job) remainingPrefill() float64 {
+	if j.engine.kind.Role == RoleDecode && !j.recompute {
 		return 0
 	}
 	total := j.Prompt.Tokens
-	if j.reread {
+	if j.recompute {
 		total += float64(j.produced)
 	}
-	return max(0, total-j.kept-j.read)
+	return max(0, total-j.cachedTokens-j.prefilled)
 }
 
-// pin takes memory of the box for a job; a negative amount gives it back.
-func (b *box) pin(j *job, tokens float64) {
+// pin takes memory of the engine for a job; a negative amount returns it.
+func (eng *engine) pin(j *job, tokens float64) {
 	j.pinned += tokens
-	b.pinned += tokens
+	eng.pinned += tokens
 }
 
-// room tells whether so many tokens fit beside what is pinned. Kept prompts make way.
-func (b *box) room(tokens float64) bool { return b.pinned+tokens <= b.kind.MemoryTokens }
+// fits tells whether so many tokens fit beside the pinned ones. Cached prompts are
+// evicted for them.
+func (eng *engine) fits(tokens float64) bool { return eng.pinned+tokens <= eng.kind.MemoryTokens }
 
-// claim lets kept prompts make way for what is pinned.
-func (b *box) claim() {
-	if over := b.pinned + b.cache.used - b.kind.MemoryTokens; over > 0 {
-		b.cache.free(over)
+// evictForPinned evicts cached prompts until the pinned tokens fit.
+func (eng *engine) evictForPinned() {
+	if excess := eng.pinned + eng.cache.used - eng.kind.MemoryTokens; excess > 0 {
+		eng.cache.evict(excess)
 	}
 }
 
-func (b *box) slotsTaken() int { return len(b.running) + len(b.fetching) + len(b.places) }
+func (eng *engine) slotsTaken() int {
+	return len(eng.running) + len(eng.fetching) + len(eng.reservations)
+}
 
-// capacity is the share of a warm box of speed 1 that this one has now.
-func (f *Fleet) capacity(b *box) float64 {
-	tax := 1 - b.kind.FullTax*min(1, float64(b.conns)/float64(b.kind.Conns))
-	return f.warmth(b) * b.speed * tax / b.condition.SlowBy
+// capacity is the engine's present capacity, as a share of that of a warm engine of
+// speed 1.
+func (f *Fleet) capacity(eng *engine) float64 {
+	connFactor := 1 - eng.kind.FullConnsCost*min(1, float64(eng.conns)/float64(eng.kind.MaxConns))
+	return f.warmShare(eng) * eng.speed * connFactor / eng.condition.SlowFactor
 }
 
-// warmth grows from the cold share to 1 in a straight line.
-func (f *Fleet) warmth(b *box) float64 {
-	since := f.now - b.coldSince
-	if b.kind.ColdMs <= 0 || since >= b.kind.ColdMs {
+// warmShare grows linearly from the cold share at the start to 1.
+func (f *Fleet) warmShare(eng *engine) float64 {
+	since := f.now - eng.startedAt
+	if eng.kind.WarmUpMs <= 0 || since >= eng.kind.WarmUpMs {
 		return 1
 	}
-	return b.kind.ColdFrom + (1-b.kind.ColdFrom)*max(0, since)/b.kind.ColdMs
+	return eng.kind.ColdCapacity + (1-eng.kind.ColdCapacity)*max(0, since)/eng.kind.WarmUpMs
 }
 
-// bear counts work sent to a box that is cold. One sent more than its multiple
-// of what it can do falls over.
-func (f *Fleet) bear(b *box, class string) {
-	if f.warmth(b) >= 1 {
-		b.work = nil
+// addColdWork counts work sent to a cold engine. An engine that is sent more than
+// the allowed multiple of its present capacity crashes.
+func (f *Fleet) addColdWork(eng *engine, class string) {
+	if f.warmShare(eng) >= 1 {
+		eng.coldWork = nil
 		return
 	}
 	window := f.cfg.Cold.WindowMs
-	b.work = append(b.work, arrival{f.now, f.meanWork(b.kind, class)})
-	for len(b.work) > 0 && b.work[0].at < f.now-window {
-		b.work = b.work[1:]
+	eng.coldWork = append(eng.coldWork, arrival{f.now, f.meanWork(eng.kind, class)})
+	for len(eng.coldWork) > 0 && eng.coldWork[0].at < f.now-window {
+		eng.coldWork = eng.coldWork[1:]
 	}
 	sum := 0.0
-	for _, w := range b.work {
+	for _, w := range eng.coldWork {
 		sum += w.ms
 	}
-	if sum > f.cfg.Cold.Multiple*(1+f.cfg.Cold.Slack)*f.capacity(b)*window {
-		b.condition.Fallen = true
-		f.die(b, Down)
+	if sum > f.cfg.Cold.Multiple*(1+f.cfg.Cold.Tolerance)*f.capacity(eng)*window {
+		eng.condition.ColdCrashed = true
+		f.stopEngine(eng, Down)
 	}
 }
 
-// meanWork is what a class takes of a box of a kind on average, in ms of a warm
-// box of speed 1 that works at half its slots.
+// meanWork is the mean work of a request of a class at an engine of a kind, in ms of
+// a warm engine of speed 1 with half its slots in use.
 func (f *Fleet) meanWork(k Kind, class string) float64 {
 	c := f.classes[class]
-	if k.Role == Reads {
-		return c.ReadTokens * 1000 / k.ReadPerS
+	if k.Role == RolePrefill {
+		return c.PrefillTokens * 1000 / k.PrefillPerS
 	}
 	batch := max(1, float64(k.Slots)/2)
 	step := k.StepMs + batch*k.PerSeqMs
-	return c.OutTokens * step / batch
+	return c.OutputTokens * step / batch
 }
 
-// Send brings an attempt to a box. Its events follow; a box that hangs gives none.
-func (f *Fleet) Send(id string, in Job) (Call, error) {
-	b, err := f.live(id)
+// Send brings an attempt to an engine. Its events follow; a hung engine emits none.
+func (f *Fleet) Send(id string, spec Job) (Call, error) {
+	eng, err := f.reachable(id)
 	if err != nil {
 		return 0, err
 	}
-	f.lastID++
-	j := &job{Job: in, call: f.lastID, box: b, arrived: f.now}
+	f.lastCall++
+	j := &job{Job: spec, call: f.lastCall, engine: eng, arrivedAt: f.now}
 	f.calls[j.call] = j
-	f.bear(b, in.Class)
-	if b.condition.State != Up { // it has just been knocked over
-		f.emit(Event{Kind: EventLost, Call: j.call, Box: id})
+	f.addColdWork(eng, spec.Class)
+	if eng.condition.State != Up { // this attempt has crashed it
+		f.emit(Event{Kind: EventLost, Call: j.call, Engine: id})
 		delete(f.calls, j.call)
 		return j.call, nil
 	}
-	j.length = AnswerTokens(f.cfg.Seed, f.classes[in.Class], in.Prompt.Session, int(in.Prompt.Tokens), in.MaxOut)
-	f.draw(j)
+	j.answerLength = AnswerTokens(f.cfg.Seed, f.classes[spec.Class], spec.Prompt.Session, int(spec.Prompt.Tokens), spec.MaxOutputTokens)
+	f.drawFaults(j)
 	switch {
-	case b.condition.Hung:
-		f.sendHung(j)
-	case b.condition.Draining:
-		f.away(j, EventAway, "draining")
-	case b.condition.Refusing:
-		f.away(j, EventAway, "refusing")
-	case b.kind.Role == Reads:
-		f.sendReader(j)
+	case eng.condition.Hung:
+		f.enqueueAtHung(j)
+	case eng.condition.Draining:
+		f.reject(j, EventRejected, "draining")
+	case eng.condition.Refusing:
+		f.reject(j, EventRejected, "refusing")
+	case eng.kind.Role == RolePrefill:
+		f.enqueuePrefill(j)
 	default:
-		f.sendWriter(j)
+		f.enqueueDecode(j)
 	}
 	return j.call, nil
 }
 
-// sendHung takes an attempt that is not answered before the box is back, if then.
-func (f *Fleet) sendHung(j *job) {
-	b := j.box
-	if len(b.queue) >= b.kind.Queue {
-		delete(f.calls, j.call) // never to be answered
+// enqueueAtHung queues an attempt at a hung engine. It is answered once the engine
+// has recovered, if at all.
+func (f *Fleet) enqueueAtHung(j *job) {
+	eng := j.engine
+	if len(eng.queue) >= eng.kind.MaxQueue {
+		delete(f.calls, j.call) // never answered
 		return
 	}
-	b.queue = append(b.queue, j)
-	f.prepare(j)
-	if h := f.holds[j.Request]; b.kind.Role == Writes && !h.stateless() && h.wanted == nil {
-		f.leavePlace(h)
-		j.hold, h.wanted = h, j
+	eng.queue = append(eng.queue, j)
+	f.createHold(j)
+	if h := f.holds[j.Request]; eng.kind.Role == RoleDecode && !h.hasNoState() && h.waiter == nil {
+		f.cancelReservation(h)
+		j.hold, h.waiter = h, j
 	}
 }
 
-// full tells whether a box has room for one more that has to wait, or need not.
-func (b *box) full() bool {
-	return len(b.queue) >= b.kind.Queue && (len(b.queue) > 0 || b.slotsTaken() >= b.kind.Slots)
+// isFull tells whether the queue and, with an empty queue, the slots have no room
+// for one more attempt.
+func (eng *engine) isFull() bool {
+	return len(eng.queue) >= eng.kind.MaxQueue && (len(eng.queue) > 0 || eng.slotsTaken() >= eng.kind.Slots)
 }
 
-// draw settles by chance what becomes of an attempt.
-func (f *Fleet) draw(j *job) {
-	c := j.box.condition
-	j.fails = f.rng.Float64() < j.box.kind.ErrorRate+c.Errors
+// drawFaults draws at random which faults an attempt meets.
+func (f *Fleet) drawFaults(j *job) {
+	c := j.engine.condition
+	j.fails = f.rng.Float64() < j.engine.kind.ErrorRate+c.ErrorShare
 	at := f.rng.Float64()
-	for _, v := range []struct {
+	for _, choice := range []struct {
 		share float64
-		fate  Fate
-	}{{c.Breaks, FateBreaks}, {c.Stops, FateStops}, {c.SpoilHead, FateSpoilHead}, {c.SpoilChunk, FateSpoilChunk}} {
-		if at < v.share {
-			j.fate = v.fate
+		fault StreamFault
+	}{{c.BreakShare, StreamBreaks}, {c.StallShare, StreamStalls}, {c.MalformedHeadShare, StreamMalformedHead}, {c.MalformedChunkShare, StreamMalformedChunk}} {
+		if at < choice.share {
+			j.streamFault = choice.fault
 			break
 		}
-		at -= v.share
+		at -= choice.share
 	}
-	j.breakAt = 2 + f.rng.IntN(12)
+	j.faultAt = 2 + f.rng.IntN(12)
 }
 
-// live finds a box whose process can be reached.
-func (f *Fleet) live(id string) (*box, error) {
-	b := f.boxes[id]
+// reachable returns an engine whose process can be reached.
+func (f *Fleet) reachable(id string) (*engine, error) {
+	eng := f.engines[id]
 	switch {
-	case b == nil:
-		return nil, ErrNoBox
-	case b.condition.State != Up:
-		return nil, ErrDown
+	case eng == nil:
+		return nil, ErrUnknownEngine
+	case eng.condition.State != Up:
+		return nil, ErrNotRunning
 	}
-	return b, nil
+	return eng, nil
 }
 
-// away ends an attempt that never ran.
-func (f *Fleet) away(j *job, kind EventKind, why string) {
-	f.finish(j, Event{Kind: kind, Why: why})
+// reject ends an attempt that never ran.
+func (f *Fleet) reject(j *job, kind EventKind, reason string) {
+	f.finish(j, Event{Kind: kind, Reason: reason})
 }
 
-// finish ends an attempt with an event, which nobody hears who has left.
+// finish ends an attempt with an event. No event is emitted if the caller has
+// cancelled the attempt or the engine hangs.
 func (f *Fleet) finish(j *job, e Event) {
 	if _, ok := f.calls[j.call]; !ok {
 		return
 	}
 	delete(f.calls, j.call)
-	if j.hold != nil && j.hold.wanted == j {
-		j.hold.wanted = nil
+	if j.hold != nil && j.hold.waiter == j {
+		j.hold.waiter = nil
 	}
-	if j.left || j.box.condition.Hung {
+	if j.abandoned || j.engine.condition.Hung {
 		return
 	}
-	e.Call, e.Box, e.Report = j.call, j.box.spec.ID, f.report(j.box)
+	e.Call, e.Engine, e.Report = j.call, j.engine.spec.ID, f.report(j.engine)
 	f.emit(e)
 }
 
-// kick begins a step where there is work and none is on.
-func (f *Fleet) kick(b *box) {
-	f.refresh(b)
-	if b.condition.State != Up || b.condition.Hung || b.condition.Paused {
+// startStep starts a step if there is work and none is active.
+func (f *Fleet) startStep(eng *engine) {
+	f.refresh(eng)
+	if eng.condition.State != Up || eng.condition.Hung || eng.condition.Paused {
 		return
 	}
-	f.admit(b)
-	if b.stepping {
+	f.admit(eng)
+	if eng.stepActive {
 		return
 	}
 	var ms float64
-	if b.kind.Role == Reads {
-		ms = f.planRead(b)
+	if eng.kind.Role == RolePrefill {
+		ms = f.planPrefillStep(eng)
 	} else {
-		ms = f.planWrite(b)
+		ms = f.planDecodeStep(eng)
 	}
-	if len(b.running) == 0 {
-		b.extraMs = 0 // done beside, while nothing else was
+	if len(eng.running) == 0 {
+		eng.overheadMs = 0 // the engine was idle: the overhead delays no work
 		return
 	}
-	ms = ms/f.capacity(b) + b.extraMs
-	b.extraMs = 0
-	b.stepping = true
-	life := b.life
-	f.after(ms, func() { f.stepped(b, life) })
+	ms = ms/f.capacity(eng) + eng.overheadMs
+	eng.overheadMs = 0
+	eng.stepActive = true
+	incarnation := eng.incarnation
+	f.after(ms, func() { f.endStep(eng, incarnation) })
 }
 
-// stepped ends a step. Of a box that hangs or is paused, it ends once that is over.
-func (f *Fleet) stepped(b *box, life int) {
-	if b.life != life {
+// endStep ends a step; while the engine hangs or is paused, the step stays open.
+func (f *Fleet) endStep(eng *engine, incarnation int) {
+	if eng.incarnation != incarnation {
 		return
 	}
-	if b.condition.Hung || b.condition.Paused {
-		b.overdue = true // resume goes on
+	if eng.condition.Hung || eng.condition.Paused {
+		eng.stepOverdue = true // resume ends it
 		return
 	}
-	b.stepping, b.overdue = false, false
-	if b.kind.Role == Reads {
-		f.endRead(b)
+	eng.stepActive, eng.stepOverdue = false, false
+	if eng.kind.Role == RolePrefill {
+		f.endPrefillStep(eng)
 	} else {
-		f.endWrite(b)
+		f.endDecodeStep(eng)
 	}
-	f.kick(b)
+	f.startStep(eng)
 }
 
-// resume goes on after a pause: the step that was on ends now.
-func (f *Fleet) resume(b *box) {
-	if b.overdue {
-		f.stepped(b, b.life)
+// resume continues after a hang or a pause: a step whose time has passed ends now.
+func (f *Fleet) resume(eng *engine) {
+	if eng.stepOverdue {
+		f.endStep(eng, eng.incarnation)
 		return
 	}
-	f.kick(b)
+	f.startStep(eng)
 }
 
-// admit lets waiting work in, first come first.
-func (f *Fleet) admit(b *box) {
-	for len(b.queue) > 0 {
-		j := b.queue[0]
-		if j.left && b.kind.Cancel != CancelIgnored { // given up while the box hung
-			b.queue = b.queue[1:]
-			f.dropRead(j)
+// admit takes attempts from the queue in FIFO order while there is room.
+func (f *Fleet) admit(eng *engine) {
+	for len(eng.queue) > 0 {
+		j := eng.queue[0]
+		if j.abandoned && eng.kind.Cancel != CancelIgnored { // cancelled while the engine hung
+			eng.queue = eng.queue[1:]
+			f.dropPrefill(j)
 			f.finish(j, Event{})
 			continue
 		}
-		if b.kind.DropExpired && !j.reread && f.now > j.arrived+j.Remaining {
-			b.queue = b.queue[1:]
-			f.dropRead(j)
-			f.away(j, EventAway, WhyExpired)
+		if eng.kind.DropExpired && !j.recompute && f.now > j.arrivedAt+j.Remaining {
+			eng.queue = eng.queue[1:]
+			f.dropPrefill(j)
+			f.reject(j, EventRejected, ReasonExpired)
 			continue
 		}
-		var in bool
-		if b.kind.Role == Reads {
-			in = f.beginRead(b, j)
+		var admitted bool
+		if eng.kind.Role == RolePrefill {
+			admitted = f.admitPrefill(eng, j)
 		} else {
-			in = f.beginWrite(b, j)
+			admitted = f.admitDecode(eng, j)
 		}
-		if !in {
+		if !admitted {
 			return
 		}
 	}
 }
 
-// remove takes an element out of a list in place.
+// remove deletes an element from a list in place.
 func remove[T comparable](list []T, v T) []T {
 	for i, other := range list {
 		if other == v {
--- a/lab/engine/cache.go
+++ b/lab/engine/cache.go
@@ -6,21 +6,21 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// cache is what a reader has kept of prompts: for each shared beginning and
-// each session the tokens from its start on. A session's text follows its
-// beginning's. The least recently used goes first, and of one text the end
-// first, since what stands before it is of use without it.
+// cache is a prefill engine's prefix cache: for each shared prefix and each session
+// the number of cached tokens from its start on. A session's text follows its
+// prefix. The least recently used text is evicted first, and the end of a text
+// before its start, since the start is useful without the end.
 //
-// find and keep cost O(1); freeing costs O(1) for each text that goes.
+// cachedTokens and add cost O(1); evict costs O(1) for each evicted text.
 type cache struct {
-	lru  *simplelru.LRU[textKey, *float64] // tokens; changed in place, which is no use of a text
+	lru  *simplelru.LRU[textKey, *float64] // tokens; changed through the pointer, so that the change doesn't count as a use
 	used float64                           // tokens
 }
 
-// textKey names a shared beginning or what a session added to it.
+// textKey names a shared prefix or the text that a session adds to it.
 type textKey struct {
-	name   string
-	shared bool
+	name     string
+	isPrefix bool
 }
 
 func newCache() *cache {
@@ -31,64 +31,64 @@
 	return &cache{lru: lru}
 }
 
-// find gives how many tokens from a prompt's start on are kept.
-func (c *cache) find(p Prompt) float64 {
-	kept := 0.0
-	if p.SharedTokens > 0 {
-		if kept = min(c.tokens(textKey{p.Shared, true}), p.SharedTokens); kept < p.SharedTokens {
-			return kept
+// cachedTokens returns how many tokens from a prompt's start on are cached.
+func (c *cache) cachedTokens(p Prompt) float64 {
+	cached := 0.0
+	if p.PrefixTokens > 0 {
+		if cached = min(c.textTokens(textKey{p.Prefix, true}), p.PrefixTokens); cached < p.PrefixTokens {
+			return cached
 		}
 	}
-	return kept + min(c.tokens(textKey{p.Session, false}), p.Tokens-kept)
+	return cached + min(c.textTokens(textKey{p.Session, false}), p.Tokens-cached)
 }
 
-// tokens tells how much of a text is kept, and counts as a use of it.
-func (c *cache) tokens(k textKey) float64 {
-	if v, ok := c.lru.Get(k); ok {
-		return *v
+// textTokens returns how much of a text is cached, and counts as a use of it.
+func (c *cache) textTokens(k textKey) float64 {
+	if cached, ok := c.lru.Get(k); ok {
+		return *cached
 	}
 	return 0
 }
 
-// keep notes a prompt that was read, in at most room tokens more than are used.
-func (c *cache) keep(p Prompt, room float64) {
-	if p.SharedTokens > 0 {
-		room -= c.grow(textKey{p.Shared, true}, p.SharedTokens, room)
+// add caches a prompt that was computed, with at most room more tokens in use.
+func (c *cache) add(p Prompt, room float64) {
+	if p.PrefixTokens > 0 {
+		room -= c.grow(textKey{p.Prefix, true}, p.PrefixTokens, room)
 	}
-	c.grow(textKey{p.Session, false}, p.Tokens-p.SharedTokens, room)
+	c.grow(textKey{p.Session, false}, p.Tokens-p.PrefixTokens, room)
 }
 
 func (c *cache) grow(k textKey, tokens, room float64) float64 {
-	v, ok := c.lru.Get(k)
+	cached, ok := c.lru.Get(k)
 	if !ok {
-		v = new(float64)
+		cached = new(float64)
 	}
-	more := min(tokens-*v, room)
+	more := min(tokens-*cached, room)
 	if more <= 0 || k.name == "" {
 		return 0
 	}
-	*v += more
+	*cached += more
 	if !ok {
-		c.lru.Add(k, v)
+		c.lru.Add(k, cached)
 	}
 	c.used += more
 	return more
 }
 
-// free lets go of at least so many tokens, or of all.
-func (c *cache) free(tokens float64) {
+// evict removes at least so many tokens, or all.
+func (c *cache) evict(tokens float64) {
 	for tokens > 0 {
-		k, v, ok := c.lru.GetOldest()
+		k, cached, ok := c.lru.GetOldest()
 		if !ok {
 			return
 		}
-		if *v > tokens {
-			*v -= tokens
+		if *cached > tokens {
+			*cached -= tokens
 			c.used -= tokens
 			return
 		}
-		tokens -= *v
-		c.used -= *v
+		tokens -= *cached
+		c.used -= *cached
 		c.lru.Remove(k)
 	}
 }
--- a/lab/engine/check.go
+++ b/lab/engine/check.go
@@ -2,65 +2,66 @@
 
 import "fmt"
 
-// Check proves what always holds: a box's pinned tokens are those of its parts,
-// never negative nor above its memory together with what is kept, slots and
-// queue are within their bounds, and each state is in one place. It scans the
-// fleet and is for tests and simulations.
+// Check verifies the invariants: an engine's pinned tokens are the sum of its parts,
+// never negative, and within its memory together with the cached ones; no more
+// slots are taken than it has; each KV state is in one place.
+// It scans the fleet and is for tests and simulations.
 func (f *Fleet) Check() error {
 	const rounding = 1e-3
-	for _, b := range f.order {
+	for _, eng := range f.ordered {
 		sum := 0.0
-		for _, list := range [][]*job{b.running, b.fetching} {
+		for _, list := range [][]*job{eng.running, eng.fetching} {
 			for _, j := range list {
 				if j.pinned < 0 {
-					return fmt.Errorf("%s: %s pins %v tokens", b.spec.ID, j.Request, j.pinned)
+					return fmt.Errorf("%s: job %s pins %v tokens", eng.spec.ID, j.Request, j.pinned)
 				}
 				sum += j.pinned
 			}
 		}
-		for _, h := range b.states {
-			if h.reader != b || h.landed {
-				return fmt.Errorf("%s: the state of %s is at two places", b.spec.ID, h.id)
+		for _, h := range eng.kvStates {
+			if h.prefillEngine != eng || h.transferred {
+				return fmt.Errorf("%s: the KV state of %s is in two places", eng.spec.ID, h.request)
 			}
 			sum += h.pinned
 		}
-		for _, h := range b.places {
-			if h.place != b {
-				return fmt.Errorf("%s: the place of %s is another box's", b.spec.ID, h.id)
+		for _, h := range eng.reservations {
+			if h.reservedAt != eng {
+				return fmt.Errorf("%s: the reservation of %s is at another engine", eng.spec.ID, h.request)
 			}
 			sum += h.tokens
 		}
-		if d := sum - b.pinned; d > rounding || d < -rounding {
-			return fmt.Errorf("%s: %v tokens are pinned, its parts have %v", b.spec.ID, b.pinned, sum)
+		if d := sum - eng.pinned; d > rounding || d < -rounding {
+			return fmt.Errorf("%s: %v tokens are pinned, the sum of its parts is %v", eng.spec.ID, eng.pinned, sum)
 		}
-		if total := b.pinned + b.cache.used; b.pinned < -rounding || b.cache.used < -rounding || total > b.kind.MemoryTokens+rounding {
-			return fmt.Errorf("%s: %v tokens pinned and %v kept of %v", b.spec.ID, b.pinned, b.cache.used, b.kind.MemoryTokens)
+		if total := eng.pinned + eng.cache.used; eng.pinned < -rounding || eng.cache.used < -rounding || total > eng.kind.MemoryTokens+rounding {
+			return fmt.Errorf("%s: %v tokens pinned and %v cached, memory has %v", eng.spec.ID, eng.pinned, eng.cache.used, eng.kind.MemoryTokens)
 		}
-		if b.slotsTaken() > b.kind.Slots {
-			return fmt.Errorf("%s: %d slots of %d are taken", b.spec.ID, b.slotsTaken(), b.kind.Slots)
+		if eng.slotsTaken() > eng.kind.Slots {
+			return fmt.Errorf("%s: %d slots of %d are taken", eng.spec.ID, eng.slotsTaken(), eng.kind.Slots)
 		}
 	}
 	for id, h := range f.holds {
-		if h.reader != nil && h.landed {
-			return fmt.Errorf("the state of %s is at %s and at its place", id, h.reader.spec.ID)
+		if h.prefillEngine != nil && h.transferred {
+			return fmt.Errorf("the KV state of %s is at %s and at its reservation", id, h.prefillEngine.spec.ID)
 		}
-		if h.landed && h.place == nil {
-			return fmt.Errorf("the state of %s has moved nowhere", id)
+		if h.transferred && h.reservedAt == nil {
+			return fmt.Errorf("the KV state of %s was transferred without a reservation", id)
 		}
-		if h.moving != nil && h.reader == nil {
-			return fmt.Errorf("the state of %s moves from nowhere", id)
+		if h.transfer != nil && h.prefillEngine == nil {
+			return fmt.Errorf("the transfer of %s has no prefill engine", id)
 		}
 	}
 	return nil
 }
 
-// Idle tells whether no box has anything: no attempt, state, place or move.
+// Idle tells whether no engine holds anything: no attempt, KV state, reservation or
+// transfer.
 func (f *Fleet) Idle() bool {
 	if len(f.calls) > 0 || len(f.holds) > 0 {
 		return false
 	}
-	for _, b := range f.order {
-		if len(b.queue)+len(b.running)+len(b.fetching)+len(b.states)+len(b.places) > 0 {
+	for _, eng := range f.ordered {
+		if len(eng.queue)+len(eng.running)+len(eng.fetching)+len(eng.kvStates)+len(eng.reservations) > 0 {
 			return false
 		}
 	}
--- a/lab/engine/fault.go
+++ b/lab/engine/fault.go
@@ -5,78 +5,78 @@
 	"math"
 )
 
-// FaultKind names what goes wrong.
+// FaultKind names a kind of fault.
 type FaultKind string
 
-// The kinds of faults of boxes. Those of the list of boxes and of the load are
-// not the model's.
+// The kinds of engine faults. Faults of discovery and of the load are modelled
+// elsewhere.
 const (
-	FaultCrash      FaultKind = "crash"       // the process dies, and comes back cold
-	FaultVanish     FaultKind = "vanish"      // the machine goes silent, and comes back cold
-	FaultHang       FaultKind = "hang"        // takes work, answers nothing
-	FaultPause      FaultKind = "pause"       // does no work for a while
-	FaultSlow       FaultKind = "slow"        // works slower by Factor
-	FaultSlowLink   FaultKind = "slow-link"   // states take longer by Factor
-	FaultErrors     FaultKind = "errors"      // a share of attempts, Factor, ends with an error
-	FaultTurnedAway FaultKind = "turned-away" // turns all new work away
-	FaultBreak      FaultKind = "break"       // a share of answers breaks after it has begun
-	FaultStop       FaultKind = "stop"        // a share stops and stays open
-	FaultSpoilHead  FaultKind = "spoil-head"  // a share begins with what can't be read
-	FaultSpoilChunk FaultKind = "spoil-chunk" // a share goes on with it
-	FaultBadReports FaultKind = "bad-reports" // load reports can't be read
-	FaultDrain      FaultKind = "drain"       // finishes what it has; nothing new
+	FaultCrash            FaultKind = "crash"       // the process ends, and starts again cold
+	FaultVanish           FaultKind = "vanish"      // the machine becomes unreachable, and starts again cold
+	FaultHang             FaultKind = "hang"        // accepts work and answers nothing
+	FaultPause            FaultKind = "pause"       // does no work for a while
+	FaultSlow             FaultKind = "slow"        // works slower by Factor
+	FaultSlowLink         FaultKind = "slow-link"   // KV state transfers take longer by Factor
+	FaultErrors           FaultKind = "errors"      // a share of attempts, Factor, ends with an error
+	FaultTurnedAway       FaultKind = "turned-away" // rejects all new work
+	FaultBreak            FaultKind = "break"       // a share of answers breaks after they have begun
+	FaultStall            FaultKind = "stop"        // a share of answers stalls with the connection open
+	FaultMalformedHead    FaultKind = "spoil-head"  // a share of answers begins with malformed bytes
+	FaultMalformedChunk   FaultKind = "spoil-chunk" // a share of answers has a malformed second chunk
+	FaultMalformedReports FaultKind = "bad-reports" // load reports are malformed
+	FaultDrain            FaultKind = "drain"       // finishes what it has and rejects new work
 )
 
-// Fault is something that goes wrong with some boxes for a while. Faults may
-// overlap, on one box too.
+// Fault is a fault of some engines for a while. Faults may overlap, on one engine
+// too.
 type Fault struct {
-	Kind   FaultKind
-	Boxes  []string
-	At     float64 // time of its begin
-	Len    float64 // ms
-	Factor float64 // how much slower, or a share; see the kinds
+	Kind     FaultKind
+	Engines  []string
+	Start    float64 // ms
+	Duration float64 // ms
+	Factor   float64 // a factor of slowness or a share of attempts; see the kinds
 }
 
-type faultRun struct{ Fault }
+type activeFault struct{ Fault }
 
-// Inject sets a fault to come. Its begin may lie in the past: it begins now then.
+// Inject schedules a fault. One whose start lies in the past starts now.
 func (f *Fleet) Inject(in Fault) error {
-	for _, id := range in.Boxes {
-		if f.boxes[id] == nil {
-			return fmt.Errorf("%w: %q", ErrNoBox, id)
+	for _, id := range in.Engines {
+		if f.engines[id] == nil {
+			return fmt.Errorf("%w: %q", ErrUnknownEngine, id)
 		}
 	}
-	if !(in.Len >= 0) || math.IsInf(in.Len, 0) {
-		return fmt.Errorf("engine: a fault of %v ms", in.Len)
+	if !(in.Duration >= 0) || math.IsInf(in.Duration, 0) {
+		return fmt.Errorf("engine: fault duration %v ms is negative or not finite", in.Duration)
 	}
-	run := &faultRun{in}
-	f.after(in.At-f.now, func() {
-		f.faults = append(f.faults, run)
-		f.apply(run)
-		f.after(in.Len, func() {
-			f.faults = remove(f.faults, run)
-			f.apply(run)
+	fault := &activeFault{in}
+	f.after(in.Start-f.now, func() {
+		f.faults = append(f.faults, fault)
+		f.applyFault(fault)
+		f.after(in.Duration, func() {
+			f.faults = remove(f.faults, fault)
+			f.applyFault(fault)
 		})
 	})
 	return nil
 }
 
-// apply works the conditions of a fault's boxes out anew.
-func (f *Fleet) apply(run *faultRun) {
-	for _, id := range run.Boxes {
-		f.settle(f.boxes[id])
+// applyFault updates the conditions of a fault's engines.
+func (f *Fleet) applyFault(fault *activeFault) {
+	for _, id := range fault.Engines {
+		f.updateCondition(f.engines[id])
 	}
 }
 
-// settle makes a box's condition what the faults that are on say.
-func (f *Fleet) settle(b *box) {
-	was := b.condition
-	c := Condition{State: Up, Fallen: was.Fallen, SlowBy: 1, LinkSlowBy: 1}
-	for _, run := range f.faults {
-		if !run.hits(b.spec.ID) {
+// updateCondition computes an engine's condition from the active faults.
+func (f *Fleet) updateCondition(eng *engine) {
+	previous := eng.condition
+	c := Condition{State: Up, ColdCrashed: previous.ColdCrashed, SlowFactor: 1, LinkSlowFactor: 1}
+	for _, fault := range f.faults {
+		if !fault.affects(eng.spec.ID) {
 			continue
 		}
-		switch run.Kind {
+		switch fault.Kind {
 		case FaultCrash:
 			if c.State == Up {
 				c.State = Down
@@ -88,54 +88,54 @@
 		case FaultPause:
 			c.Paused = true
 		case FaultSlow:
-			c.SlowBy *= max(1, run.Factor)
+			c.SlowFactor *= max(1, fault.Factor)
 		case FaultSlowLink:
-			c.LinkSlowBy *= max(1, run.Factor)
+			c.LinkSlowFactor *= max(1, fault.Factor)
 		case FaultErrors:
-			c.Errors += run.Factor
+			c.ErrorShare += fault.Factor
 		case FaultTurnedAway:
 			c.Refusing = true
 		case FaultBreak:
-			c.Breaks += run.Factor
-		case FaultStop:
-			c.Stops += run.Factor
-		case FaultSpoilHead:
-			c.SpoilHead += run.Factor
-		case FaultSpoilChunk:
-			c.SpoilChunk += run.Factor
-		case FaultBadReports:
-			c.BadReports = true
+			c.BreakShare += fault.Factor
+		case FaultStall:
+			c.StallShare += fault.Factor
+		case FaultMalformedHead:
+			c.MalformedHeadShare += fault.Factor
+		case FaultMalformedChunk:
+			c.MalformedChunkShare += fault.Factor
+		case FaultMalformedReports:
+			c.MalformedReports = true
 		case FaultDrain:
 			c.Draining = true
 		}
 	}
-	if c.Fallen && c.State == Up {
+	if c.ColdCrashed && c.State == Up {
 		c.State = Down
 	}
 	state := c.State
-	c.State = was.State
-	b.condition = c
-	if c.LinkSlowBy != was.LinkSlowBy {
-		b.port.settle(f.now)
-		b.port.slow = c.LinkSlowBy
-		f.relink(b.port)
+	c.State = previous.State
+	eng.condition = c
+	if c.LinkSlowFactor != previous.LinkSlowFactor {
+		eng.localLink.advance(f.now)
+		eng.localLink.slowFactor = c.LinkSlowFactor
+		f.scheduleLink(eng.localLink)
 	}
 	switch {
-	case state != Up && was.State == Up:
-		f.die(b, state)
-	case state == Up && was.State != Up:
-		f.start(b)
+	case state != Up && previous.State == Up:
+		f.stopEngine(eng, state)
+	case state == Up && previous.State != Up:
+		f.startEngine(eng)
 	default:
-		b.condition.State = state // silent machines may turn out dead, and the other way round
-		if c != was {
-			f.emit(Event{Kind: EventBox, Box: b.spec.ID})
+		eng.condition.State = state // an unreachable machine may turn out to be down, and the other way round
+		if c != previous {
+			f.emit(Event{Kind: EventCondition, Engine: eng.spec.ID})
 		}
-		f.resume(b)
+		f.resume(eng)
 	}
 }
 
-func (r *faultRun) hits(id string) bool {
-	for _, other := range r.Boxes {
+func (r *activeFault) affects(id string) bool {
+	for _, other := range r.Engines {
 		if other == id {
 			return true
 		}
@@ -143,82 +143,82 @@
 	return false
 }
 
-// die ends a box's life: what it had is gone. Calls of a dead process are lost;
-// a silent machine says nothing.
-func (f *Fleet) die(b *box, state State) {
-	hung := b.condition.Hung
-	b.condition.Hung = false // a dead process's connections are reset all the same
-	for _, list := range [][]*job{b.queue, b.running, b.fetching} {
+// stopEngine ends an engine's process: its work and memory are lost. Calls to a dead
+// process end as lost; an unreachable machine sends nothing.
+func (f *Fleet) stopEngine(eng *engine, state State) {
+	hung := eng.condition.Hung
+	eng.condition.Hung = false // a dead process's connections are reset even if it hung
+	for _, list := range [][]*job{eng.queue, eng.running, eng.fetching} {
 		for _, j := range list {
 			if j.hold != nil {
-				if j.hold.wanted == j {
-					j.hold.wanted = nil
+				if j.hold.waiter == j {
+					j.hold.waiter = nil
 				}
-				if j.hold.read == j {
-					j.hold.read = nil
+				if j.hold.prefill == j {
+					j.hold.prefill = nil
 				}
-				f.stopMove(j.hold)
+				f.stopTransfer(j.hold)
 			}
-			j.left = j.left || state == Silent
+			j.abandoned = j.abandoned || state == Silent
 			f.finish(j, Event{Kind: EventLost})
 		}
 	}
-	b.condition.Hung = hung
-	b.condition.State = state
-	b.queue, b.running, b.fetching = nil, nil, nil
-	b.stepping, b.overdue = false, false
-	b.extraMs, b.conns, b.work = 0, 0, nil
-	b.life++
-	for _, h := range append([]*hold(nil), b.states...) {
-		j := h.wanted
-		f.leaveReader(h)
-		if j != nil && h.moving == nil && j.box != b {
-			f.lostState(j)
+	eng.condition.Hung = hung
+	eng.condition.State = state
+	eng.queue, eng.running, eng.fetching = nil, nil, nil
+	eng.stepActive, eng.stepOverdue = false, false
+	eng.overheadMs, eng.conns, eng.coldWork = 0, 0, nil
+	eng.incarnation++
+	for _, h := range append([]*hold(nil), eng.kvStates...) {
+		j := h.waiter
+		f.freeState(h)
+		if j != nil && h.transfer == nil && j.engine != eng {
+			f.failFetch(j)
 		}
-		f.forget(h)
+		f.deleteIfEmpty(h)
 	}
-	for _, h := range append([]*hold(nil), b.places...) {
-		f.leavePlace(h)
-		f.forget(h)
+	for _, h := range append([]*hold(nil), eng.reservations...) {
+		f.cancelReservation(h)
+		f.deleteIfEmpty(h)
 	}
-	b.cache.clear()
-	b.pinned = 0
-	b.shown = shown{}
-	f.emit(Event{Kind: EventBox, Box: b.spec.ID})
+	eng.cache.clear()
+	eng.pinned = 0
+	eng.reports = reportHistory{}
+	f.emit(Event{Kind: EventCondition, Engine: eng.spec.ID})
 }
 
-// lostState ends a fetch whose reader has died. One that still waits in the
-// queue finds out when its turn comes.
-func (f *Fleet) lostState(j *job) {
-	b := j.box
-	for _, other := range b.fetching {
+// failFetch ends a fetch whose prefill engine has died. An attempt that is still
+// queued finds out at its admission.
+func (f *Fleet) failFetch(j *job) {
+	eng := j.engine
+	for _, other := range eng.fetching {
 		if other == j {
-			b.fetching = remove(b.fetching, j)
-			b.pin(j, -j.pinned)
-			f.away(j, EventNoState, "")
-			f.kick(b)
+			eng.fetching = remove(eng.fetching, j)
+			eng.pin(j, -j.pinned)
+			f.reject(j, EventNoState, "")
+			f.startStep(eng)
 			return
 		}
 	}
 }
 
-// start brings a box back, cold and empty.
-func (f *Fleet) start(b *box) {
-	b.condition.State = Up
-	b.coldSince = f.now
-	f.emit(Event{Kind: EventBox, Box: b.spec.ID})
+// startEngine starts an engine again, cold and empty.
+func (f *Fleet) startEngine(eng *engine) {
+	eng.condition.State = Up
+	eng.startedAt = f.now
+	f.emit(Event{Kind: EventCondition, Engine: eng.spec.ID})
 }
 
-// Restart starts a box by hand, one that fell over too.
+// Restart restarts an engine by hand, also one that crashed while cold.
 func (f *Fleet) Restart(id string) error {
-	b := f.boxes[id]
-	if b == nil {
-		return ErrNoBox
+	eng := f.engines[id]
+	if eng == nil {
+		return ErrUnknownEngine
 	}
-	if b.condition.State == Up {
-		f.die(b, Down)
+	if eng.condition.State == Up {
+		f.stopEngine(eng, Down)
 	}
-	b.condition.Fallen = false
-	f.settle(b)
+	eng.condition.ColdCrashed = false
+	f.updateCondition(eng)
 	return nil
 }
--- a/lab/engine/fleet.go
+++ b/lab/engine/fleet.go
@@ -8,24 +8,24 @@
 	"math/rand/v2"
 )
 
-// Prompt is what a request is read from.
+// Prompt describes a request's prompt.
 type Prompt struct {
 	Session      string
-	Shared       string // names a beginning that other sessions share; "" = none
+	Prefix       string // name of the prefix shared with other sessions; "" = none
 	Tokens       float64
-	SharedTokens float64 // of the beginning
+	PrefixTokens float64 // length of the shared prefix
 }
 
-// Job is one attempt as it reaches a box.
+// Job is one attempt as it reaches an engine.
 type Job struct {
-	Request   string // its id
-	Class     string
-	Prompt    Prompt
-	MaxOut    int
-	Remaining float64 // ms that the caller will wait for the first token
+	Request         string // its id
+	Class           string
+	Prompt          Prompt
+	MaxOutputTokens int
+	Remaining       float64 // ms that the caller will wait for the first token
 }
 
-// Call names an attempt that a box has taken, or its answer to a place asked for.
+// Call identifies an attempt or a reservation request that an engine has accepted.
 type Call uint64
 
 // EventKind tells what has happened.
@@ -33,60 +33,61 @@
 
 // The kinds of events.
 const (
-	EventRead    EventKind = iota + 1 // a read has ended: Tokens were found kept; the state waits
-	EventTokens                       // Tokens more of the answer; the first such event begins it
-	EventEnd                          // the answer is whole; Tokens of it in all
-	EventAway                         // turned away: it never ran
-	EventNoState                      // turned away: there is no state to fetch
-	EventError                        // it failed; it may have run
-	EventHeld                         // a place is held
-	EventNotHeld                      // and is not
-	EventUnknown                      // no read is out: a place may be held all the same
-	EventLost                         // the box has died, or has gone silent, with the call
-	EventBox                          // the box has changed its condition
+	EventPrefilled   EventKind = iota + 1 // the prefill has ended: CachedTokens came from the cache; the KV state waits
+	EventTokens                           // Tokens more of the answer; the first such event begins it
+	EventEnd                              // the answer is complete with Tokens in all
+	EventRejected                         // rejected: it never ran
+	EventNoState                          // rejected: there is no KV state to fetch
+	EventError                            // it failed; it may have run
+	EventReserved                         // a reservation is held
+	EventNotReserved                      // no reservation is held
+	EventNoPrefill                        // no prefill is in flight; a reservation may be held all the same
+	EventLost                             // the engine has died, or become unreachable, with the call
+	EventCondition                        // the engine's condition has changed
 )
 
-// Event is news of a call or a box. Events come in the order in which they happen.
+// Event reports progress of a call or a change of an engine. Events come in the
+// order in which they happen.
 type Event struct {
-	At     float64
-	Kind   EventKind
-	Call   Call
-	Box    string
-	Tokens int
-	Kept   int    // prompt tokens found kept, with EventRead and EventEnd
-	Why    string // with EventAway
-	Fate   Fate   // with EventTokens: what the wire is to spoil
-	Report Report // of calls that end
+	At           float64
+	Kind         EventKind
+	Call         Call
+	Engine       string
+	Tokens       int
+	CachedTokens int         // with EventPrefilled and EventEnd: prompt tokens from the cache
+	Reason       string      // with EventRejected
+	StreamFault  StreamFault // with EventTokens: the fault that the transport has to produce
+	Report       Report      // of calls that end
 }
 
 // Errors of calls to a fleet.
 var (
-	ErrNoBox = errors.New("engine: no such box")
-	ErrDown  = errors.New("engine: the box does not run")
-	ErrFull  = errors.New("engine: the box holds no more connections")
+	ErrUnknownEngine      = errors.New("engine: unknown engine")
+	ErrNotRunning         = errors.New("engine: the engine is not running")
+	ErrTooManyConnections = errors.New("engine: the connection table is full")
 )
 
-// Fleet is a set of boxes and the links between them. It is not safe for use by
+// Fleet is a set of engines and the links between them. It is not safe for use by
 // several goroutines; a driver holds a lock around it.
 //
-// Next and Advance cost O(log n) for each thing that falls due; a step costs
-// what its box has running. Nothing scans the fleet.
+// NextEventAt and Advance cost O(log n) for each timer that fires; a step costs O(n)
+// in the engine's running attempts. Nothing scans the fleet.
 type Fleet struct {
-	cfg     Config
-	kinds   map[string]Kind
-	classes map[string]Class
-	rng     *rand.Rand
-	now     float64
-	due     timers
-	seq     uint64
-	boxes   map[string]*box
-	order   []*box // as configured
-	cells   map[cellKey]*link
-	calls   map[Call]*job
-	holds   map[string]*hold // by request
-	out     []Event
-	lastID  Call
-	faults  []*faultRun
+	cfg      Config
+	kinds    map[string]Kind
+	classes  map[string]Class
+	rng      *rand.Rand
+	now      float64
+	timers   timerHeap
+	seq      uint64
+	engines  map[string]*engine
+	ordered  []*engine // as configured
+	uplinks  map[cellKey]*link
+	calls    map[Call]*job
+	holds    map[string]*hold // by request
+	events   []Event
+	lastCall Call
+	faults   []*activeFault
 }
 
 type cellKey struct {
@@ -94,14 +95,14 @@
 	cell int
 }
 
-// New makes a fleet of warm and empty boxes. Its time begins at now.
+// New makes a fleet of warm and empty engines. Its time starts at now.
 func New(cfg Config, now float64) (*Fleet, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
 	}
 	f := &Fleet{
-		cfg: cfg, kinds: map[string]Kind{}, classes: map[string]Class{}, now: now, boxes: map[string]*box{},
-		rng: rand.New(rand.NewPCG(cfg.Seed, 0x9e3779b97f4a7c15)), cells: map[cellKey]*link{}, calls: map[Call]*job{}, holds: map[string]*hold{},
+		cfg: cfg, kinds: map[string]Kind{}, classes: map[string]Class{}, now: now, engines: map[string]*engine{},
+		rng: rand.New(rand.NewPCG(cfg.Seed, 0x9e3779b97f4a7c15)), uplinks: map[cellKey]*link{}, calls: map[Call]*job{}, holds: map[string]*hold{},
 	}
 	for _, k := range cfg.Kinds {
 		f.kinds[k.Name] = k
@@ -109,98 +110,98 @@
 	for _, c := range cfg.Classes {
 		f.classes[c.Name] = c
 	}
-	for _, spec := range cfg.Boxes {
-		f.add(spec, now, false)
+	for _, spec := range cfg.Engines {
+		f.addEngine(spec, now, false)
 	}
 	return f, nil
 }
 
-func (f *Fleet) add(spec BoxSpec, now float64, cold bool) *box {
+func (f *Fleet) addEngine(spec Spec, now float64, cold bool) *engine {
 	k := f.kinds[spec.Kind]
-	b := &box{spec: spec, kind: k, speed: k.Speed * max(0.2, 1+k.SpeedCV*f.rng.NormFloat64()), cache: newCache(),
-		port: newLink(f.cfg.Links.NearPerS / 1000)}
-	b.condition = Condition{State: Up, SlowBy: 1, LinkSlowBy: 1}
-	b.coldSince = math.Inf(-1)
+	eng := &engine{spec: spec, kind: k, speed: k.Speed * max(0.2, 1+k.SpeedCV*f.rng.NormFloat64()), cache: newCache(),
+		localLink: newLink(f.cfg.Links.LocalPerS / 1000)}
+	eng.condition = Condition{State: Up, SlowFactor: 1, LinkSlowFactor: 1}
+	eng.startedAt = math.Inf(-1)
 	if cold {
-		b.coldSince = now
+		eng.startedAt = now
 	}
-	f.boxes[spec.ID] = b
-	f.order = append(f.order, b)
+	f.engines[spec.ID] = eng
+	f.ordered = append(f.ordered, eng)
 	key := cellKey{spec.Zone, spec.Cell}
-	cell := f.cells[key]
-	if cell == nil {
-		cell = newLink(0)
-		f.cells[key] = cell
+	uplink := f.uplinks[key]
+	if uplink == nil {
+		uplink = newLink(0)
+		f.uplinks[key] = uplink
 	}
-	if k.Role == Reads {
-		cell.perMs += f.cfg.Links.FarRoom * k.ReadPerS * k.Speed / 1000
+	if k.Role == RolePrefill {
+		uplink.tokensPerMs += f.cfg.Links.UplinkFactor * k.PrefillPerS * k.Speed / 1000
 	}
-	b.cell = cell
-	return b
+	eng.uplink = uplink
+	return eng
 }
 
-// Now is the time up to which the fleet has been advanced.
+// Now returns the time up to which the fleet has been advanced.
 func (f *Fleet) Now() float64 { return f.now }
 
-// Boxes lists the boxes as they were configured.
-func (f *Fleet) Boxes() []BoxSpec {
-	list := make([]BoxSpec, len(f.order))
-	for i, b := range f.order {
-		list[i] = b.spec
+// Engines lists the engines in the order of the configuration.
+func (f *Fleet) Engines() []Spec {
+	list := make([]Spec, len(f.ordered))
+	for i, eng := range f.ordered {
+		list[i] = eng.spec
 	}
 	return list
 }
 
-// Next is the time at which something falls due, +Inf for never.
-func (f *Fleet) Next() float64 {
-	if len(f.due) == 0 {
+// NextEventAt returns the time at which the next timer fires, +Inf without one.
+func (f *Fleet) NextEventAt() float64 {
+	if len(f.timers) == 0 {
 		return math.Inf(1)
 	}
-	return f.due[0].at
+	return f.timers[0].at
 }
 
-// Advance carries out all that falls due up to now.
+// Advance runs all timers that have expired by now.
 func (f *Fleet) Advance(now float64) {
-	for len(f.due) > 0 && f.due[0].at <= now {
-		t := heap.Pop(&f.due).(timer)
+	for len(f.timers) > 0 && f.timers[0].at <= now {
+		t := heap.Pop(&f.timers).(timer)
 		f.now = max(f.now, t.at)
-		t.f()
+		t.fire()
 	}
 	f.now = max(f.now, now)
 }
 
-// Take gives the events since it was last called.
-func (f *Fleet) Take() []Event {
-	out := f.out
-	f.out = nil
-	return out
+// TakeEvents returns the events since its last call.
+func (f *Fleet) TakeEvents() []Event {
+	events := f.events
+	f.events = nil
+	return events
 }
 
 func (f *Fleet) emit(e Event) {
 	e.At = f.now
-	f.out = append(f.out, e)
+	f.events = append(f.events, e)
 }
 
 func (f *Fleet) after(ms float64, do func()) {
 	f.seq++
-	heap.Push(&f.due, timer{f.now + max(ms, 0), f.seq, do})
+	heap.Push(&f.timers, timer{f.now + max(ms, 0), f.seq, do})
 }
 
 type timer struct {
-	at  float64
-	seq uint64 // of those due together, the one set first
-	f   func()
+	at   float64
+	seq  uint64 // timers of the same time fire in the order in which they were set
+	fire func()
 }
 
-type timers []timer
+type timerHeap []timer
 
-func (h timers) Len() int { return len(h) }
-func (h timers) Less(i, j int) bool {
+func (h timerHeap) Len() int { return len(h) }
+func (h timerHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (h timers) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *timers) Push(x any)   { *h = append(*h, x.(timer)) }
-func (h *timers) Pop() any {
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)   { *h = append(*h, x.(timer)) }
+func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	old[len(old)-1] = timer{}
--- a/lab/engine/harness_test.go
+++ b/lab/engine/harness_test.go
@@ -4,23 +4,24 @@
 	"testing"
 )
 
-// plain is a fleet whose times are easy to reckon: one reader and two writers
-// in a cell, without chance, at a token a ms out of the port.
-func plain(t *testing.T, change func(*Config)) *Fleet {
+// newTestFleet returns a fleet whose times are easy to calculate: one prefill engine
+// and two decode engines in a cell, without randomness, at one token per ms on the
+// local link.
+func newTestFleet(t *testing.T, change func(*Config)) *Fleet {
 	t.Helper()
 	cfg := DefaultConfig()
 	for i := range cfg.Kinds {
 		k := &cfg.Kinds[i]
-		k.Speed, k.SpeedCV, k.ErrorRate, k.PairsMsPerM, k.PerSeqMs, k.ContextMsPerK, k.ProbeMs, k.HandshakeMs, k.FullTax = 1, 0, 0, 0, 0, 0, 0, 0, 0
+		k.Speed, k.SpeedCV, k.ErrorRate, k.AttentionMsPerM, k.PerSeqMs, k.ContextMsPerK, k.ProbeMs, k.HandshakeMs, k.FullConnsCost = 1, 0, 0, 0, 0, 0, 0, 0, 0
 		k.StepMs = 10
 	}
-	cfg.Kinds[0].ReadPerS, cfg.Kinds[0].Chunk, cfg.Kinds[0].StepMs = 1000, 1e6, 0
-	cfg.Links.NearPerS, cfg.Links.FlowsAhead = 1000, 0.5
+	cfg.Kinds[0].PrefillPerS, cfg.Kinds[0].Chunk, cfg.Kinds[0].StepMs = 1000, 1e6, 0
+	cfg.Links.LocalPerS, cfg.Links.EarlyShare = 1000, 0.5
 	cfg.Reports.Noise = 0
 	for i := range cfg.Classes {
-		cfg.Classes[i].OutSigma, cfg.Classes[i].OutTokens = 0, 10
+		cfg.Classes[i].OutputSigma, cfg.Classes[i].OutputTokens = 0, 10
 	}
-	cfg.Boxes = []BoxSpec{{"r", "prefill", "a", 0}, {"w1", "decode-a", "a", 0}, {"w2", "decode-a", "a", 0}}
+	cfg.Engines = []Spec{{"r", "prefill", "a", 0}, {"w1", "decode-a", "a", 0}, {"w2", "decode-a", "a", 0}}
 	if change != nil {
 		change(&cfg)
 	}
@@ -31,34 +32,34 @@
 	return f
 }
 
-func order(id string, tokens float64) Job {
-	return Job{Request: id, Class: "send-order", Prompt: Prompt{Session: id, Tokens: tokens}, MaxOut: 500, Remaining: 6000}
+func testJob(id string, tokens float64) Job {
+	return Job{Request: id, Class: "send-order", Prompt: Prompt{Session: id, Tokens: tokens}, MaxOutputTokens: 500, Remaining: 6000}
 }
 
-// until advances a fleet to a time, step by step, and gives the events.
-func until(t *testing.T, f *Fleet, at float64) (list []Event) {
+// advanceTo advances a fleet to a time, step by step, and returns the events.
+func advanceTo(t *testing.T, f *Fleet, at float64) (list []Event) {
 	t.Helper()
-	for f.Next() <= at {
-		f.Advance(f.Next())
+	for f.NextEventAt() <= at {
+		f.Advance(f.NextEventAt())
 		if err := f.Check(); err != nil {
 			t.Fatalf("at %v: %v", f.Now(), err)
 		}
-		list = append(list, f.Take()...)
+		list = append(list, f.TakeEvents()...)
 	}
 	f.Advance(at)
-	return append(list, f.Take()...)
+	return append(list, f.TakeEvents()...)
 }
 
-func send(t *testing.T, f *Fleet, box string, j Job) Call {
+func send(t *testing.T, f *Fleet, engine string, j Job) Call {
 	t.Helper()
-	c, err := f.Send(box, j)
+	c, err := f.Send(engine, j)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-func of(list []Event, c Call) (kinds []EventKind) {
+func eventKinds(list []Event, c Call) (kinds []EventKind) {
 	for _, e := range list {
 		if e.Call == c {
 			kinds = append(kinds, e.Kind)
@@ -67,7 +68,7 @@
 	return kinds
 }
 
-func last(list []Event, c Call) (found Event) {
+func lastEvent(list []Event, c Call) (found Event) {
 	for _, e := range list {
 		if e.Call == c {
 			found = e
--- a/lab/engine/hold.go
+++ b/lab/engine/hold.go
@@ -1,230 +1,233 @@
 package engine
 
-// hold is what the fleet holds for one request: a read under way, a state that
-// waits at its reader, moves, or has moved to a place, and a place held ahead.
-// A state is in one place only: reader and landed are never both set.
+// hold is what the fleet holds for one request: a prefill in flight, a KV state that
+// waits at its prefill engine, is in transfer or has been transferred to a
+// reservation, and the reservation itself. A KV state is in one place only:
+// prefillEngine and transferred are never both set.
 type hold struct {
-	id      string
-	tokens  float64
-	kept    int
-	read    *job    // that is out
-	reader  *box    // whose memory has the state
-	pinned  float64 // tokens there
-	place   *box    // that holds a slot and memory
-	ahead   float64 // share of the read that was still to come when the place was held
-	landed  bool    // the state has moved to the place
-	moving  *move
-	wanted  *job // the attempt that waits for the state
-	touched float64
+	request       string
+	tokens        float64
+	cachedTokens  int
+	prefill       *job    // in flight
+	prefillEngine *engine // whose memory has the KV state
+	pinned        float64 // tokens there
+	reservedAt    *engine // decode engine that holds a slot and memory
+	unreadShare   float64 // share of the prefill that was still to come when the reservation was made
+	transferred   bool    // the KV state has arrived at the reservation
+	transfer      *transfer
+	waiter        *job // the attempt that waits for the KV state
+	touchedAt     float64
 }
 
-// stateless tells that there is nothing to fetch.
-func (h *hold) stateless() bool { return h == nil || h.reader == nil && !h.landed }
+// hasNoState tells whether there is no KV state to fetch.
+func (h *hold) hasNoState() bool { return h == nil || h.prefillEngine == nil && !h.transferred }
 
-// Reserve asks a writer to hold a place for a request that is being read.
-// EventHeld, EventNotHeld or, after 300 ms, EventUnknown follows; nothing from
-// a box that hangs.
+// Reserve asks a decode engine for a reservation for a request in prefill.
+// EventReserved, EventNotReserved or, after 300 ms, EventNoPrefill follows; nothing
+// from a hung engine.
 func (f *Fleet) Reserve(id, request string) (Call, error) {
-	b, err := f.live(id)
+	eng, err := f.reachable(id)
 	if err != nil {
 		return 0, err
 	}
-	f.lastID++
-	call := f.lastID
-	b.extraMs += b.kind.ProbeMs
-	if b.condition.Hung {
+	f.lastCall++
+	call := f.lastCall
+	eng.overheadMs += eng.kind.ProbeMs
+	if eng.condition.Hung {
 		return call, nil
 	}
-	answer := func(kind EventKind) { f.emit(Event{Kind: kind, Call: call, Box: id, Report: f.report(b)}) }
+	answer := func(kind EventKind) { f.emit(Event{Kind: kind, Call: call, Engine: id, Report: f.report(eng)}) }
 	h := f.holds[request]
 	switch {
-	case h == nil || h.read == nil || h.read.left || b.kind.Role != Writes:
-		life := b.life
-		f.after(unknownAfter, func() {
-			if b.life == life {
-				answer(EventUnknown)
+	case h == nil || h.prefill == nil || h.prefill.abandoned || eng.kind.Role != RoleDecode:
+		incarnation := eng.incarnation
+		f.after(reserveTimeout, func() {
+			if eng.incarnation == incarnation {
+				answer(EventNoPrefill)
 			}
 		})
-	case b.condition.Draining || b.condition.Refusing || len(b.queue) > 0 || b.slotsTaken() >= b.kind.Slots || !b.room(h.tokens):
-		answer(EventNotHeld)
+	case eng.condition.Draining || eng.condition.Refusing || len(eng.queue) > 0 || eng.slotsTaken() >= eng.kind.Slots || !eng.fits(h.tokens):
+		answer(EventNotReserved)
 	default:
-		f.leavePlace(h)
-		h.place, h.ahead = b, h.read.todo()/max(1, h.tokens-h.read.kept)
-		b.places = append(b.places, h)
-		b.pinned += h.tokens
-		answer(EventHeld)
+		f.cancelReservation(h)
+		h.reservedAt, h.unreadShare = eng, h.prefill.remainingPrefill()/max(1, h.tokens-h.prefill.cachedTokens)
+		eng.reservations = append(eng.reservations, h)
+		eng.pinned += h.tokens
+		answer(EventReserved)
 	}
 	return call, nil
 }
 
-const unknownAfter = 300 // ms until a place asked for without a read out is answered
+const reserveTimeout = 300 // ms until a reservation request without a prefill in flight is answered
 
-// Release lets go of what a box holds for a request and no attempt waits for.
+// Release frees what an engine holds for a request, unless an attempt waits for it.
 func (f *Fleet) Release(id, request string) error {
-	b, err := f.live(id)
+	eng, err := f.reachable(id)
 	if err != nil {
 		return err
 	}
 	h := f.holds[request]
-	if h == nil || h.wanted != nil {
+	if h == nil || h.waiter != nil {
 		return nil
 	}
-	if h.place == b {
-		f.leavePlace(h)
+	if h.reservedAt == eng {
+		f.cancelReservation(h)
 	}
-	if h.reader == b {
-		f.leaveReader(h)
+	if h.prefillEngine == eng {
+		f.freeState(h)
 	}
-	f.forget(h)
+	f.deleteIfEmpty(h)
 	return nil
 }
 
-// Held tells whether a box holds a state or a place for a request that no
-// attempt at it waits for.
+// Held tells whether an engine holds a KV state or a reservation for a request that
+// no attempt waits for.
 func (f *Fleet) Held(id, request string) bool {
-	b, h := f.boxes[id], f.holds[request]
-	return h != nil && b != nil && h.wanted == nil && (h.reader == b || h.place == b)
+	eng, h := f.engines[id], f.holds[request]
+	return h != nil && eng != nil && h.waiter == nil && (h.prefillEngine == eng || h.reservedAt == eng)
 }
 
-// leavePlace gives a place up, with the state if that has moved there.
-func (f *Fleet) leavePlace(h *hold) {
-	b := h.place
-	if b == nil {
+// cancelReservation frees a reservation, with the KV state if that has been
+// transferred to it.
+func (f *Fleet) cancelReservation(h *hold) {
+	eng := h.reservedAt
+	if eng == nil {
 		return
 	}
-	if h.moving != nil && h.moving.to == b && h.wanted == nil {
-		f.stopMove(h)
+	if h.transfer != nil && h.transfer.to == eng && h.waiter == nil {
+		f.stopTransfer(h)
 	}
-	b.places = remove(b.places, h)
-	b.pinned -= h.tokens
-	h.place, h.landed = nil, false
-	f.kick(b)
+	eng.reservations = remove(eng.reservations, h)
+	eng.pinned -= h.tokens
+	h.reservedAt, h.transferred = nil, false
+	f.startStep(eng)
 }
 
-// leaveReader frees a state at its reader.
-func (f *Fleet) leaveReader(h *hold) {
-	b := h.reader
-	if b == nil {
+// freeState frees a KV state at its prefill engine.
+func (f *Fleet) freeState(h *hold) {
+	eng := h.prefillEngine
+	if eng == nil {
 		return
 	}
-	f.stopMove(h)
-	b.states = remove(b.states, h)
-	b.pinned -= h.pinned
-	h.reader, h.pinned = nil, 0
-	f.kick(b)
+	f.stopTransfer(h)
+	eng.kvStates = remove(eng.kvStates, h)
+	eng.pinned -= h.pinned
+	h.prefillEngine, h.pinned = nil, 0
+	f.startStep(eng)
 }
 
-// letGo frees all that is held for a request.
-func (f *Fleet) letGo(h *hold) {
-	f.leavePlace(h)
-	f.leaveReader(h)
-	if j := h.wanted; j != nil {
-		f.lostState(j)
+// releaseAll frees all that is held for a request.
+func (f *Fleet) releaseAll(h *hold) {
+	f.cancelReservation(h)
+	f.freeState(h)
+	if j := h.waiter; j != nil {
+		f.failFetch(j)
 	}
-	f.forget(h)
+	f.deleteIfEmpty(h)
 }
 
-func (f *Fleet) forget(h *hold) {
-	if h.read == nil && h.place == nil && h.reader == nil && h.wanted == nil && f.holds[h.id] == h {
-		delete(f.holds, h.id)
+func (f *Fleet) deleteIfEmpty(h *hold) {
+	if h.prefill == nil && h.reservedAt == nil && h.prefillEngine == nil && h.waiter == nil && f.holds[h.request] == h {
+		delete(f.holds, h.request)
 	}
 }
 
-// expire frees a state that nobody has taken for long: its gateway has died.
-func (f *Fleet) expire(h *hold) {
-	h.touched = f.now
-	var look func()
-	look = func() {
-		if f.holds[h.id] != h {
+// scheduleExpiry frees a hold that no attempt has used for StateTTLMs, as when its
+// gateway has died.
+func (f *Fleet) scheduleExpiry(h *hold) {
+	h.touchedAt = f.now
+	var check func()
+	check = func() {
+		if f.holds[h.request] != h {
 			return
 		}
-		if h.read != nil || h.wanted != nil {
-			h.touched = f.now
+		if h.prefill != nil || h.waiter != nil {
+			h.touchedAt = f.now
 		}
-		if left := h.touched + f.cfg.StateTTLMs - f.now; left > 0 {
-			f.after(left, look)
+		if remaining := h.touchedAt + f.cfg.StateTTLMs - f.now; remaining > 0 {
+			f.after(remaining, check)
 			return
 		}
-		f.letGo(h)
+		f.releaseAll(h)
 	}
-	f.after(f.cfg.StateTTLMs, look)
+	f.after(f.cfg.StateTTLMs, check)
 }
 
-// move begins to carry so many tokens of a state to a writer.
-func (f *Fleet) move(h *hold, to *box, tokens float64) {
-	from := h.reader
-	l, work := from.cell, tokens
+// startTransfer starts to transfer so many tokens of a KV state to a decode engine.
+func (f *Fleet) startTransfer(h *hold, to *engine, tokens float64) {
+	from := h.prefillEngine
+	l, work := from.uplink, tokens
 	switch {
 	case from.spec.Zone == to.spec.Zone && from.spec.Cell == to.spec.Cell:
-		l = from.port
+		l = from.localLink
 	case from.spec.Zone != to.spec.Zone:
-		work *= f.cfg.Links.ZoneSlower
+		work *= f.cfg.Links.CrossZoneFactor
 	}
-	l.settle(f.now)
-	h.moving = &move{hold: h, to: to, left: work}
-	l.begin(h.moving)
-	f.relink(l)
+	l.advance(f.now)
+	h.transfer = &transfer{hold: h, to: to, remaining: work}
+	l.add(h.transfer)
+	f.scheduleLink(l)
 }
 
-// stopMove ends a move that has not arrived.
-func (f *Fleet) stopMove(h *hold) {
-	m := h.moving
-	if m == nil {
+// stopTransfer ends a transfer that is not complete.
+func (f *Fleet) stopTransfer(h *hold) {
+	t := h.transfer
+	if t == nil {
 		return
 	}
-	h.moving = nil
-	m.link.settle(f.now)
-	m.link.end(m)
-	f.relink(m.link)
+	h.transfer = nil
+	t.link.advance(f.now)
+	t.link.remove(t)
+	f.scheduleLink(t.link)
 }
 
-// relink sets the event of a link's next end.
-func (f *Fleet) relink(l *link) {
+// scheduleLink sets the timer for the next transfer that completes on a link.
+func (f *Fleet) scheduleLink(l *link) {
 	l.epoch++
-	if len(l.moves) == 0 {
+	if len(l.transfers) == 0 {
 		return
 	}
 	epoch := l.epoch
-	f.after(l.next()-f.now, func() {
+	f.after(l.nextDone()-f.now, func() {
 		if l.epoch != epoch {
 			return
 		}
-		l.settle(f.now)
-		for _, m := range l.done() {
-			l.end(m)
-			f.arrived(m)
+		l.advance(f.now)
+		for _, t := range l.completed() {
+			l.remove(t)
+			f.transferDone(t)
 		}
-		f.relink(l)
+		f.scheduleLink(l)
 	})
 }
 
-// arrived ends a move: the reader's memory is let go.
-func (f *Fleet) arrived(m *move) {
-	h := m.hold
-	h.moving = nil
-	f.leaveReader(h)
-	if j := h.wanted; j != nil && j.box == m.to && len(j.box.fetching) > 0 {
-		f.fetched(j)
+// transferDone completes a transfer and frees the prefill engine's memory.
+func (f *Fleet) transferDone(t *transfer) {
+	h := t.hold
+	h.transfer = nil
+	f.freeState(h)
+	if j := h.waiter; j != nil && j.engine == t.to && len(j.engine.fetching) > 0 {
+		f.startDecode(j)
 		return
 	}
-	h.landed = true
+	h.transferred = true
 }
 
-// Holding lists the boxes that hold a state or a place for a request which no
-// attempt waits for.
-func (f *Fleet) Holding(request string) (boxes []string) {
+// EnginesHolding lists the engines that hold a KV state or a reservation for a
+// request which no attempt waits for.
+func (f *Fleet) EnginesHolding(request string) (ids []string) {
 	h := f.holds[request]
-	if h == nil || h.wanted != nil || h.read != nil {
+	if h == nil || h.waiter != nil || h.prefill != nil {
 		return nil
 	}
-	if h.reader != nil {
-		boxes = append(boxes, h.reader.spec.ID)
+	if h.prefillEngine != nil {
+		ids = append(ids, h.prefillEngine.spec.ID)
 	}
-	if h.place != nil {
-		boxes = append(boxes, h.place.spec.ID)
+	if h.reservedAt != nil {
+		ids = append(ids, h.reservedAt.spec.ID)
 	}
-	return boxes
+	return ids
 }
 
-// HeldCount is the number of requests for which something is held or under way.
-func (f *Fleet) HeldCount() int { return len(f.holds) }
+// HoldCount returns the number of requests for which something is held or in flight.
+func (f *Fleet) HoldCount() int { return len(f.holds) }
--- a/lab/engine/links.go
+++ b/lab/engine/links.go
@@ -2,75 +2,77 @@
 
 import "math"
 
-// link carries states; all moves on it share its rate evenly. A move's work is
-// its tokens times how much longer one takes than on a link of the same zone.
+// link carries KV states; all transfers on it share its rate evenly. A transfer's
+// work is its tokens times how much longer one takes than on a link of the same
+// zone.
 //
-// Each call costs O(moves on the link).
+// Each call costs O(transfers on the link).
 type link struct {
-	perMs float64 // tokens
-	at    float64 // time up to which work is counted
-	moves []*move // in the order of their begin
-	slow  float64 // factor of a slow link, 1 = none
-	epoch int     // of the event that is set for the next end
+	tokensPerMs float64
+	advancedAt  float64     // time up to which work is counted
+	transfers   []*transfer // in the order of their start
+	slowFactor  float64     // 1 = full rate
+	epoch       int         // of the timer for the next completion; older timers are ignored
 }
 
-// move is a state on its way to a writer.
-type move struct {
-	hold *hold
-	to   *box
-	link *link
-	left float64 // work
+// transfer is a KV state on its way to a decode engine.
+type transfer struct {
+	hold      *hold
+	to        *engine
+	link      *link
+	remaining float64 // work
 }
 
-func newLink(perMs float64) *link { return &link{perMs: perMs, slow: 1} }
+func newLink(tokensPerMs float64) *link { return &link{tokensPerMs: tokensPerMs, slowFactor: 1} }
 
-// settle counts what has flowed up to now.
-func (l *link) settle(now float64) {
-	if n := len(l.moves); n > 0 {
-		flowed := (now - l.at) * l.perMs / l.slow / float64(n)
-		for _, m := range l.moves {
-			m.left -= flowed
+// advance counts what has been transferred up to now.
+func (l *link) advance(now float64) {
+	if n := len(l.transfers); n > 0 {
+		transferred := (now - l.advancedAt) * l.tokensPerMs / l.slowFactor / float64(n)
+		for _, t := range l.transfers {
+			t.remaining -= transferred
 		}
 	}
-	l.at = now
+	l.advancedAt = now
 }
 
-// next is the time of the next end, +Inf without one.
-func (l *link) next() float64 {
-	least := math.Inf(1)
-	for _, m := range l.moves {
-		least = min(least, m.left)
+// nextDone returns the time of the next completion, +Inf without a transfer.
+func (l *link) nextDone() float64 {
+	minRemaining := math.Inf(1)
+	for _, t := range l.transfers {
+		minRemaining = min(minRemaining, t.remaining)
 	}
-	if math.IsInf(least, 1) {
-		return least
+	if math.IsInf(minRemaining, 1) {
+		return minRemaining
 	}
-	return l.at + max(least, 0)*float64(len(l.moves))*l.slow/l.perMs
+	return l.advancedAt + max(minRemaining, 0)*float64(len(l.transfers))*l.slowFactor/l.tokensPerMs
 }
 
-// begin adds a move; the caller has settled the link.
-func (l *link) begin(m *move) {
-	m.link = l
-	l.moves = append(l.moves, m)
+// add starts a transfer; the caller has advanced the link.
+func (l *link) add(t *transfer) {
+	t.link = l
+	l.transfers = append(l.transfers, t)
 }
 
-// end takes a move off; the caller has settled the link.
-func (l *link) end(m *move) {
-	for i, other := range l.moves {
-		if other == m {
-			l.moves = append(l.moves[:i], l.moves[i+1:]...)
+// remove takes a transfer off the link; the caller has advanced the link.
+func (l *link) remove(t *transfer) {
+	for i, other := range l.transfers {
+		if other == t {
+			l.transfers = append(l.transfers[:i], l.transfers[i+1:]...)
 			return
 		}
 	}
 }
 
-// done gives the moves that have arrived; the caller has settled the link. What
-// flows within a microsecond counts as here: times since 1970 are no finer, and
-// an end that rounds to the present would be set again for ever.
-func (l *link) done() (list []*move) {
-	const least = 1e-3 // ms
-	for _, m := range l.moves {
-		if m.left <= l.perMs*least {
-			list = append(list, m)
+// completed returns the transfers that are complete; the caller has advanced the
+// link. What is left for less than a microsecond counts as complete: times since
+// 1970 are no finer, and a completion that rounds to the present would be scheduled
+// again for ever.
+func (l *link) completed() (list []*transfer) {
+	const resolutionMs = 1e-3 // ms
+	for _, t := range l.transfers {
+		if t.remaining <= l.tokensPerMs*resolutionMs {
+			list = append(list, t)
 		}
 	}
 	return list
--- a/lab/engine/reader.go
+++ b/lab/engine/reader.go
@@ -1,128 +1,128 @@
 package engine
 
-// sendReader takes an attempt to read a prompt.
-func (f *Fleet) sendReader(j *job) {
-	b := j.box
-	if b.full() {
-		f.away(j, EventAway, "full")
+// enqueuePrefill queues an attempt at a prefill engine.
+func (f *Fleet) enqueuePrefill(j *job) {
+	eng := j.engine
+	if eng.isFull() {
+		f.reject(j, EventRejected, "full")
 		return
 	}
-	f.prepare(j)
-	b.queue = append(b.queue, j)
-	f.kick(b)
+	f.createHold(j)
+	eng.queue = append(eng.queue, j)
+	f.startStep(eng)
 }
 
-// prepare makes the record of what will be held for a request that is to be
-// read. What an earlier read of it left goes.
-func (f *Fleet) prepare(j *job) {
-	if j.box.kind.Role != Reads {
+// createHold creates the hold of a request that is to be prefilled. What an earlier
+// prefill of it left is freed.
+func (f *Fleet) createHold(j *job) {
+	if j.engine.kind.Role != RolePrefill {
 		return
 	}
 	if old := f.holds[j.Request]; old != nil {
-		old.read = nil // its end finds that it was read anew
-		f.letGo(old)
+		old.prefill = nil // its end finds that it was replaced
+		f.releaseAll(old)
 	}
-	j.hold = &hold{id: j.Request, tokens: j.Prompt.Tokens, read: j}
+	j.hold = &hold{request: j.Request, tokens: j.Prompt.Tokens, prefill: j}
 	f.holds[j.Request] = j.hold
-	f.expire(j.hold)
+	f.scheduleExpiry(j.hold)
 }
 
-// beginRead lets the head of the queue in if it has a slot and memory.
-func (f *Fleet) beginRead(b *box, j *job) bool {
-	if len(b.running) >= b.kind.Slots {
+// admitPrefill admits the head of the queue if a slot and memory are free.
+func (f *Fleet) admitPrefill(eng *engine, j *job) bool {
+	if len(eng.running) >= eng.kind.Slots {
 		return false
 	}
-	if j.Prompt.Tokens > b.kind.MemoryTokens { // it would wait for ever
-		b.queue = b.queue[1:]
-		f.dropRead(j)
-		f.away(j, EventAway, "longer than the memory")
+	if j.Prompt.Tokens > eng.kind.MemoryTokens { // it would wait for ever
+		eng.queue = eng.queue[1:]
+		f.dropPrefill(j)
+		f.reject(j, EventRejected, "longer than the memory")
 		return true
 	}
-	if !b.room(j.Prompt.Tokens) {
+	if !eng.fits(j.Prompt.Tokens) {
 		return false
 	}
-	b.queue = b.queue[1:]
-	j.kept = max(0, min(b.cache.find(j.Prompt), j.Prompt.Tokens-1)) // the last token is always read
-	b.pin(j, j.Prompt.Tokens)
-	b.claim()
-	b.running = append(b.running, j)
+	eng.queue = eng.queue[1:]
+	j.cachedTokens = max(0, min(eng.cache.cachedTokens(j.Prompt), j.Prompt.Tokens-1)) // the last token is always computed
+	eng.pin(j, j.Prompt.Tokens)
+	eng.evictForPinned()
+	eng.running = append(eng.running, j)
 	return true
 }
 
-// planRead settles what is read in the next step, and gives its length on a box
-// of speed 1.
-func (f *Fleet) planRead(b *box) (ms float64) {
-	left, pairs := b.kind.Chunk, 0.0
-	for _, j := range b.running {
-		j.planned = min(j.todo(), left)
-		left -= j.planned
-		pairs += j.planned * (j.kept + j.read)
+// planPrefillStep decides what the next step computes, and returns its length on an
+// engine of speed 1.
+func (f *Fleet) planPrefillStep(eng *engine) (ms float64) {
+	budget, pairs := eng.kind.Chunk, 0.0
+	for _, j := range eng.running {
+		j.plannedTokens = min(j.remainingPrefill(), budget)
+		budget -= j.plannedTokens
+		pairs += j.plannedTokens * (j.cachedTokens + j.prefilled)
 	}
-	return b.kind.StepMs + (b.kind.Chunk-left)*1000/b.kind.ReadPerS + pairs/1e6*b.kind.PairsMsPerM
+	return eng.kind.StepMs + (eng.kind.Chunk-budget)*1000/eng.kind.PrefillPerS + pairs/1e6*eng.kind.AttentionMsPerM
 }
 
-// endRead counts what was read, and ends reads that are whole.
-func (f *Fleet) endRead(b *box) {
-	rest := b.running[:0]
-	var whole []*job
-	for _, j := range b.running {
-		j.read += j.planned
-		if j.planned = 0; j.todo() > 0 {
-			rest = append(rest, j)
+// endPrefillStep counts what was computed, and ends complete prefills.
+func (f *Fleet) endPrefillStep(eng *engine) {
+	unfinished := eng.running[:0]
+	var finished []*job
+	for _, j := range eng.running {
+		j.prefilled += j.plannedTokens
+		if j.plannedTokens = 0; j.remainingPrefill() > 0 {
+			unfinished = append(unfinished, j)
 		} else {
-			whole = append(whole, j)
+			finished = append(finished, j)
 		}
 	}
-	clear(b.running[len(rest):])
-	b.running = rest
-	for _, j := range whole {
-		f.parsed(j)
+	clear(eng.running[len(unfinished):])
+	eng.running = unfinished
+	for _, j := range finished {
+		f.prefillDone(j)
 	}
 }
 
-// parsed turns a read that is whole into a state that waits, or moves to the
-// place held for it.
-func (f *Fleet) parsed(j *job) {
-	b, h := j.box, j.hold
-	b.cache.keep(j.Prompt, max(0, b.kind.MemoryTokens-b.pinned-b.cache.used))
+// prefillDone turns a complete prefill into a KV state that waits, or is transferred
+// to the request's reservation.
+func (f *Fleet) prefillDone(j *job) {
+	eng, h := j.engine, j.hold
+	eng.cache.add(j.Prompt, max(0, eng.kind.MemoryTokens-eng.pinned-eng.cache.used))
 	if j.fails {
-		f.dropRead(j)
+		f.dropPrefill(j)
 		f.finish(j, Event{Kind: EventError})
 		return
 	}
-	if h.read != j || j.left && h.place == nil { // read anew elsewhere, or given up
-		f.dropRead(j)
-		f.finish(j, Event{Kind: EventRead, Kept: int(j.kept)})
+	if h.prefill != j || j.abandoned && h.reservedAt == nil { // prefilled again elsewhere, or cancelled
+		f.dropPrefill(j)
+		f.finish(j, Event{Kind: EventPrefilled, CachedTokens: int(j.cachedTokens)})
 		return
 	}
-	h.read, h.reader, h.kept, h.pinned = nil, b, int(j.kept), j.pinned
-	j.pinned = 0 // the state has it now
-	b.states = append(b.states, h)
-	if h.place != nil {
-		f.move(h, h.place, h.tokens*(1-f.cfg.Links.FlowsAhead*h.ahead))
+	h.prefill, h.prefillEngine, h.cachedTokens, h.pinned = nil, eng, int(j.cachedTokens), j.pinned
+	j.pinned = 0 // now counted by the KV state
+	eng.kvStates = append(eng.kvStates, h)
+	if h.reservedAt != nil {
+		f.startTransfer(h, h.reservedAt, h.tokens*(1-f.cfg.Links.EarlyShare*h.unreadShare))
 	}
-	h.touched = f.now
-	f.finish(j, Event{Kind: EventRead, Kept: int(j.kept)})
+	h.touchedAt = f.now
+	f.finish(j, Event{Kind: EventPrefilled, CachedTokens: int(j.cachedTokens)})
 }
 
-// dropRead lets go of what a read has taken.
-func (f *Fleet) dropRead(j *job) {
-	j.box.pin(j, -j.pinned)
-	if h := j.hold; h != nil && h.read == j {
-		h.read = nil
-		f.letGo(h)
+// dropPrefill frees what a prefill has taken.
+func (f *Fleet) dropPrefill(j *job) {
+	j.engine.pin(j, -j.pinned)
+	if h := j.hold; h != nil && h.prefill == j {
+		h.prefill = nil
+		f.releaseAll(h)
 	}
 }
 
-// Keep has a reader begin with a prompt's text as if it had read it, where its
+// PreloadCache has a prefill engine start with a prompt in its cache, as far as its
 // memory has room.
-func (f *Fleet) Keep(id string, p Prompt) error {
-	b := f.boxes[id]
-	if b == nil {
-		return ErrNoBox
+func (f *Fleet) PreloadCache(id string, p Prompt) error {
+	eng := f.engines[id]
+	if eng == nil {
+		return ErrUnknownEngine
 	}
-	if b.kind.Role == Reads {
-		b.cache.keep(p, max(0, b.kind.MemoryTokens-b.pinned-b.cache.used))
+	if eng.kind.Role == RolePrefill {
+		eng.cache.add(p, max(0, eng.kind.MemoryTokens-eng.pinned-eng.cache.used))
 	}
 	return nil
 }
--- a/lab/engine/status.go
+++ b/lab/engine/status.go
@@ -2,56 +2,56 @@
 
 import "math"
 
-// Probe asks a box for its load. ok is false from one that does not answer.
+// Probe asks an engine for its load. ok is false if it does not answer.
 func (f *Fleet) Probe(id string) (r Report, ok bool) {
-	b, err := f.live(id)
-	if err != nil || b.condition.Hung {
+	eng, err := f.reachable(id)
+	if err != nil || eng.condition.Hung {
 		return Report{}, false
 	}
-	b.extraMs += b.kind.ProbeMs
-	return f.report(b), true
+	eng.overheadMs += eng.kind.ProbeMs
+	return f.report(eng), true
 }
 
-// Connect takes up a connection; ErrFull where the box holds no more.
+// Connect opens a connection; ErrTooManyConnections if the engine's table is full.
 func (f *Fleet) Connect(id string) error {
-	b, err := f.live(id)
+	eng, err := f.reachable(id)
 	if err != nil {
 		return err
 	}
-	if b.conns >= b.kind.Conns {
-		return ErrFull
+	if eng.conns >= eng.kind.MaxConns {
+		return ErrTooManyConnections
 	}
-	b.conns++
-	b.extraMs += b.kind.HandshakeMs
+	eng.conns++
+	eng.overheadMs += eng.kind.HandshakeMs
 	return nil
 }
 
-// Disconnect ends a connection that Connect took up in the box's present life.
+// Disconnect closes a connection that Connect opened since the engine's last start.
 func (f *Fleet) Disconnect(id string) {
-	if b := f.boxes[id]; b != nil && b.conns > 0 {
-		b.conns--
+	if eng := f.engines[id]; eng != nil && eng.conns > 0 {
+		eng.conns--
 	}
 }
 
-// Cold tells whether a box has not warmed up since its last start.
+// Cold tells whether an engine has not warmed up since its last start.
 func (f *Fleet) Cold(id string) bool {
-	b := f.boxes[id]
-	return b != nil && f.warmth(b) < 1
+	eng := f.engines[id]
+	return eng != nil && f.warmShare(eng) < 1
 }
 
-// Condition tells how a box is.
+// Condition returns an engine's condition; false for an unknown engine.
 func (f *Fleet) Condition(id string) (Condition, bool) {
-	b := f.boxes[id]
-	if b == nil {
+	eng := f.engines[id]
+	if eng == nil {
 		return Condition{}, false
 	}
-	return b.condition, true
+	return eng.condition, true
 }
 
-// ColdSince is the time of a box's last start, -Inf for long ago.
-func (f *Fleet) ColdSince(id string) float64 {
-	if b := f.boxes[id]; b != nil {
-		return b.coldSince
+// StartedAt returns the time of an engine's last start, -Inf for long ago.
+func (f *Fleet) StartedAt(id string) float64 {
+	if eng := f.engines[id]; eng != nil {
+		return eng.startedAt
 	}
 	return math.Inf(-1)
 }
--- a/lab/engine/writer.go
+++ b/lab/engine/writer.go
@@ -1,145 +1,148 @@
 package engine
 
-// tokensAnEvent is how many tokens of an answer come in one event; the first
-// comes by itself.
-const tokensAnEvent = 4
+// tokensPerEvent is how many tokens of an answer one event carries; the first token
+// has an event of its own.
+const tokensPerEvent = 4
 
-// memoryMargin is the share of a writer's memory that has to be free beyond what
-// an answer takes when it is let in; else the newest would go in and out.
+// memoryMargin is the share of a decode engine's memory that has to be free beyond
+// what an answer takes at its admission; otherwise the newest answer would be
+// admitted and preempted again and again.
 const memoryMargin = 0.01
 
-// sendWriter takes an attempt to fetch a state and write the answer.
-func (f *Fleet) sendWriter(j *job) {
-	b, h := j.box, f.holds[j.Request]
-	if h.stateless() || h.landed && h.place != b || h.wanted != nil {
-		f.away(j, EventNoState, "")
+// enqueueDecode queues an attempt at a decode engine, which fetches the KV state and
+// generates the answer.
+func (f *Fleet) enqueueDecode(j *job) {
+	eng, h := j.engine, f.holds[j.Request]
+	if h.hasNoState() || h.transferred && h.reservedAt != eng || h.waiter != nil {
+		f.reject(j, EventNoState, "")
 		return
 	}
 	j.hold = h
-	if h.place == b { // its slot and memory are this attempt's now
-		h.wanted = j
-		b.places = remove(b.places, h)
+	if h.reservedAt == eng { // the attempt takes over its slot and memory
+		h.waiter = j
+		eng.reservations = remove(eng.reservations, h)
 		j.pinned = h.tokens
-		b.fetching = append(b.fetching, j)
-		landed := h.landed
-		h.place, h.landed = nil, false
+		eng.fetching = append(eng.fetching, j)
+		landed := h.transferred
+		h.reservedAt, h.transferred = nil, false
 		if landed {
-			f.fetched(j)
+			f.startDecode(j)
 		}
 		return
 	}
-	if b.full() {
-		f.away(j, EventAway, "full")
+	if eng.isFull() {
+		f.reject(j, EventRejected, "full")
 		return
 	}
-	f.leavePlace(h)
-	if h.stateless() { // it went with the place
-		f.away(j, EventNoState, "")
+	f.cancelReservation(h)
+	if h.hasNoState() { // it was freed with the reservation
+		f.reject(j, EventNoState, "")
 		return
 	}
-	h.wanted = j
-	b.queue = append(b.queue, j)
-	f.kick(b)
+	h.waiter = j
+	eng.queue = append(eng.queue, j)
+	f.startStep(eng)
 }
 
-// beginWrite lets the head of the queue in if it has a slot and memory; it then
-// fetches its state, or reads anew what ran out of memory.
-func (f *Fleet) beginWrite(b *box, j *job) bool {
-	margin := memoryMargin * b.kind.MemoryTokens
+// admitDecode admits the head of the queue if a slot and memory are free; the attempt
+// then fetches its KV state, or computes again what was preempted.
+func (f *Fleet) admitDecode(eng *engine, j *job) bool {
+	margin := memoryMargin * eng.kind.MemoryTokens
 	need := j.Prompt.Tokens
-	if j.reread {
+	if j.recompute {
 		need += float64(j.produced)
 	}
 	switch {
-	case !j.reread && (j.hold == nil || j.hold.reader == nil): // lost while it waited, or taken in while the box hung
-		b.queue = b.queue[1:]
-		f.away(j, EventNoState, "")
+	case !j.recompute && (j.hold == nil || j.hold.prefillEngine == nil): // lost while it waited, or queued while the engine hung
+		eng.queue = eng.queue[1:]
+		f.reject(j, EventNoState, "")
 		return true
-	case need >= b.kind.MemoryTokens:
-		b.queue = b.queue[1:]
-		f.away(j, EventAway, "longer than the memory")
+	case need >= eng.kind.MemoryTokens:
+		eng.queue = eng.queue[1:]
+		f.reject(j, EventRejected, "longer than the memory")
 		return true
-	case b.slotsTaken() >= b.kind.Slots || !b.room(need+margin) && (len(b.running) > 0 || !b.room(need)):
+	case eng.slotsTaken() >= eng.kind.Slots || !eng.fits(need+margin) && (len(eng.running) > 0 || !eng.fits(need)):
 		return false
 	}
-	b.queue = b.queue[1:]
-	b.pin(j, need)
-	if j.reread {
-		b.running = append(b.running, j)
+	eng.queue = eng.queue[1:]
+	eng.pin(j, need)
+	if j.recompute {
+		eng.running = append(eng.running, j)
 		return true
 	}
-	b.fetching = append(b.fetching, j)
-	f.move(j.hold, b, j.hold.tokens)
+	eng.fetching = append(eng.fetching, j)
+	f.startTransfer(j.hold, eng, j.hold.tokens)
 	return true
 }
 
-// fetched lets an answer begin whose state has come.
-func (f *Fleet) fetched(j *job) {
-	b := j.box
-	b.fetching = remove(b.fetching, j)
-	b.running = append(b.running, j)
-	f.kick(b)
+// startDecode starts an answer whose KV state has arrived.
+func (f *Fleet) startDecode(j *job) {
+	eng := j.engine
+	eng.fetching = remove(eng.fetching, j)
+	eng.running = append(eng.running, j)
+	f.startStep(eng)
 }
 
-// planWrite settles what the next step does: a token for each answer that runs,
-// and a chunk of what is read anew. Where memory would run out, the newest
-// answer goes back into the queue.
-func (f *Fleet) planWrite(b *box) (ms float64) {
-	for len(b.running) > 0 && b.pinned+float64(len(b.running)) > b.kind.MemoryTokens {
-		newest := b.running[len(b.running)-1]
-		b.running = b.running[:len(b.running)-1]
-		b.pin(newest, -newest.pinned)
-		newest.read, newest.kept, newest.reread = 0, 0, true
-		b.queue = append([]*job{newest}, b.queue...)
-	}
-	left, context, pairs := b.kind.Chunk, 0.0, 0.0
-	for _, j := range b.running {
-		j.planned, j.decodes = 0, false
-		if todo := j.todo(); todo > 0 {
-			j.planned = min(todo, left)
-			left -= j.planned
-			pairs += j.planned * j.read
+// planDecodeStep decides what the next step does: a token for each running answer,
+// and a chunk of what is computed again. Where memory would run out, the newest
+// answer is preempted and goes back into the queue.
+func (f *Fleet) planDecodeStep(eng *engine) (ms float64) {
+	for len(eng.running) > 0 && eng.pinned+float64(len(eng.running)) > eng.kind.MemoryTokens {
+		newest := eng.running[len(eng.running)-1]
+		eng.running = eng.running[:len(eng.running)-1]
+		eng.pin(newest, -newest.pinned)
+		newest.prefilled, newest.cachedTokens, newest.recompute = 0, 0, true
+		eng.queue = append([]*job{newest}, eng.queue...)
+	}
+	budget, context, pairs := eng.kind.Chunk, 0.0, 0.0
+	for _, j := range eng.running {
+		j.plannedTokens, j.decodes = 0, false
+		if remaining := j.remainingPrefill(); remaining > 0 {
+			j.plannedTokens = min(remaining, budget)
+			budget -= j.plannedTokens
+			pairs += j.plannedTokens * j.prefilled
 			continue
 		}
 		j.decodes = true
-		b.pin(j, 1)
+		eng.pin(j, 1)
 		context += j.pinned
 	}
-	return b.kind.StepMs + float64(len(b.running))*b.kind.PerSeqMs + context/1000*b.kind.ContextMsPerK +
-		(b.kind.Chunk-left)*1000/b.kind.ReadPerS + pairs/1e6*b.kind.PairsMsPerM
+	return eng.kind.StepMs + float64(len(eng.running))*eng.kind.PerSeqMs + context/1000*eng.kind.ContextMsPerK +
+		(eng.kind.Chunk-budget)*1000/eng.kind.PrefillPerS + pairs/1e6*eng.kind.AttentionMsPerM
 }
 
-// endWrite passes on what a step has made, and ends answers that are whole.
-func (f *Fleet) endWrite(b *box) {
-	rest := b.running[:0]
-	var over []*job
-	for _, j := range b.running {
-		j.read += j.planned
-		j.planned = 0
+// endDecodeStep sends on what a step has generated, and ends complete answers.
+func (f *Fleet) endDecodeStep(eng *engine) {
+	unfinished := eng.running[:0]
+	var finished []*job
+	for _, j := range eng.running {
+		j.prefilled += j.plannedTokens
+		j.plannedTokens = 0
 		if j.decodes {
 			j.decodes = false
 			j.produced++
 			j.unsent++
 		}
-		if f.advance(j) {
-			rest = append(rest, j)
+		if f.sendTokens(j) {
+			unfinished = append(unfinished, j)
 		} else {
-			over = append(over, j)
+			finished = append(finished, j)
 		}
 	}
-	clear(b.running[len(rest):])
-	b.running = rest
-	for _, j := range over {
-		b.pin(j, -j.pinned)
+	clear(eng.running[len(unfinished):])
+	eng.running = unfinished
+	for _, j := range finished {
+		eng.pin(j, -j.pinned)
 	}
 }
 
-// advance passes tokens on; false once the answer needs its box no more.
-func (f *Fleet) advance(j *job) bool {
+// sendTokens emits the tokens of an answer; false once the answer no longer needs its
+// engine.
+func (f *Fleet) sendTokens(j *job) bool {
 	if j.produced == 0 || j.unsent == 0 {
 		return true
 	}
-	if j.left { // a stream that nobody reads ends
+	if j.abandoned { // a stream that nobody reads ends
 		f.finish(j, Event{})
 		return false
 	}
@@ -149,81 +152,82 @@
 	}
 	first := j.hold != nil
 	if first {
-		f.begun(j)
+		f.answerStarted(j)
 	}
-	end := j.produced >= j.length
-	if first || end || j.unsent >= tokensAnEvent {
-		f.emit(Event{Kind: EventTokens, Call: j.call, Box: j.box.spec.ID, Tokens: j.unsent, Fate: j.fate})
+	complete := j.produced >= j.answerLength
+	if first || complete || j.unsent >= tokensPerEvent {
+		f.emit(Event{Kind: EventTokens, Call: j.call, Engine: j.engine.spec.ID, Tokens: j.unsent, StreamFault: j.streamFault})
 		j.unsent = 0
 	}
 	switch {
-	case end:
-		f.finish(j, Event{Kind: EventEnd, Tokens: j.produced, Kept: j.found})
-	case j.fate == FateBreaks && j.produced >= j.breakAt:
+	case complete:
+		f.finish(j, Event{Kind: EventEnd, Tokens: j.produced, CachedTokens: j.prefillCached})
+	case j.streamFault == StreamBreaks && j.produced >= j.faultAt:
 		f.finish(j, Event{Kind: EventLost})
-	case j.fate == FateStops && j.produced >= j.breakAt, j.fate >= FateSpoilHead:
-		delete(f.calls, j.call) // the wire has what it needs; nothing more comes
+	case j.streamFault == StreamStalls && j.produced >= j.faultAt, j.streamFault >= StreamMalformedHead:
+		delete(f.calls, j.call) // the transport produces the rest of the fault; nothing more comes
 	default:
 		return true
 	}
 	return false
 }
 
-// begun is the answer's first token: all else that is held goes.
-func (f *Fleet) begun(j *job) {
+// answerStarted frees all that is still held, at the answer's first token.
+func (f *Fleet) answerStarted(j *job) {
 	h := j.hold
 	if h == nil {
 		return
 	}
-	j.hold, j.found = nil, h.kept
-	h.wanted = nil
-	f.letGo(h)
+	j.hold, j.prefillCached = nil, h.cachedTokens
+	h.waiter = nil
+	f.releaseAll(h)
 }
 
-// Cancel gives an attempt up. What stops depends on the box; no event follows.
+// Cancel cancels an attempt. What stops depends on the engine; no event follows.
 func (f *Fleet) Cancel(call Call) {
 	j := f.calls[call]
-	if j == nil || j.left {
+	if j == nil || j.abandoned {
 		return
 	}
-	j.left = true
-	b, mode := j.box, j.box.kind.Cancel
-	waits := false
-	for _, other := range b.queue {
-		waits = waits || other == j
+	j.abandoned = true
+	eng, mode := j.engine, j.engine.kind.Cancel
+	queued := false
+	for _, other := range eng.queue {
+		queued = queued || other == j
 	}
-	for _, other := range b.fetching {
-		if other == j { // a request that waits for its state is dropped at once
+	for _, other := range eng.fetching {
+		if other == j { // an attempt that waits for its KV state is dropped at once
 			f.dropFetch(j)
 			return
 		}
 	}
-	if b.condition.Hung { // it notices later, if at all: advance and admit see that it has left
-		if waits && b.kind.Role == Writes && j.hold != nil {
-			j.hold.wanted, j.hold = nil, nil
+	if eng.condition.Hung { // noticed later, if at all: sendTokens and admit check abandoned
+		if queued && eng.kind.Role == RoleDecode && j.hold != nil {
+			j.hold.waiter, j.hold = nil, nil
 		}
 		return
 	}
-	if waits && mode == CancelIgnored || !waits && mode != CancelHonours {
+	if queued && mode == CancelIgnored || !queued && mode != CancelHonoured {
 		return
 	}
-	b.queue, b.running = remove(b.queue, j), remove(b.running, j)
-	if b.kind.Role == Reads {
-		f.dropRead(j)
+	eng.queue, eng.running = remove(eng.queue, j), remove(eng.running, j)
+	if eng.kind.Role == RolePrefill {
+		f.dropPrefill(j)
 	} else {
-		b.pin(j, -j.pinned)
+		eng.pin(j, -j.pinned)
 	}
 	f.finish(j, Event{})
-	f.kick(b)
+	f.startStep(eng)
 }
 
-// dropFetch takes an attempt off that waits for its state; the state stays where it is.
+// dropFetch drops an attempt that waits for its KV state; the KV state stays where it
+// is.
 func (f *Fleet) dropFetch(j *job) {
-	b, h := j.box, j.hold
-	b.fetching = remove(b.fetching, j)
-	f.stopMove(h)
-	b.pin(j, -j.pinned)
+	eng, h := j.engine, j.hold
+	eng.fetching = remove(eng.fetching, j)
+	f.stopTransfer(h)
+	eng.pin(j, -j.pinned)
 	f.finish(j, Event{})
-	f.forget(h)
-	f.kick(b)
+	f.deleteIfEmpty(h)
+	f.startStep(eng)
 }
--- a/lab/load/http.go
+++ b/lab/load/http.go
@@ -222,7 +222,7 @@
 
 func (c *checker) add(text string) {
 	n := len(text) / 4
-	if want := engine.Text(c.id, c.tokens, n); text != want && c.spoilt == "" {
+	if want := engine.AnswerText(c.id, c.tokens, n); text != want && c.spoilt == "" {
 		c.spoilt = fmt.Sprintf("tokens from %d on are %.24q, the engine sent %.24q", c.tokens, text, want)
 	}
 	c.tokens += n
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -197,7 +197,7 @@
 
 func TestHTTPClientReadsAnswers(t *testing.T) {
 	event := func(id string, from, n int) string {
-		return fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n", engine.Text(id, from, n))
+		return fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n", engine.AnswerText(id, from, n))
 	}
 	end := "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":9,\"completion_tokens\":5,\"x\":0}}\n\ndata: [DONE]\n\n"
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/lab/rehearse/rehearse.go
+++ b/lab/rehearse/rehearse.go
@@ -110,7 +110,7 @@
 		return nil, err
 	}
 	list := load.Draw(plan)
-	rep = &Report{Scenario: s.Name, Seed: s.Seed, Gateways: s.Gateways, Boxes: len(plan.Engine.Boxes), Wire: "http/1.1", LengthS: s.LengthS}
+	rep = &Report{Scenario: s.Name, Seed: s.Seed, Gateways: s.Gateways, Boxes: len(plan.Engine.Engines), Wire: "http/1.1", LengthS: s.LengthS}
 	if opt.GRPC {
 		rep.Wire = "grpc"
 	}
