--- a/lab/backlog/backlog.go
+++ b/lab/backlog/backlog.go
@@ -1,6 +1,6 @@
-// Package backlog has a listener take no connection, as a machine that has vanished does: the system's
-// queue of connections that are not accepted yet is made short and kept full. Whether it is full is asked of the kernel: a connect that
-// does not come up in time may just be late on a busy machine.
+// Package backlog keeps a listener from completing connects, as a machine that has become unreachable does: the kernel's
+// accept queue is made short and kept full. Whether it is full is read from the kernel: a connect that does not complete in
+// time may just be late on a busy machine. The package doesn't accept connections and doesn't empty the queue again.
 package backlog
 
 import (
@@ -15,32 +15,32 @@
 	"ashwood.example/ashwood/internal/sockcall"
 )
 
-// Bounds of filling a queue.
+// Limits of filling a queue.
 const (
-	connectWait = 20 * time.Millisecond // for one connect; one that takes longer is tried again
-	mostTries   = 200
+	connectTimeout = 20 * time.Millisecond // for one connect; one that takes longer is tried again
+	maxTries       = 200
 )
 
-// ErrNotFull tells that connections would still come up.
-var ErrNotFull = errors.New("backlog: the queue of connections could not be filled")
+// ErrNotFull means that connects would still complete.
+var ErrNotFull = errors.New("backlog: the accept queue could not be filled")
 
-// dial connects to an address.
-type dial func(address string) (net.Conn, error)
+// dialFunc connects to an address.
+type dialFunc func(address string) (net.Conn, error)
 
-// Fill has no connection come up at a listener on which nothing is accepted any more: its deadline has passed. It gives the
-// connections that fill the queue, to be closed when it is to go on.
+// Fill keeps connects from completing at a listener that no longer accepts: its deadline has passed. It returns the
+// connections that fill the queue; the caller closes them to let connects complete again.
 func Fill(l *net.TCPListener) (fillers []net.Conn, err error) {
-	return fill(l, func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, connectWait) })
+	return fill(l, func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, connectTimeout) })
 }
 
-func fill(l *net.TCPListener, connect dial) (fillers []net.Conn, err error) {
+func fill(l *net.TCPListener, connect dialFunc) (fillers []net.Conn, err error) {
 	if err := SetLength(l, 0); err != nil {
 		return nil, err
 	}
-	if err := awaitAccept(l); err != nil {
+	if err := waitForAccept(l); err != nil {
 		return nil, err
 	}
-	for range mostTries {
+	for range maxTries {
 		full, err := Full(l)
 		if err != nil || full {
 			return fillers, err
@@ -57,10 +57,10 @@
 	return fillers, ErrNotFull
 }
 
-// awaitAccept waits for the end of a call to accept that was under way when the deadline passed, and might take
-// a filler out of the queue.
-func awaitAccept(l *net.TCPListener) error {
-	c, err := l.AcceptTCP() // one call at a time; it fails at once, by the deadline
+// waitForAccept waits for the end of a call to accept that was in progress when the deadline passed, and might take a
+// filler out of the queue.
+func waitForAccept(l *net.TCPListener) error {
+	c, err := l.AcceptTCP() // accept calls run one at a time; this one fails at once, by the deadline
 	var timeout net.Error
 	switch {
 	case err == nil:
@@ -72,15 +72,15 @@
 	return fmt.Errorf("backlog: %w", err)
 }
 
-// SetLength sets how many connections may wait to be accepted; one more than that, as Linux counts.
+// SetLength sets how many connections may wait to be accepted; Linux allows one more than that.
 func SetLength(l *net.TCPListener, length int) error {
 	return control(l, func(fd int) error { return syscall.Listen(fd, length) })
 }
 
-// Full tells whether the kernel takes no connection into the queue any more.
+// Full tells whether the kernel's accept queue is full.
 func Full(l *net.TCPListener) (full bool, err error) {
 	err = control(l, func(fd int) error {
-		// Of a listener the kernel gives the queue's present length and its limit in these two fields.
+		// For a listener, these two fields are the queue's present length and its limit.
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 		full = err == nil && info.Unacked > info.Sacked
 		return err
--- a/lab/backlog/backlog_test.go
+++ b/lab/backlog/backlog_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func listener(t *testing.T) *net.TCPListener {
+func newListener(t *testing.T) *net.TCPListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -20,18 +20,18 @@
 
 func connect(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, 5*time.Second) }
 
-// A connect that is late is no sign of a full queue: "fillers 0, queue 0 of 0, took 20.2 ms, then connect <nil>", 10 of 1,500
-// times beside 24 busy processes, where the first connect that did not come up within 20 ms was taken for one.
+// A late connect is no sign of a full queue. With the first connect that did not complete within 20 ms taken for one, 10 of
+// 1,500 runs beside 24 busy processes failed: "fillers 0, queue 0 of 0, took 20.2 ms, then connect <nil>".
 func TestFill_LateConnects(t *testing.T) {
 	for late := range 4 {
-		l := listener(t)
+		l := newListener(t)
 		if err := l.SetDeadline(time.Unix(1, 0)); err != nil {
 			t.Fatal(err)
 		}
-		left := late
+		remaining := late
 		fillers, err := fill(l, func(address string) (net.Conn, error) {
-			if left > 0 {
-				left--
+			if remaining > 0 {
+				remaining--
 				return nil, os.ErrDeadlineExceeded
 			}
 			return connect(address)
@@ -44,7 +44,7 @@
 		}
 		var timeout net.Error
 		if _, err := net.DialTimeout("tcp", l.Addr().String(), 100*time.Millisecond); !errors.As(err, &timeout) || !timeout.Timeout() {
-			t.Errorf("%d late connects: one more ended with %v", late, err)
+			t.Errorf("%d late connects: another connect ended with %v", late, err)
 		}
 		for _, c := range fillers {
 			c.Close()
@@ -52,10 +52,10 @@
 	}
 }
 
-// An accept that is under way as the deadline passes takes no filler: 1,000 times, the queue is full once it has ended.
+// An accept that is in progress as the deadline passes takes no filler: in 1,000 runs, the queue is full once it has ended.
 func TestFill_AcceptUnderWay(t *testing.T) {
 	for range 1000 {
-		l := listener(t)
+		l := newListener(t)
 		ended := make(chan struct{})
 		begun := make(chan struct{})
 		go func() {
@@ -88,29 +88,29 @@
 	}
 }
 
-// Where connections are still accepted, or don't come up for another reason, that is said.
+// Fill reports an error if connections are still accepted, or connects fail for another reason.
 func TestFill_NotFull(t *testing.T) {
-	open := listener(t)
+	open := newListener(t)
 	c, err := connect(open.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	if _, err := Fill(open); !errors.Is(err, ErrNotFull) {
-		t.Errorf("no deadline has passed: %v", err)
+		t.Errorf("listener without a passed deadline: %v", err)
 	}
-	past := listener(t)
+	past := newListener(t)
 	if err := past.SetDeadline(time.Unix(1, 0)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := fill(past, func(string) (net.Conn, error) { return nil, os.ErrDeadlineExceeded }); !errors.Is(err, ErrNotFull) {
-		t.Errorf("no connect ever comes up: %v", err)
+		t.Errorf("connects that never complete: %v", err)
 	}
 	if _, err := fill(past, func(string) (net.Conn, error) { return nil, os.ErrPermission }); !errors.Is(err, os.ErrPermission) {
-		t.Errorf("a connect that is not allowed: %v", err)
+		t.Errorf("connect without permission: %v", err)
 	}
 	past.Close()
 	if _, err := Fill(past); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("a closed listener: %v", err)
+		t.Errorf("closed listener: %v", err)
 	}
 }
