--- a/contract/targets.go
+++ b/contract/targets.go
@@ -180,9 +180,9 @@
 	case errors.As(err, &refused):
 		return load.Outcome{Answer: rules.Refused, End: d.clock.Now(), RetryAfter: refused.RetryAfter}
 	case errors.Is(err, router.ErrClientGone):
-		return load.Outcome{Answer: rules.Left, End: d.clock.Now()}
+		return load.Outcome{Answer: rules.ClientLeft, End: d.clock.Now()}
 	case err != nil:
-		return load.Outcome{Answer: rules.Error, End: d.clock.Now()}
+		return load.Outcome{Answer: rules.Failure, End: d.clock.Now()}
 	}
 	out = load.Outcome{Answer: rules.Served, First: d.clock.Now()}
 	var text bytes.Buffer
--- a/lab/emulator/agent.go
+++ b/lab/emulator/agent.go
@@ -160,7 +160,7 @@
 		if !e.listed {
 			continue
 		}
-		e.rules.Told(now, t.Agent, t.Entry.Box.ID, t.Entry.Lifecycle != news.Up, t.Entry.Started)
+		e.rules.GatewayNotified(now, t.Agent, t.Entry.Box.ID, t.Entry.Lifecycle != news.Up, t.Entry.Started)
 	}
 	for c := range l.waiters {
 		close(c)
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -96,7 +96,7 @@
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
 	if cfg.Rules == (rules.Limits{}) {
-		cfg.Rules = rules.Platform()
+		cfg.Rules = rules.PlatformLimits()
 	}
 	now := cfg.Clock.Now()
 	fleet, err := engine.New(cfg.Plan.Engine, now)
@@ -176,7 +176,7 @@
 		return err
 	}, func() { e.driver.do(func(f *engine.Fleet) { f.Disconnect(box) }) }, func(raw []byte) {
 		for _, m := range attemptID.FindAllSubmatch(raw, -1) {
-			e.rules.Unheard(e.clock.Now(), box, string(m[1])+string(m[2]))
+			e.rules.AttemptUndelivered(e.clock.Now(), box, string(m[1])+string(m[2]))
 		}
 	})
 }
@@ -302,10 +302,10 @@
 		}
 	}
 	if c.State != engine.Up {
-		e.rules.Stopped(box)
+		e.rules.EngineStopped(box)
 	}
 	if c.ColdCrashed && !e.fallen[box] {
-		e.rules.Fell(now, box)
+		e.rules.EngineColdCrashed(now, box)
 	}
 	e.fallen[box] = c.ColdCrashed
 	e.lists.Lock()
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -147,7 +147,7 @@
 	if err != nil || resp.StatusCode != http.StatusNotFound {
 		t.Errorf("no id: %v, %v", resp, err)
 	}
-	if b := e.Rules().Breaks(); len(b) != 0 || len(e.Stats().Malformed) != 0 {
+	if b := e.Rules().Violations(); len(b) != 0 || len(e.Stats().Malformed) != 0 {
 		t.Errorf("%+v, %+v", b, e.Stats())
 	}
 }
@@ -275,7 +275,7 @@
 	if _, err := reader.Read(ctx, &ashwoodpb.GenerateRequest{RequestId: "x"}); status.Code(err) != codes.InvalidArgument {
 		t.Errorf("no class: %v", err)
 	}
-	if b := e.Rules().Breaks(); len(b) != 0 {
+	if b := e.Rules().Violations(); len(b) != 0 {
 		t.Errorf("%+v", b)
 	}
 }
--- a/lab/emulator/http.go
+++ b/lab/emulator/http.go
@@ -156,10 +156,10 @@
 func (e *Emulator) run(ctx context.Context, v *view, first float64, j engine.Job, out answer) {
 	now := e.clock.Now()
 	cold := e.coldSince(v.spec.ID)
-	e.rules.Sent(first, now, v.gateway, v.spec.ID, j.Request, v.reads, cold)
-	ended := func(how rules.Outcome) { e.rules.Ended(e.clock.Now(), v.spec.ID, j.Request, how) }
+	e.rules.AttemptSent(first, now, v.gateway, v.spec.ID, j.Request, v.reads, cold)
+	ended := func(how rules.Outcome) { e.rules.AttemptEnded(e.clock.Now(), v.spec.ID, j.Request, how) }
 	if e.travel(ctx, v, now) != nil {
-		ended(rules.GivenUp)
+		ended(rules.Cancelled)
 		return
 	}
 	c, err := e.driver.open(func(f *engine.Fleet) (engine.Call, error) { return f.Send(v.spec.ID, j) })
@@ -176,17 +176,17 @@
 		}
 		if err != nil {
 			e.driver.give(c)
-			ended(rules.GivenUp)
+			ended(rules.Cancelled)
 			return
 		}
 		report := e.loadText(v.spec.ID, ev.Report)
 		switch ev.Kind {
 		case engine.EventPrefilled:
-			ended(rules.Read)
+			ended(rules.Prefilled)
 			out.read(ev, report)
 			return
 		case engine.EventRejected, engine.EventNoState:
-			ended(rules.Away)
+			ended(rules.Rejected)
 			out.away(ev, report)
 			return
 		case engine.EventError:
@@ -195,14 +195,14 @@
 			return
 		case engine.EventTokens:
 			if sent == 0 {
-				e.rules.Ran(e.clock.Now(), v.spec.ID, j.Request)
+				e.rules.AnswerStarted(e.clock.Now(), v.spec.ID, j.Request)
 			}
 			if ev.StreamFault == engine.StreamMalformedHead {
 				out.spoil(ev.StreamFault)
 				ended(rules.Reset)
 				return
 			}
-			e.rules.Event(e.clock.Now(), j.Request)
+			e.rules.AnswerEvent(e.clock.Now(), j.Request)
 			out.tokens(sent, ev)
 			sent += ev.Tokens
 			if ev.StreamFault == engine.StreamMalformedChunk {
@@ -211,7 +211,7 @@
 				return
 			}
 		case engine.EventEnd:
-			e.rules.Event(e.clock.Now(), j.Request)
+			e.rules.AnswerEvent(e.clock.Now(), j.Request)
 			ended(rules.Whole)
 			out.end(int(j.Prompt.Tokens), ev, report)
 			return
@@ -274,7 +274,7 @@
 		e.driver.give(c)
 		return 0, "", false
 	}
-	e.rules.Place(first, v.gateway, v.spec.ID, id, ev.Kind == engine.EventReserved)
+	e.rules.ReservationAnswered(first, v.gateway, v.spec.ID, id, ev.Kind == engine.EventReserved)
 	if e.travel(ctx, v, ev.At) != nil {
 		return 0, "", false
 	}
@@ -303,7 +303,7 @@
 		hung = c.Hung
 	})
 	if err == nil {
-		e.rules.Release(e.clock.Now(), v.spec.ID, id)
+		e.rules.HoldsReleased(e.clock.Now(), v.spec.ID, id)
 	}
 	return err == nil && !hung && e.travel(ctx, v, e.clock.Now()) == nil
 }
--- a/lab/rehearse/rehearse.go
+++ b/lab/rehearse/rehearse.go
@@ -37,20 +37,20 @@
 
 // Report is all that a rehearsal found.
 type Report struct {
-	Scenario string         `json:"scenario"`
-	Seed     uint64         `json:"seed"`
-	Gateways int            `json:"gateways"`
-	Boxes    int            `json:"boxes"`
-	Wire     string         `json:"wire"`
-	LengthS  float64        `json:"length_s"`
-	Summary  *load.Summary  `json:"summary"`
-	Counts   rules.Counts   `json:"counts"`
-	Breaks   []rules.Break  `json:"breaks"`
-	Crashes  []string       `json:"crashes"`
-	Held     int            `json:"held_at_end"`
-	Emulator emulator.Stats `json:"emulator"`
-	Usage    []Usage        `json:"gateways_used"`
-	Own      Usage          `json:"lab_used"` // by the emulator and the load
+	Scenario string            `json:"scenario"`
+	Seed     uint64            `json:"seed"`
+	Gateways int               `json:"gateways"`
+	Boxes    int               `json:"boxes"`
+	Wire     string            `json:"wire"`
+	LengthS  float64           `json:"length_s"`
+	Summary  *load.Summary     `json:"summary"`
+	Counts   rules.Counts      `json:"counts"`
+	Breaks   []rules.Violation `json:"breaks"`
+	Crashes  []string          `json:"crashes"`
+	Held     int               `json:"held_at_end"`
+	Emulator emulator.Stats    `json:"emulator"`
+	Usage    []Usage           `json:"gateways_used"`
+	Own      Usage             `json:"lab_used"` // by the emulator and the load
 	begun    float64
 }
 
@@ -127,9 +127,9 @@
 	waitIdle(em)
 	rep.Crashes = stop(gateways)
 	rep.Held = em.Held()
-	rep.Counts, rep.Breaks, rep.Emulator = em.Rules().Counts(), em.Rules().Breaks(), em.Stats()
+	rep.Counts, rep.Breaks, rep.Emulator = em.Rules().Counts(), em.Rules().Violations(), em.Stats()
 	for _, m := range rep.Emulator.Malformed {
-		rep.Breaks = append(rep.Breaks, rules.Break{Rule: rules.Unchanged, Text: "a box could not read a request: " + m})
+		rep.Breaks = append(rep.Breaks, rules.Violation{Rule: rules.Unchanged, Text: "a box could not read a request: " + m})
 	}
 	rep.Own = ownUsage()
 	for _, g := range gateways {
@@ -184,7 +184,7 @@
 		if now := c.Now(); now-last >= 1000 {
 			last = now
 			opt.Progress(Progress{
-				Seconds: (now - em.Began()) / 1000, Length: length, Sent: sent, Done: done, All: all, Breaks: len(em.Rules().Breaks()),
+				Seconds: (now - em.Began()) / 1000, Length: length, Sent: sent, Done: done, All: all, Breaks: len(em.Rules().Violations()),
 			})
 		}
 	}
--- a/lab/rules/rules.go
+++ b/lab/rules/rules.go
@@ -1,6 +1,7 @@
 // Package rules checks what gateways do against the platform's rules, with the
-// protocol's tolerances on sockets. It is told of every attempt, place, release
-// and answer as boxes and clients see them, and is pure: times are passed in.
+// protocol's tolerances on sockets. Engines and clients report every attempt,
+// reservation, release and answer to it. It is pure: times are passed in. It only
+// records violations; what follows from them is the caller's part.
 package rules
 
 import (
@@ -9,325 +10,326 @@
 	"sync"
 )
 
-// Checker holds what it has seen of each request. It may be used by several
-// goroutines at once.
+// Checker holds what it has seen of each request. It is safe for use by several
+// goroutines.
 type Checker struct {
-	mu     sync.Mutex
-	lim    Limits
-	reqs   map[string]*request
-	told   map[told]news
-	cold   map[string][]arrival
-	breaks []Break
-	counts Counts
+	mu         sync.Mutex
+	limits     Limits
+	requests   map[string]*request
+	members    map[memberKey]memberView
+	coldSends  map[string][]coldSend
+	violations []Violation
+	counts     Counts
 }
 
-type told struct {
+type memberKey struct {
 	gateway int
-	box     string
+	engine  string
 }
 
-// news is what a gateway knows of a box.
-type news struct {
+// memberView is what a gateway knows of an engine.
+type memberView struct {
 	drained bool
 	since   float64
 	started float64
 }
 
-type arrival struct {
-	at   float64
-	knew bool
+type coldSend struct {
+	at       float64
+	notified bool
 }
 
 type request struct {
-	id      string
-	effect  bool // a side effect
-	seen    float64
-	final   Answer
-	out     []*attempt
-	mayRun  string // the box where it may have run; "" = nowhere
-	runs    int
-	idle    float64 // since when no attempt is out
-	last    float64 // a running engine's last event of its stream; 0 = none
-	at      string  // the box that writes the answer
-	history []string
-	pinned  bool // has been reported
+	id             string
+	sideEffect     bool
+	seenAt         float64
+	finalAnswer    Answer
+	inFlight       []*attempt
+	mayHaveRunAt   string // the engine where it may have run; "" = none
+	runs           int
+	idleSince      float64 // since when no attempt is in flight
+	lastEventAt    float64 // last event of the answer's stream from a running engine; 0 = none
+	streamingAt    string  // the engine that streams the answer
+	history        []string
+	pinnedReported bool // a pinned violation has been reported
 }
 
 type attempt struct {
-	box    string
-	reads  bool
-	over   float64 // since when another one is out too; 0 = never
-	begun  float64
-	ran    bool
-	report bool
+	engine          string
+	prefill         bool
+	overlapSince    float64 // since when another attempt is in flight too; 0 = never
+	sentAt          float64
+	ran             bool
+	overlapReported bool
 }
 
-// New makes a checker.
-func New(lim Limits) *Checker {
-	return &Checker{lim: lim, reqs: map[string]*request{}, told: map[told]news{}, cold: map[string][]arrival{}, counts: Counts{Answers: map[Answer]int{}}}
+// New returns a checker with the given limits.
+func New(limits Limits) *Checker {
+	return &Checker{limits: limits, requests: map[string]*request{}, members: map[memberKey]memberView{}, coldSends: map[string][]coldSend{}, counts: Counts{Answers: map[Answer]int{}}}
 }
 
 func (c *Checker) request(at float64, id string) *request {
-	r := c.reqs[id]
+	r := c.requests[id]
 	if r == nil {
-		r = &request{id: id, idle: at}
-		c.reqs[id] = r
+		r = &request{id: id, idleSince: at}
+		c.requests[id] = r
 	}
-	r.seen = at
+	r.seenAt = at
 	return r
 }
 
 func (r *request) note(at float64, format string, args ...any) {
-	const most = 64
-	if len(r.history) < most {
+	const maxNotes = 64
+	if len(r.history) < maxNotes {
 		r.history = append(r.history, fmt.Sprintf("%10.1f ", at)+fmt.Sprintf(format, args...))
 	}
 }
 
-func (c *Checker) broke(at float64, rule Rule, r *request, box, format string, args ...any) {
-	b := Break{Rule: rule, At: at, Box: box, Text: fmt.Sprintf(format, args...)}
+func (c *Checker) addViolation(at float64, rule Rule, r *request, engine, format string, args ...any) {
+	violation := Violation{Rule: rule, At: at, Engine: engine, Text: fmt.Sprintf(format, args...)}
 	if r != nil {
-		b.Request, b.History = r.id, slices.Clone(r.history)
+		violation.Request, violation.History = r.id, slices.Clone(r.history)
 	}
-	c.breaks = append(c.breaks, b)
+	c.violations = append(c.violations, violation)
 }
 
-// Asked tells that a client has written a request whole.
-func (c *Checker) Asked(at float64, id, class string, sideEffect bool, gateway int) {
+// RequestSent reports that a client has written a whole request.
+func (c *Checker) RequestSent(at float64, id, class string, sideEffect bool, gateway int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Requests++
 	r := c.request(at, id)
-	r.effect = r.effect || sideEffect
-	r.note(at, "asked of gateway %d: %s", gateway, class)
+	r.sideEffect = r.sideEffect || sideEffect
+	r.note(at, "request to gateway %d, class %s", gateway, class)
 }
 
-// Answered tells how a client's try has ended.
-func (c *Checker) Answered(at float64, id string, a Answer) {
+// RequestAnswered reports how a client's try has ended.
+func (c *Checker) RequestAnswered(at float64, id string, answer Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.request(at, id)
-	r.note(at, "the client: %s", a)
-	c.counts.Answers[a]++
-	if r.final != "" {
-		c.broke(at, Lost, r, "", "answered %s after %s", a, r.final)
+	r.note(at, "answer at the client: %s", answer)
+	c.counts.Answers[answer]++
+	if r.finalAnswer != "" {
+		c.addViolation(at, Lost, r, "", "second answer %s after %s", answer, r.finalAnswer)
 	}
-	r.final = a
-	switch a {
+	r.finalAnswer = answer
+	switch answer {
 	case Dropped:
-		c.broke(at, Lost, r, "", "the connection was closed without an answer")
+		c.addViolation(at, Lost, r, "", "the connection was closed without an answer")
 	case Refused:
-		if r.effect && r.mayRun != "" {
-			c.broke(at, Duplicate, r, r.mayRun, "refused, though it may have run")
+		if r.sideEffect && r.mayHaveRunAt != "" {
+			c.addViolation(at, Duplicate, r, r.mayHaveRunAt, "refused, though it may have run")
 		}
-		for _, o := range r.out {
-			if r.effect && !o.reads && at-o.begun > c.lim.Overlap {
-				c.broke(at, Duplicate, r, o.box, "refused while it runs")
+		for _, attempt := range r.inFlight {
+			if r.sideEffect && !attempt.prefill && at-attempt.sentAt > c.limits.MaxOverlap {
+				c.addViolation(at, Duplicate, r, attempt.engine, "refused while an attempt may run")
 			}
 		}
 	case Served, Broken:
-		if r.last > 0 && at-r.last > c.lim.StreamLast {
-			c.broke(at, Lost, r, "", "its stream ended %.0f ms after the engine's last event", at-r.last)
+		if r.lastEventAt > 0 && at-r.lastEventAt > c.limits.StreamEndWithin {
+			c.addViolation(at, Lost, r, "", "its stream ended %.0f ms after the engine's last event", at-r.lastEventAt)
 		}
 	}
 }
 
-// Spoilt tells that a client has got what no engine sent.
-func (c *Checker) Spoilt(at float64, id, what string) {
+// AnswerCorrupted reports that a client has received what no engine sent.
+func (c *Checker) AnswerCorrupted(at float64, id, what string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.broke(at, Unchanged, c.request(at, id), "", "%s", what)
+	c.addViolation(at, Unchanged, c.request(at, id), "", "%s", what)
 }
 
-// Told tells that a gateway has been told of a box.
-func (c *Checker) Told(at float64, gateway int, box string, drained bool, started float64) {
+// GatewayNotified reports that a gateway has received an engine's membership update.
+func (c *Checker) GatewayNotified(at float64, gateway int, engine string, drained bool, started float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := told{gateway, box}
-	n := c.told[k]
-	if n.drained != drained {
-		n.drained, n.since = drained, at
+	key := memberKey{gateway, engine}
+	member := c.members[key]
+	if member.drained != drained {
+		member.drained, member.since = drained, at
 	}
-	n.started = started
-	c.told[k] = n
+	member.started = started
+	c.members[key] = member
 }
 
-// Sent tells of an attempt: the times of its first and its last byte. coldSince
-// is the box's last start where it is still cold, else negative.
-func (c *Checker) Sent(first, at float64, gateway int, box, id string, reads bool, coldSince float64) {
+// AttemptSent reports an attempt with the times of its first and its last byte.
+// coldSince is the engine's last start while it is cold, else negative.
+func (c *Checker) AttemptSent(firstByte, at float64, gateway int, engine, id string, prefill bool, coldSince float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Attempts++
 	r := c.request(at, id)
-	r.note(at, "gateway %d sends to %s", gateway, box)
-	c.drained(first, gateway, box, r, "a send")
+	r.note(at, "gateway %d sends an attempt to %s", gateway, engine)
+	c.checkDrain(firstByte, gateway, engine, r, "attempt sent")
 	if coldSince >= 0 {
-		c.cold[box] = append(c.cold[box], arrival{at, c.told[told{gateway, box}].started >= coldSince})
+		c.coldSends[engine] = append(c.coldSends[engine], coldSend{at, c.members[memberKey{gateway, engine}].started >= coldSince})
 	}
-	if r.effect && !reads && r.mayRun != "" {
-		c.broke(at, Duplicate, r, box, "sent again, though it may have run at %s", r.mayRun)
+	if r.sideEffect && !prefill && r.mayHaveRunAt != "" {
+		c.addViolation(at, Duplicate, r, engine, "sent again, though it may have run at %s", r.mayHaveRunAt)
 	}
-	for _, o := range r.out {
-		if o.over == 0 {
-			o.over = at
+	for _, attempt := range r.inFlight {
+		if attempt.overlapSince == 0 {
+			attempt.overlapSince = at
 		}
 	}
-	r.out = append(r.out, &attempt{box: box, reads: reads, begun: at})
+	r.inFlight = append(r.inFlight, &attempt{engine: engine, prefill: prefill, sentAt: at})
 }
 
-func (c *Checker) drained(first float64, gateway int, box string, r *request, what string) {
-	if n := c.told[told{gateway, box}]; n.drained && first-n.since > c.lim.DrainGrace {
-		c.broke(first, Drain, r, box, "%s %.0f ms after gateway %d was told that it drains or is gone", what, first-n.since, gateway)
+func (c *Checker) checkDrain(firstByte float64, gateway int, engine string, r *request, what string) {
+	if member := c.members[memberKey{gateway, engine}]; member.drained && firstByte-member.since > c.limits.DrainGrace {
+		c.addViolation(firstByte, Drain, r, engine, "%s %.0f ms after gateway %d was notified that it drains or was removed", what, firstByte-member.since, gateway)
 	}
 }
 
-// Unheard tells of an attempt written to a box that has vanished. It has not arrived, and so is
-// not out: the time of what is held runs on. That the box never ran it, nobody can know.
-func (c *Checker) Unheard(at float64, box, id string) {
+// AttemptUndelivered reports an attempt sent to an unreachable engine. It has not
+// arrived and is not in flight, so the time limit on holds runs on. A gateway cannot
+// know that it never ran.
+func (c *Checker) AttemptUndelivered(at float64, engine, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.request(at, id)
-	r.note(at, "sent to %s, which has vanished", box)
-	if r.effect && r.mayRun != "" {
-		c.broke(at, Duplicate, r, box, "sent again, though it may have run at %s", r.mayRun)
+	r.note(at, "attempt sent to %s, which is unreachable", engine)
+	if r.sideEffect && r.mayHaveRunAt != "" {
+		c.addViolation(at, Duplicate, r, engine, "sent again, though it may have run at %s", r.mayHaveRunAt)
 	}
 }
 
-// Ran tells that a writer has begun an answer.
-func (c *Checker) Ran(at float64, box, id string) {
+// AnswerStarted reports that a decode engine has begun an answer.
+func (c *Checker) AnswerStarted(at float64, engine, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.request(at, id)
-	r.note(at, "%s begins the answer", box)
+	r.note(at, "%s starts the answer", engine)
 	c.counts.Runs++
-	r.at = box
-	if r.runs++; r.effect && r.runs > 1 {
+	r.streamingAt = engine
+	if r.runs++; r.sideEffect && r.runs > 1 {
 		c.counts.Doubles++
-		c.broke(at, Duplicate, r, box, "a side effect runs for the %d. time", r.runs)
+		c.addViolation(at, Duplicate, r, engine, "side effect executed %d times", r.runs)
 	}
-	for _, o := range r.out {
-		o.ran = o.ran || o.box == box
+	for _, attempt := range r.inFlight {
+		attempt.ran = attempt.ran || attempt.engine == engine
 	}
 }
 
-// Event tells that a writer has written a piece of a stream.
-func (c *Checker) Event(at float64, id string) {
+// AnswerEvent reports that a decode engine has written an event of a stream.
+func (c *Checker) AnswerEvent(at float64, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.request(at, id).last = at
+	c.request(at, id).lastEventAt = at
 }
 
-// Stopped tells that a box no longer runs: nothing tells a gateway of the end of
-// the streams that it was writing.
-func (c *Checker) Stopped(box string) {
+// EngineStopped reports that an engine no longer runs: a gateway gets no end of the
+// streams that the engine was writing.
+func (c *Checker) EngineStopped(engine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, r := range c.reqs {
-		if r.at == box {
-			r.last = 0
+	for _, r := range c.requests {
+		if r.streamingAt == engine {
+			r.lastEventAt = 0
 		}
 	}
 }
 
-// Ended tells how an attempt has ended at its box.
-func (c *Checker) Ended(at float64, box, id string, how Outcome) {
+// AttemptEnded reports how an attempt has ended at its engine.
+func (c *Checker) AttemptEnded(at float64, engine, id string, outcome Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.request(at, id)
-	r.note(at, "%s: %s", box, how)
-	for i, o := range r.out {
-		if o.box != box {
+	r.note(at, "%s: %s", engine, outcome)
+	for i, attempt := range r.inFlight {
+		if attempt.engine != engine {
 			continue
 		}
-		c.overlap(at, r, o)
-		if !o.reads && how != Away {
-			r.mayRun = box
+		c.checkOverlap(at, r, attempt)
+		if !attempt.prefill && outcome != Rejected {
+			r.mayHaveRunAt = engine
 		}
-		r.out = append(r.out[:i], r.out[i+1:]...)
+		r.inFlight = append(r.inFlight[:i], r.inFlight[i+1:]...)
 		break
 	}
-	if len(r.out) == 0 {
-		r.idle = at
+	if len(r.inFlight) == 0 {
+		r.idleSince = at
 	}
 }
 
-func (c *Checker) overlap(at float64, r *request, o *attempt) {
-	if o.over > 0 && at-o.over > c.lim.Overlap && !o.report {
-		o.report = true
-		c.broke(at, Duplicate, r, o.box, "another attempt was out for %.0f ms with the one at %s", at-o.over, o.box)
+func (c *Checker) checkOverlap(at float64, r *request, attempt *attempt) {
+	if attempt.overlapSince > 0 && at-attempt.overlapSince > c.limits.MaxOverlap && !attempt.overlapReported {
+		attempt.overlapReported = true
+		c.addViolation(at, Duplicate, r, attempt.engine, "another attempt was in flight for %.0f ms beside the one at %s", at-attempt.overlapSince, attempt.engine)
 	}
 }
 
-// Place tells that a place has been asked for.
-func (c *Checker) Place(at float64, gateway int, box, id string, held bool) {
+// ReservationAnswered reports that a gateway has asked for a reservation.
+func (c *Checker) ReservationAnswered(at float64, gateway int, engine, id string, held bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Places++
 	r := c.request(at, id)
-	r.note(at, "gateway %d asks %s for a place: held %v", gateway, box, held)
-	c.drained(at, gateway, box, r, "a place asked for")
-	r.idle = max(r.idle, at)
+	r.note(at, "gateway %d asks %s for a reservation: held %v", gateway, engine, held)
+	c.checkDrain(at, gateway, engine, r, "reservation requested")
+	r.idleSince = max(r.idleSince, at)
 }
 
-// Release tells that a box was told to let go.
-func (c *Checker) Release(at float64, box, id string) {
+// HoldsReleased reports that an engine has received a release.
+func (c *Checker) HoldsReleased(at float64, engine, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Releases++
 	r := c.request(at, id)
-	r.note(at, "let go of at %s", box)
+	r.note(at, "released at %s", engine)
 }
 
-// Fell tells that a cold box has been pushed over.
-func (c *Checker) Fell(at float64, box string) {
+// EngineColdCrashed reports that an engine was overloaded while cold.
+func (c *Checker) EngineColdCrashed(at float64, engine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	knew, all := 0, 0
-	for _, a := range c.cold[box] {
-		if at-a.at <= c.lim.ColdWindow {
-			if all++; a.knew {
-				knew++
+	notified, total := 0, 0
+	for _, a := range c.coldSends[engine] {
+		if at-a.at <= c.limits.ColdWindow {
+			if total++; a.notified {
+				notified++
 			}
 		}
 	}
-	if all > 0 && float64(knew) >= c.lim.ColdShare*float64(all) {
-		c.broke(at, Cold, nil, box, "pushed over while cold: %d of %d sends in the last second came from gateways that knew of its start", knew, all)
+	if total > 0 && float64(notified) >= c.limits.ColdShare*float64(total) {
+		c.addViolation(at, Cold, nil, engine, "overloaded while cold until it crashed: %d of %d attempts in the last second came from gateways notified of its start", notified, total)
 	}
 }
 
-// Sweep looks for what has been held too long and for attempts that overlap.
-// holding tells the boxes that hold something for a request which no attempt
-// there waits for. It also forgets requests that have ended long ago.
+// Sweep looks for holds that last too long and for attempts that overlap. holding
+// returns the engines that hold something for a request which no attempt there waits
+// for. Sweep also forgets requests that have ended long ago.
 func (c *Checker) Sweep(now float64, holding func(id string) []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for id, r := range c.reqs {
-		for _, o := range r.out {
-			c.overlap(now, r, o)
+	for id, r := range c.requests {
+		for _, attempt := range r.inFlight {
+			c.checkOverlap(now, r, attempt)
 		}
-		if len(r.out) == 0 && !r.pinned && now-r.idle > c.lim.Release {
-			if boxes := holding(id); len(boxes) > 0 {
-				r.pinned = true
-				c.broke(now, Pinned, r, boxes[0], "held at %v for %.0f ms with no attempt out", boxes, now-r.idle)
+		if len(r.inFlight) == 0 && !r.pinnedReported && now-r.idleSince > c.limits.ReleaseWithin {
+			if engines := holding(id); len(engines) > 0 {
+				r.pinnedReported = true
+				c.addViolation(now, Pinned, r, engines[0], "held at %v for %.0f ms with no attempt in flight", engines, now-r.idleSince)
 			}
 		}
-		if len(r.out) == 0 && now-r.seen > c.lim.ForgetAfter {
-			delete(c.reqs, id)
+		if len(r.inFlight) == 0 && now-r.seenAt > c.limits.ForgetAfter {
+			delete(c.requests, id)
 		}
 	}
-	for box, list := range c.cold {
-		c.cold[box] = slices.DeleteFunc(list, func(a arrival) bool { return now-a.at > 2*c.lim.ColdWindow })
+	for engine, list := range c.coldSends {
+		c.coldSends[engine] = slices.DeleteFunc(list, func(a coldSend) bool { return now-a.at > 2*c.limits.ColdWindow })
 	}
 }
 
-// Breaks are the broken rules in the order in which they were seen.
-func (c *Checker) Breaks() []Break {
+// Violations returns the rule violations in the order in which they were seen.
+func (c *Checker) Violations() []Violation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.breaks)
+	return slices.Clone(c.violations)
 }
 
-// Counts are what has been seen by now.
+// Counts returns what has been seen so far.
 func (c *Checker) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
