--- a/lab/emulator/agent.go
+++ b/lab/emulator/agent.go
@@ -120,9 +120,9 @@
 	changed = make(chan struct{})
 	l.waiters[changed] = struct{}{}
 	silent = l.Silent(a.e.clock.Now(), a.gateway)
-	version, list, ok := l.Since(a.gateway, from)
+	version, list, ok := l.Delta(a.gateway, from)
 	if !ok {
-		version, list = l.Whole(a.gateway)
+		version, list = l.Snapshot(a.gateway)
 		out.Reset = true
 	}
 	out.Generation, out.Instances = version, a.instances(list)
@@ -132,10 +132,10 @@
 func (a *agent) instances(list []news.Entry) []targetJSON {
 	out := make([]targetJSON, 0, len(list))
 	for _, e := range list {
-		v := a.e.views[a.gateway][a.e.boxes[e.Box.ID]]
+		v := a.e.views[a.gateway][a.e.boxes[e.Engine.ID]]
 		out = append(out, targetJSON{
-			ID: e.Box.ID, HostPort: v.http.addr, Zone: e.Box.Zone, Kind: e.Box.Kind, Cell: e.Box.Cell, Lifecycle: e.Lifecycle, Weight: 1,
-			Started: math.Floor(e.Started),
+			ID: e.Engine.ID, HostPort: v.http.addr, Zone: e.Engine.Zone, Kind: e.Engine.Kind, Cell: e.Engine.Cell, Lifecycle: e.Lifecycle, Weight: 1,
+			Started: math.Floor(e.StartedAt),
 		})
 	}
 	return out
@@ -160,7 +160,7 @@
 		if !e.listed {
 			continue
 		}
-		e.rules.GatewayNotified(now, t.Agent, t.Entry.Box.ID, t.Entry.Lifecycle != news.Up, t.Entry.Started)
+		e.rules.GatewayNotified(now, t.Agent, t.Entry.Engine.ID, t.Entry.Lifecycle != news.Up, t.Entry.StartedAt)
 	}
 	for c := range l.waiters {
 		close(c)
@@ -169,7 +169,7 @@
 	if l.stop != nil {
 		l.stop()
 	}
-	if at, ok := l.Next(); ok {
+	if at, ok := l.NextUpdateAt(); ok {
 		l.stop = e.clock.AfterFunc(max(0, at-now), e.advanceLists)
 	}
 }
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -59,7 +59,7 @@
 
 	lists struct {
 		sync.Mutex
-		*news.Lists
+		*news.Discovery
 		waiters map[chan struct{}]struct{}
 		stop    func() bool
 	}
@@ -109,7 +109,7 @@
 	e.ctx, e.cancel = context.WithCancel(context.Background())
 	e.dirty.news, e.fallen = make(chan struct{}, 1), map[string]bool{}
 	e.driver = newDriver(fleet, cfg.Clock, e.mark)
-	e.lists.Lists = news.New(cfg.Plan, now)
+	e.lists.Discovery = news.New(cfg.Plan, now)
 	e.lists.waiters = map[chan struct{}]struct{}{}
 	if err := e.listen(cfg); err != nil {
 		return nil, errors.Join(err, e.Close())
@@ -200,7 +200,7 @@
 	var err error
 	e.began = e.clock.Now()
 	e.lists.Lock()
-	e.lists.Lists = news.New(e.plan, e.began)
+	e.lists.Discovery = news.New(e.plan, e.began)
 	e.lists.Unlock()
 	e.driver.do(func(f *engine.Fleet) {
 		err = e.begin(f)
@@ -309,7 +309,7 @@
 	}
 	e.fallen[box] = c.ColdCrashed
 	e.lists.Lock()
-	e.lists.Box(now, e.plan.Engine.Engines[i], c, started)
+	e.lists.ConditionChanged(now, e.plan.Engine.Engines[i], c, started)
 	e.lists.Unlock()
 	e.advanceLists()
 }
--- a/lab/news/news.go
+++ b/lab/news/news.go
@@ -1,7 +1,8 @@
-// Package news models discovery: what each gateway's agent has been told of the
-// fleet, and when. It is pure, with the time passed in. News of a box reaches
-// the list late, of a silent machine later still; agents get it at times of
-// their own. Faults make it later, keep an agent silent, or take news back.
+// Package news models discovery: which membership updates each gateway's agent has
+// received, and when. It is pure, with the time passed in. Discovery learns of an
+// engine's change after a delay, of an unreachable machine's after a longer one;
+// agents receive the update at times of their own. Faults delay updates further, keep
+// an agent silent, or revert updates. Serving agents on sockets is lab/emulator's part.
 package news
 
 import (
@@ -12,238 +13,241 @@
 	"ashwood.example/ashwood/lab/scenario"
 )
 
-// Lifecycle is a box's state as the list knows it.
+// Lifecycle is an engine's state in the membership.
 type Lifecycle string
 
-// The states of a listed box.
+// The states of an engine.
 const (
 	Up       Lifecycle = "up"
 	Draining Lifecycle = "draining"
 	Removed  Lifecycle = "removed"
 )
 
-// Entry is what the list tells of a box.
+// Entry is the membership's entry of an engine.
 type Entry struct {
-	Box       engine.Spec
+	Engine    engine.Spec
 	Lifecycle Lifecycle
-	Started   float64 // ms in the driver's time, 0 = long ago
+	StartedAt float64 // ms in the driver's time, 0 = long ago
 }
 
-// Change is a piece of news.
+// Change is a membership update.
 type Change struct {
 	Version int64
 	Entry   Entry
 }
 
-// Lists is discovery and its agents.
-type Lists struct {
-	cfg     scenario.Discovery
-	windows []scenario.Window
-	begin   float64 // of the scenario, for its windows
-	rng     *rand.Rand
-	version int64
-	agents  []*agent
-	known   map[string]Entry // by discovery itself
-	index   map[string]int   // place of a box in order
-	order   []string
-	due     []pending
-	seq     int
-	lied    map[int]bool // windows of contradiction that have been told
+// Discovery models the discovery service and its agents.
+type Discovery struct {
+	cfg          scenario.Discovery
+	windows      []scenario.Window
+	startedAt    float64 // of the scenario; fault windows count from it
+	rng          *rand.Rand
+	version      int64
+	agents       []*agent
+	members      map[string]Entry // as the service itself knows them
+	index        map[string]int   // position of an engine in order
+	order        []string
+	pending      []pendingUpdate
+	seq          int
+	contradicted map[int]bool // ListContradicts windows that have begun
 }
 
 type agent struct {
 	version int64
-	told    map[string]Entry
+	members map[string]Entry
 	log     []Change // in the order of versions
 }
 
-// pending is news on its way to one agent, or to discovery itself.
-type pending struct {
-	at    float64
-	seq   int
-	agent int // -1: discovery itself learns
-	c     Change
+// pendingUpdate is an update on its way to one agent, or to the service itself.
+type pendingUpdate struct {
+	at     float64
+	seq    int
+	agent  int // -1: the service itself
+	change Change
 }
 
-// New makes discovery with agents that know all boxes as up.
-func New(p *scenario.Plan, begin float64) *Lists {
-	l := &Lists{
-		cfg: p.Discovery, windows: p.Lists, begin: begin, rng: rand.New(rand.NewPCG(p.Seed, 0x11575)), version: 1,
-		known: map[string]Entry{}, index: map[string]int{}, lied: map[int]bool{},
+// New returns a discovery service whose agents know all engines as up.
+func New(p *scenario.Plan, startedAt float64) *Discovery {
+	d := &Discovery{
+		cfg: p.Discovery, windows: p.Lists, startedAt: startedAt, rng: rand.New(rand.NewPCG(p.Seed, 0x11575)), version: 1,
+		members: map[string]Entry{}, index: map[string]int{}, contradicted: map[int]bool{},
 	}
-	for i, b := range p.Engine.Engines {
-		l.known[b.ID] = Entry{Box: b, Lifecycle: Up}
-		l.index[b.ID], l.order = i, append(l.order, b.ID)
+	for i, spec := range p.Engine.Engines {
+		d.members[spec.ID] = Entry{Engine: spec, Lifecycle: Up}
+		d.index[spec.ID], d.order = i, append(d.order, spec.ID)
 	}
 	for range p.Gateways {
-		a := &agent{version: 1, told: map[string]Entry{}}
-		for id, e := range l.known {
-			a.told[id] = e
+		a := &agent{version: 1, members: map[string]Entry{}}
+		for id, e := range d.members {
+			a.members[id] = e
 		}
-		l.agents = append(l.agents, a)
+		d.agents = append(d.agents, a)
 	}
-	return l
+	return d
 }
 
-// Box tells that a box's condition has changed. The list learns of it late.
-func (l *Lists) Box(now float64, box engine.Spec, c engine.Condition, started float64) {
-	e := Entry{Box: box, Lifecycle: Up, Started: max(started, 0)}
-	delay := l.draw(l.cfg.AddMs)
+// ConditionChanged reports that an engine's condition has changed. The service learns
+// of it after a delay.
+func (d *Discovery) ConditionChanged(now float64, spec engine.Spec, c engine.Condition, started float64) {
+	e := Entry{Engine: spec, Lifecycle: Up, StartedAt: max(started, 0)}
+	delay := d.randomDelay(d.cfg.AddMs)
 	switch {
 	case c.State == engine.Silent:
-		e.Lifecycle, delay = Removed, l.draw(l.cfg.SilentNoticeMs)
+		e.Lifecycle, delay = Removed, d.randomDelay(d.cfg.SilentNoticeMs)
 	case c.State == engine.Down:
-		e.Lifecycle, delay = Removed, l.draw(l.cfg.NoticeMs)
+		e.Lifecycle, delay = Removed, d.randomDelay(d.cfg.NoticeMs)
 	case c.Draining:
 		e.Lifecycle = Draining
 	}
 	at := now + delay
-	for _, p := range l.due { // a box's news is learnt in order
-		if p.agent < 0 && p.c.Entry.Box.ID == box.ID {
+	for _, p := range d.pending { // updates of one engine arrive in order
+		if p.agent < 0 && p.change.Entry.Engine.ID == spec.ID {
 			at = max(at, p.at)
 		}
 	}
-	l.push(pending{at: at, agent: -1, c: Change{Entry: e}})
+	d.schedule(pendingUpdate{at: at, agent: -1, change: Change{Entry: e}})
 }
 
-func (l *Lists) draw(r [2]float64) float64 { return r[0] + l.rng.Float64()*(r[1]-r[0]) }
+func (d *Discovery) randomDelay(r [2]float64) float64 { return r[0] + d.rng.Float64()*(r[1]-r[0]) }
 
-func (l *Lists) push(p pending) {
-	l.seq++
-	p.seq = l.seq
-	at := sort.Search(len(l.due), func(i int) bool { return l.due[i].at > p.at })
-	l.due = append(l.due, pending{})
-	copy(l.due[at+1:], l.due[at:])
-	l.due[at] = p
+func (d *Discovery) schedule(p pendingUpdate) {
+	d.seq++
+	p.seq = d.seq
+	at := sort.Search(len(d.pending), func(i int) bool { return d.pending[i].at > p.at })
+	d.pending = append(d.pending, pendingUpdate{})
+	copy(d.pending[at+1:], d.pending[at:])
+	d.pending[at] = p
 }
 
-// Next is the time at which an agent or discovery learns something; ok is false
-// without any news on its way.
-func (l *Lists) Next() (at float64, ok bool) {
-	if len(l.due) > 0 {
-		at, ok = l.due[0].at, true
+// NextUpdateAt returns the time of the next update of an agent or of the service; ok
+// is false if none is pending.
+func (d *Discovery) NextUpdateAt() (at float64, ok bool) {
+	if len(d.pending) > 0 {
+		at, ok = d.pending[0].at, true
 	}
-	for i, w := range l.windows {
-		if w.Kind != scenario.ListContradicts || l.lied[i] {
+	for i, w := range d.windows {
+		if w.Kind != scenario.ListContradicts || d.contradicted[i] {
 			continue
 		}
-		if from := l.begin + w.From; !ok || from < at {
+		if from := d.startedAt + w.From; !ok || from < at {
 			at, ok = from, true
 		}
 	}
 	return at, ok
 }
 
-// Told is news that an agent has got.
-type Told struct {
+// Notification is an update that an agent has received.
+type Notification struct {
 	At    float64
 	Agent int
 	Entry Entry
 }
 
-// Advance carries the news that is due, and gives what agents got by it.
-func (l *Lists) Advance(now float64) (got []Told) {
-	for i, w := range l.windows {
-		if w.Kind == scenario.ListContradicts && !l.lied[i] && now >= l.begin+w.From {
-			l.lied[i] = true
-			l.lie(w)
+// Advance delivers the updates that are due, and returns what agents received.
+func (d *Discovery) Advance(now float64) (received []Notification) {
+	for i, w := range d.windows {
+		if w.Kind == scenario.ListContradicts && !d.contradicted[i] && now >= d.startedAt+w.From {
+			d.contradicted[i] = true
+			d.contradict(w)
 		}
 	}
-	for len(l.due) > 0 && l.due[0].at <= now {
-		p := l.due[0]
-		l.due = l.due[1:]
+	for len(d.pending) > 0 && d.pending[0].at <= now {
+		p := d.pending[0]
+		d.pending = d.pending[1:]
 		if p.agent < 0 {
-			l.learn(p)
+			d.recordChange(p)
 			continue
 		}
-		a := l.agents[p.agent]
-		if a.told[p.c.Entry.Box.ID] == p.c.Entry {
+		a := d.agents[p.agent]
+		if a.members[p.change.Entry.Engine.ID] == p.change.Entry {
 			continue
 		}
-		a.version = max(a.version+1, p.c.Version) // another box's news may have overtaken it
-		p.c.Version = a.version
-		a.told[p.c.Entry.Box.ID] = p.c.Entry
-		a.log = append(a.log, p.c)
-		got = append(got, Told{At: p.at, Agent: p.agent, Entry: p.c.Entry})
+		a.version = max(a.version+1, p.change.Version) // an update of another engine may have overtaken it
+		p.change.Version = a.version
+		a.members[p.change.Entry.Engine.ID] = p.change.Entry
+		a.log = append(a.log, p.change)
+		received = append(received, Notification{At: p.at, Agent: p.agent, Entry: p.change.Entry})
 	}
-	return got
+	return received
 }
 
-// learn has discovery itself know of a change; its agents get it after a while,
+// recordChange records a change in the service; its agents receive it after a delay,
 // in order.
-func (l *Lists) learn(p pending) {
-	id := p.c.Entry.Box.ID
-	if l.known[id] == p.c.Entry {
+func (d *Discovery) recordChange(p pendingUpdate) {
+	id := p.change.Entry.Engine.ID
+	if d.members[id] == p.change.Entry {
 		return
 	}
-	l.known[id] = p.c.Entry
-	l.version++
-	p.c.Version = l.version
-	for i := range l.agents {
-		at := p.at + l.rng.Float64()*l.cfg.SpreadMs
-		for _, w := range l.windows {
-			if w.Kind == scenario.ListLate && l.hits(w, i) && w.On(p.at-l.begin) {
+	d.members[id] = p.change.Entry
+	d.version++
+	p.change.Version = d.version
+	for i := range d.agents {
+		at := p.at + d.rng.Float64()*d.cfg.SpreadMs
+		for _, w := range d.windows {
+			if w.Kind == scenario.ListLate && d.affects(w, i) && w.On(p.at-d.startedAt) {
 				at += w.Factor
 			}
 		}
-		for _, other := range l.due { // news of one box does not overtake
-			if other.agent == i && other.c.Entry.Box.ID == id {
+		for _, other := range d.pending { // updates of one engine don't overtake each other
+			if other.agent == i && other.change.Entry.Engine.ID == id {
 				at = max(at, other.at)
 			}
 		}
-		l.push(pending{at: at, agent: i, c: p.c})
+		d.schedule(pendingUpdate{at: at, agent: i, change: p.change})
 	}
 }
 
-// lie takes news back: what drains or is gone is told as up again, and as it is
-// when the window ends.
-func (l *Lists) lie(w scenario.Window) {
-	for i, a := range l.agents {
-		if !l.hits(w, i) {
+// contradict reverts updates: engines that drain or are removed are reported as up
+// again until the end of the window, then as they are.
+func (d *Discovery) contradict(w scenario.Window) {
+	for i, a := range d.agents {
+		if !d.affects(w, i) {
 			continue
 		}
-		for _, id := range l.order {
-			truth := a.told[id]
-			if truth.Lifecycle == Up {
+		for _, id := range d.order {
+			actual := a.members[id]
+			if actual.Lifecycle == Up {
 				continue
 			}
-			untrue := truth
-			untrue.Lifecycle = Up
-			l.version++
-			l.push(pending{at: l.begin + w.From, agent: i, c: Change{l.version, untrue}})
-			l.version++
-			l.push(pending{at: l.begin + w.To, agent: i, c: Change{l.version, truth}})
+			reverted := actual
+			reverted.Lifecycle = Up
+			d.version++
+			d.schedule(pendingUpdate{at: d.startedAt + w.From, agent: i, change: Change{d.version, reverted}})
+			d.version++
+			d.schedule(pendingUpdate{at: d.startedAt + w.To, agent: i, change: Change{d.version, actual}})
 		}
 	}
 }
 
-func (l *Lists) hits(w scenario.Window, agent int) bool { return w.Gateway < 0 || w.Gateway == agent }
+func (d *Discovery) affects(w scenario.Window, agent int) bool {
+	return w.Gateway < 0 || w.Gateway == agent
+}
 
 // Silent tells whether an agent does not answer at a time.
-func (l *Lists) Silent(now float64, agent int) bool {
-	for _, w := range l.windows {
-		if w.Kind == scenario.ListSilent && l.hits(w, agent) && w.On(now-l.begin) {
+func (d *Discovery) Silent(now float64, agent int) bool {
+	for _, w := range d.windows {
+		if w.Kind == scenario.ListSilent && d.affects(w, agent) && w.On(now-d.startedAt) {
 			return true
 		}
 	}
 	return false
 }
 
-// Whole is an agent's list: all that it knows as running.
-func (l *Lists) Whole(agent int) (version int64, list []Entry) {
-	a := l.agents[agent]
-	for _, id := range l.order {
-		if e := a.told[id]; e.Lifecycle != Removed {
+// Snapshot returns an agent's membership: all engines that it knows as running.
+func (d *Discovery) Snapshot(agent int) (version int64, list []Entry) {
+	a := d.agents[agent]
+	for _, id := range d.order {
+		if e := a.members[id]; e.Lifecycle != Removed {
 			list = append(list, e)
 		}
 	}
 	return a.version, list
 }
 
-// Since gives the changes behind a version; ok is false where the agent no
-// longer has them all, or never had that version: the whole list is wanted then.
-func (l *Lists) Since(agent int, version int64) (now int64, list []Entry, ok bool) {
-	a := l.agents[agent]
+// Delta returns the changes after a version; ok is false if the agent no longer has
+// them all, or never had that version: it then has to send a snapshot.
+func (d *Discovery) Delta(agent int, version int64) (now int64, list []Entry, ok bool) {
+	a := d.agents[agent]
 	if version < 1 || version > a.version {
 		return a.version, nil, false
 	}
--- a/lab/news/news_test.go
+++ b/lab/news/news_test.go
@@ -7,7 +7,7 @@
 	"ashwood.example/ashwood/lab/scenario"
 )
 
-func lists(t *testing.T, faults string) (*Lists, *scenario.Plan) {
+func newTestDiscovery(t *testing.T, faults string) (*Discovery, *scenario.Plan) {
 	t.Helper()
 	s, err := scenario.Parse([]byte("name = \"x\"\nlength_s = 60\ngateways = 2\n[discovery]\nnotice_ms = [1000, 1000]\nsilent_notice_ms = [5000, 5000]\nadd_ms = [500, 500]\nspread_ms = 0\n" + faults))
 	if err != nil {
@@ -20,43 +20,43 @@
 	return New(p, 0), p
 }
 
-func lifecycle(l *Lists, agent int, id string) Lifecycle {
-	_, list := l.Whole(agent)
+func agentLifecycle(l *Discovery, agent int, id string) Lifecycle {
+	_, list := l.Snapshot(agent)
 	for _, e := range list {
-		if e.Box.ID == id {
+		if e.Engine.ID == id {
 			return e.Lifecycle
 		}
 	}
 	return Removed
 }
 
-func TestNewsComesLate(t *testing.T) {
-	l, p := lists(t, "")
-	box := p.Engine.Engines[0]
-	l.Box(0, box, engine.Condition{State: engine.Down}, 0)
+func TestDiscovery_NoticeDelay(t *testing.T) {
+	l, p := newTestDiscovery(t, "")
+	spec := p.Engine.Engines[0]
+	l.ConditionChanged(0, spec, engine.Condition{State: engine.Down}, 0)
 	l.Advance(999)
-	if got := lifecycle(l, 0, box.ID); got != Up {
-		t.Fatalf("before the notice: %s", got)
+	if got := agentLifecycle(l, 0, spec.ID); got != Up {
+		t.Fatalf("lifecycle before the notice delay: %s", got)
 	}
-	if at, ok := l.Next(); !ok || at != 1000 {
-		t.Fatalf("next news at %v, %v", at, ok)
+	if at, ok := l.NextUpdateAt(); !ok || at != 1000 {
+		t.Fatalf("next update at %v, %v", at, ok)
 	}
 	if got := l.Advance(1000); len(got) != 2 || got[1].Agent != 1 || got[1].Entry.Lifecycle != Removed {
-		t.Fatalf("told %+v", got)
+		t.Fatalf("notifications %+v", got)
 	}
-	l.Box(2000, box, engine.Condition{State: engine.Up}, 2000)
+	l.ConditionChanged(2000, spec, engine.Condition{State: engine.Up}, 2000)
 	l.Advance(2500)
-	version, list, ok := l.Since(0, 1)
-	if !ok || version != 3 || len(list) != 2 || list[1].Lifecycle != Up || list[1].Started != 2000 {
-		t.Fatalf("since 1: %d %+v %v", version, list, ok)
+	version, list, ok := l.Delta(0, 1)
+	if !ok || version != 3 || len(list) != 2 || list[1].Lifecycle != Up || list[1].StartedAt != 2000 {
+		t.Fatalf("delta after version 1: %d %+v %v", version, list, ok)
 	}
-	if _, _, ok := l.Since(0, 99); ok {
-		t.Fatal("a version that was never told has no changes")
+	if _, _, ok := l.Delta(0, 99); ok {
+		t.Fatal("a version that was never sent has a delta")
 	}
 }
 
-func TestListFaults(t *testing.T) {
-	l, p := lists(t, `
+func TestDiscovery_Faults(t *testing.T) {
+	l, p := newTestDiscovery(t, `
 [[fault]]
 kind = "list-late"
 at_s = 0
@@ -72,35 +72,35 @@
 at_s = 30
 len_s = 4
 `)
-	box, other := p.Engine.Engines[0], p.Engine.Engines[1]
-	l.Box(0, box, engine.Condition{State: engine.Up, Draining: true}, 0)
-	l.Box(0, other, engine.Condition{State: engine.Up, Draining: true}, 0)
+	first, other := p.Engine.Engines[0], p.Engine.Engines[1]
+	l.ConditionChanged(0, first, engine.Condition{State: engine.Up, Draining: true}, 0)
+	l.ConditionChanged(0, other, engine.Condition{State: engine.Up, Draining: true}, 0)
 	l.Advance(600)
-	if a, b := lifecycle(l, 0, box.ID), lifecycle(l, 1, box.ID); a != Draining || b != Up {
-		t.Fatalf("late at one agent: %s, %s", a, b)
+	if a, b := agentLifecycle(l, 0, first.ID), agentLifecycle(l, 1, first.ID); a != Draining || b != Up {
+		t.Fatalf("lifecycles with a late agent: %s, %s", a, b)
 	}
 	l.Advance(3500)
-	if got := lifecycle(l, 1, box.ID); got != Draining {
-		t.Fatalf("at last: %s", got)
+	if got := agentLifecycle(l, 1, first.ID); got != Draining {
+		t.Fatalf("lifecycle at the late agent: %s", got)
 	}
 	for at, want := range map[float64]bool{19999: false, 20000: true, 24999: true, 25000: false} {
 		if got := l.Silent(at, 1); got != want {
 			t.Errorf("silent at %v: %v", at, got)
 		}
 	}
-	if at, ok := l.Next(); !ok || at != 30000 {
-		t.Fatalf("the contradiction is due at %v, %v", at, ok)
+	if at, ok := l.NextUpdateAt(); !ok || at != 30000 {
+		t.Fatalf("the contradiction is scheduled at %v, %v", at, ok)
 	}
 	l.Advance(31000)
-	if got := lifecycle(l, 0, box.ID); got != Up {
-		t.Fatalf("taken back: %s", got)
+	if got := agentLifecycle(l, 0, first.ID); got != Up {
+		t.Fatalf("lifecycle during the contradiction: %s", got)
 	}
-	taken, _, _ := l.Since(0, 1)
+	taken, _, _ := l.Delta(0, 1)
 	l.Advance(34000)
-	if _, list, ok := l.Since(0, taken); !ok || len(list) != 2 || list[0].Lifecycle != Draining || list[1].Lifecycle != Draining {
-		t.Fatalf("told to a gateway that has the lie: %+v", list)
+	if _, list, ok := l.Delta(0, taken); !ok || len(list) != 2 || list[0].Lifecycle != Draining || list[1].Lifecycle != Draining {
+		t.Fatalf("delta to a gateway that has the contradicting update: %+v", list)
 	}
-	if got := lifecycle(l, 0, box.ID); got != Draining {
-		t.Fatalf("told again: %s", got)
+	if got := agentLifecycle(l, 0, first.ID); got != Draining {
+		t.Fatalf("lifecycle after the contradiction: %s", got)
 	}
 }
