--- a/cmd/ashlab/emulate.go
+++ b/cmd/ashlab/emulate.go
@@ -72,17 +72,17 @@
 	out := json.NewEncoder(cmd.OutOrStdout())
 	for g := range plan.Gateways {
 		var boxes []address
-		for _, b := range em.Boxes(g) {
+		for _, b := range em.Engines(g) {
 			boxes = append(boxes, address{b.ID, b.Kind, b.Zone, b.Cell, b.HTTP, b.GRPC})
 		}
-		if err := out.Encode(map[string]any{"gateway": g, "discovery": em.Discovery(g), "boxes": boxes, "settings": plan.Settings(g)}); err != nil {
+		if err := out.Encode(map[string]any{"gateway": g, "discovery": em.DiscoveryAddr(g), "boxes": boxes, "settings": plan.Settings(g)}); err != nil {
 			return err
 		}
 	}
 	if !sleep(cmd.Context(), delay) {
 		return nil
 	}
-	if err := em.Begin(); err != nil {
+	if err := em.Start(); err != nil {
 		return err
 	}
 	sleep(cmd.Context(), time.Duration(plan.LengthS*float64(time.Second)))
--- a/contract/contract_test.go
+++ b/contract/contract_test.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	em, err := emulator.New(emulator.Config{Plan: plan, GRPC: name == "grpc", Unlisted: true, Rules: limits})
+	em, err := emulator.New(emulator.Config{Plan: plan, GRPC: name == "grpc", StaticMembership: true, Rules: limits})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := em.Begin(); err != nil {
+	if err := em.Start(); err != nil {
 		t.Fatal(err)
 	}
 	return tg, em, plan
@@ -181,7 +181,7 @@
 				for _, b := range em.Rules().Violations() {
 					t.Errorf("rule %s: %s %v", b.Rule, b.Text, b.History)
 				}
-				if n := em.Held(); n != 0 && s.fault == "" {
+				if n := em.HoldCount(); n != 0 && s.fault == "" {
 					t.Errorf("%d are held", n)
 				}
 			})
@@ -227,8 +227,8 @@
 			for _, b := range em.Rules().Violations() {
 				t.Errorf("rule %s: %s %v", b.Rule, b.Text, b.History)
 			}
-			if em.Held() != 0 {
-				t.Errorf("%d are held", em.Held())
+			if em.HoldCount() != 0 {
+				t.Errorf("%d are held", em.HoldCount())
 			}
 		})
 	}
--- a/lab/emulator/agent.go
+++ b/lab/emulator/agent.go
@@ -13,27 +13,27 @@
 	"ashwood.example/ashwood/lab/news"
 )
 
-// agent is discovery on one gateway's machine.
+// agent is the discovery agent on one gateway's machine.
 type agent struct {
-	e       *Emulator
-	gateway int
-	addr    string
-	http    *http.Server
+	emulator *Emulator
+	gateway  int
+	addr     string
+	server   *http.Server
 }
 
-const maxHold = 60000.0 // ms that a watch may wait
+const maxWatchWait = 60000.0 // ms; longest time that a watch may wait
 
-func (e *Emulator) openAgent(ip string, gateway int) (*agent, error) {
+func (e *Emulator) startAgent(ip string, gateway int) (*agent, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
 		return nil, fmt.Errorf("emulator: discovery: %w", err)
 	}
-	a := &agent{e: e, gateway: gateway, addr: l.Addr().String()}
+	a := &agent{emulator: e, gateway: gateway, addr: l.Addr().String()}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/targets", a.targets)
-	a.http = &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return e.ctx }}
-	e.serve(func() error {
-		if err := a.http.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+	mux.HandleFunc("GET /api/targets", a.serveTargets)
+	a.server = &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return e.ctx }}
+	e.runServer(func() error {
+		if err := a.server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
 		return nil
@@ -41,7 +41,7 @@
 	return a, nil
 }
 
-func (a *agent) close() error { return a.http.Close() }
+func (a *agent) close() error { return a.server.Close() }
 
 type targetJSON struct {
 	ID        string         `json:"instanceId"`
@@ -51,7 +51,7 @@
 	Cell      int            `json:"cell"`
 	Lifecycle news.Lifecycle `json:"lifecycle"`
 	Weight    float64        `json:"weight"`
-	Started   float64        `json:"startedAtMs"`
+	StartedAt float64        `json:"startedAtMs"`
 }
 
 type targetsJSON struct {
@@ -60,8 +60,9 @@
 	Instances  []targetJSON `json:"instances"`
 }
 
-// targets answers with the whole list, or waits for changes behind a version.
-func (a *agent) targets(w http.ResponseWriter, r *http.Request) {
+// serveTargets answers with a snapshot of the membership, or waits for changes after
+// a version.
+func (a *agent) serveTargets(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	var until float64
 	from := int64(-1)
@@ -75,54 +76,55 @@
 			http.Error(w, "from and hold_ms are numbers", http.StatusBadRequest)
 			return
 		}
-		until = a.e.clock.Now() + math.Min(hold, maxHold)
+		until = a.emulator.clock.Now() + math.Min(hold, maxWatchWait)
 	}
 	for {
-		out, news, silent, changed := a.look(from)
-		now := a.e.clock.Now()
-		if !silent && (news || now >= until) {
+		out, fresh, silent, changed := a.currentAnswer(from)
+		now := a.emulator.clock.Now()
+		if !silent && (fresh || now >= until) {
 			w.Header().Set("Content-Type", "application/json")
 			raw, err := json.Marshal(out)
 			if err != nil {
 				http.Error(w, err.Error(), http.StatusInternalServerError)
 				return
 			}
-			_, _ = w.Write(raw) // a gateway that has gone asks again
-			a.e.forgetWaiter(changed)
+			_, _ = w.Write(raw) // if the gateway has gone, it asks again
+			a.emulator.removeWaiter(changed)
 			return
 		}
 		wait := until - now
 		if silent {
-			wait = silentLook
+			wait = silenceCheckInterval
 		}
-		due := make(chan struct{})
-		stop := a.e.clock.AfterFunc(wait, func() { close(due) })
+		expired := make(chan struct{})
+		stop := a.emulator.clock.AfterFunc(wait, func() { close(expired) })
 		select {
 		case <-changed:
-		case <-due:
+		case <-expired:
 		case <-r.Context().Done():
 			stop()
-			a.e.forgetWaiter(changed)
+			a.emulator.removeWaiter(changed)
 			return
 		}
 		stop()
-		a.e.forgetWaiter(changed)
+		a.emulator.removeWaiter(changed)
 	}
 }
 
-const silentLook = 200.0 // ms between looks whether a silence is over
+const silenceCheckInterval = 200.0 // ms between checks whether the agent is still silent
 
-// look is what the agent would answer now; changed is closed with the next news.
-func (a *agent) look(from int64) (out targetsJSON, fresh, silent bool, changed chan struct{}) {
-	l := &a.e.lists
-	l.Lock()
-	defer l.Unlock()
+// currentAnswer returns what the agent would answer now; changed is closed with the
+// next membership update.
+func (a *agent) currentAnswer(from int64) (out targetsJSON, fresh, silent bool, changed chan struct{}) {
+	d := &a.emulator.discovery
+	d.Lock()
+	defer d.Unlock()
 	changed = make(chan struct{})
-	l.waiters[changed] = struct{}{}
-	silent = l.Silent(a.e.clock.Now(), a.gateway)
-	version, list, ok := l.Delta(a.gateway, from)
+	d.waiters[changed] = struct{}{}
+	silent = d.Silent(a.emulator.clock.Now(), a.gateway)
+	version, list, ok := d.Delta(a.gateway, from)
 	if !ok {
-		version, list = l.Snapshot(a.gateway)
+		version, list = d.Snapshot(a.gateway)
 		out.Reset = true
 	}
 	out.Generation, out.Instances = version, a.instances(list)
@@ -131,45 +133,46 @@
 
 func (a *agent) instances(list []news.Entry) []targetJSON {
 	out := make([]targetJSON, 0, len(list))
-	for _, e := range list {
-		v := a.e.views[a.gateway][a.e.boxes[e.Engine.ID]]
+	for _, entry := range list {
+		ep := a.emulator.endpoints[a.gateway][a.emulator.engineIndex[entry.Engine.ID]]
 		out = append(out, targetJSON{
-			ID: e.Engine.ID, HostPort: v.http.addr, Zone: e.Engine.Zone, Kind: e.Engine.Kind, Cell: e.Engine.Cell, Lifecycle: e.Lifecycle, Weight: 1,
-			Started: math.Floor(e.StartedAt),
+			ID: entry.Engine.ID, HostPort: ep.http.addr, Zone: entry.Engine.Zone, Kind: entry.Engine.Kind, Cell: entry.Engine.Cell, Lifecycle: entry.Lifecycle, Weight: 1,
+			StartedAt: math.Floor(entry.StartedAt),
 		})
 	}
 	return out
 }
 
-func (e *Emulator) forgetWaiter(c chan struct{}) {
-	e.lists.Lock()
-	defer e.lists.Unlock()
-	delete(e.lists.waiters, c)
+func (e *Emulator) removeWaiter(c chan struct{}) {
+	e.discovery.Lock()
+	defer e.discovery.Unlock()
+	delete(e.discovery.waiters, c)
 }
 
-// advanceLists carries news that is due, and sets the timer for the next.
-func (e *Emulator) advanceLists() {
-	l := &e.lists
-	l.Lock()
-	defer l.Unlock()
+// advanceDiscovery delivers expired membership updates, and sets the timer for the
+// next one.
+func (e *Emulator) advanceDiscovery() {
+	d := &e.discovery
+	d.Lock()
+	defer d.Unlock()
 	if e.ctx.Err() != nil {
 		return
 	}
 	now := e.clock.Now()
-	for _, t := range l.Advance(now) {
-		if !e.listed {
+	for _, notification := range d.Advance(now) {
+		if !e.followsDiscovery {
 			continue
 		}
-		e.rules.GatewayNotified(now, t.Agent, t.Entry.Engine.ID, t.Entry.Lifecycle != news.Up, t.Entry.StartedAt)
+		e.rules.GatewayNotified(now, notification.Agent, notification.Entry.Engine.ID, notification.Entry.Lifecycle != news.Up, notification.Entry.StartedAt)
 	}
-	for c := range l.waiters {
+	for c := range d.waiters {
 		close(c)
-		delete(l.waiters, c)
+		delete(d.waiters, c)
 	}
-	if l.stop != nil {
-		l.stop()
+	if d.stop != nil {
+		d.stop()
 	}
-	if at, ok := l.NextUpdateAt(); ok {
-		l.stop = e.clock.AfterFunc(max(0, at-now), e.advanceLists)
+	if at, ok := d.NextUpdateAt(); ok {
+		d.stop = e.clock.AfterFunc(max(0, at-now), e.advanceDiscovery)
 	}
 }
--- a/lab/emulator/driver.go
+++ b/lab/emulator/driver.go
@@ -1,6 +1,7 @@
 // Package emulator serves the lab's model of the fleet on loopback sockets: the
-// platform's engine protocol, the gRPC Box service, and discovery's agents. The
-// model decides; this package carries its events and watches the rules.
+// platform's engine protocol, the gRPC Box service, and the discovery agents. The
+// model in lab/engine decides what engines do and lab/news what agents know; this
+// package carries their events to sockets and reports them to the rule checker.
 package emulator
 
 import (
@@ -14,28 +15,28 @@
 	"ashwood.example/ashwood/lab/engine"
 )
 
-// driver moves a fleet along a clock and hands its events to those who wait for
-// them. It is the one layer between the model and sockets.
+// driver advances a fleet along a clock and delivers its events to the calls that
+// wait for them. It is the only layer between the model and sockets.
 type driver struct {
-	clock  clock.Clock
-	onBox  func(box string) // a box's condition has changed; called without the lock
-	closed chan struct{}
-
-	mu    sync.Mutex
-	fleet *engine.Fleet
-	calls map[engine.Call]*call
-	stop  func() bool
-	armed float64 // when the timer is due
-	late  *hdrhistogram.Histogram
+	clock       clock.Clock
+	onCondition func(engineID string) // called without the lock when an engine's condition has changed
+	closed      chan struct{}
+
+	mu            sync.Mutex
+	fleet         *engine.Fleet
+	calls         map[engine.Call]*call
+	stop          func() bool
+	timerAt       float64 // when the timer fires
+	lateHistogram *hdrhistogram.Histogram
 }
 
-// Lateness is recorded in microseconds up to a minute.
-const maxLateUs = 60e6
+// maxLatenessUs is the upper bound of recorded lateness: a minute in microseconds.
+const maxLatenessUs = 60e6
 
-func newDriver(f *engine.Fleet, c clock.Clock, onBox func(string)) *driver {
+func newDriver(f *engine.Fleet, c clock.Clock, onCondition func(string)) *driver {
 	return &driver{
-		clock: c, onBox: onBox, closed: make(chan struct{}), fleet: f, calls: map[engine.Call]*call{}, armed: math.Inf(1),
-		late: hdrhistogram.New(1, maxLateUs, 3),
+		clock: c, onCondition: onCondition, closed: make(chan struct{}), fleet: f, calls: map[engine.Call]*call{}, timerAt: math.Inf(1),
+		lateHistogram: hdrhistogram.New(1, maxLatenessUs, 3),
 	}
 }
 
@@ -44,60 +45,60 @@
 	d.mu.Lock()
 	now := d.clock.Now()
 	if due := d.fleet.NextEventAt(); due < now {
-		_ = d.late.RecordValue(min(int64((now-due)*1000), maxLateUs)) // the bound keeps it within range
+		_ = d.lateHistogram.RecordValue(min(int64((now-due)*1000), maxLatenessUs)) // min keeps the value within the histogram's range
 	}
 	d.fleet.Advance(now)
 	if f != nil {
 		f(d.fleet)
 	}
-	boxes := d.dispatch()
-	d.arm()
+	engineIDs := d.dispatch()
+	d.setTimer()
 	d.mu.Unlock()
-	for _, b := range boxes {
-		d.onBox(b)
+	for _, engineID := range engineIDs {
+		d.onCondition(engineID)
 	}
 }
 
-// dispatch hands events out, and gives the boxes that have changed.
-func (d *driver) dispatch() (boxes []string) {
+// dispatch delivers events, and returns the engines whose condition has changed.
+func (d *driver) dispatch() (engineIDs []string) {
 	for _, e := range d.fleet.TakeEvents() {
 		if e.Kind == engine.EventCondition {
-			boxes = append(boxes, e.Engine)
+			engineIDs = append(engineIDs, e.Engine)
 			continue
 		}
 		c := d.calls[e.Call]
 		if c == nil {
 			continue
 		}
-		c.put(e)
+		c.add(e)
 		if e.Kind != engine.EventTokens {
 			delete(d.calls, e.Call)
 		}
 	}
-	return boxes
+	return engineIDs
 }
 
-// arm sets the timer to the fleet's next event.
-func (d *driver) arm() {
+// setTimer sets the timer to the fleet's next event.
+func (d *driver) setTimer() {
 	next := d.fleet.NextEventAt()
-	if next >= d.armed || math.IsInf(next, 1) {
+	if next >= d.timerAt || math.IsInf(next, 1) {
 		return
 	}
 	if d.stop != nil {
 		d.stop()
 	}
-	d.armed = next
-	d.stop = d.clock.AfterFunc(max(0, next-d.clock.Now()), d.fire)
+	d.timerAt = next
+	d.stop = d.clock.AfterFunc(max(0, next-d.clock.Now()), d.timerFired)
 }
 
-func (d *driver) fire() {
+func (d *driver) timerFired() {
 	select {
 	case <-d.closed:
 		return
 	default:
 	}
 	d.mu.Lock()
-	d.armed, d.stop = math.Inf(1), nil
+	d.timerAt, d.stop = math.Inf(1), nil
 	d.mu.Unlock()
 	d.do(nil)
 }
@@ -111,28 +112,28 @@
 	}
 }
 
-// lateness gives quantiles in ms of how late the emulator itself has been.
+// lateness returns quantiles in ms of how late the emulator itself has been.
 func (d *driver) lateness() (p50, p99, worst float64, steps int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return float64(d.late.ValueAtQuantile(50)) / 1000, float64(d.late.ValueAtQuantile(99)) / 1000, float64(d.late.Max()) / 1000, d.late.TotalCount()
+	return float64(d.lateHistogram.ValueAtQuantile(50)) / 1000, float64(d.lateHistogram.ValueAtQuantile(99)) / 1000, float64(d.lateHistogram.Max()) / 1000, d.lateHistogram.TotalCount()
 }
 
-// call is a mailbox for the events of one attempt or place.
+// call queues the events of one attempt or reservation request.
 type call struct {
 	id engine.Call
 
 	mu     sync.Mutex
 	events []engine.Event
-	news   chan struct{}
+	ready  chan struct{}
 }
 
-func (c *call) put(e engine.Event) {
+func (c *call) add(e engine.Event) {
 	c.mu.Lock()
 	c.events = append(c.events, e)
 	c.mu.Unlock()
 	select {
-	case c.news <- struct{}{}:
+	case c.ready <- struct{}{}:
 	default:
 	}
 }
@@ -149,16 +150,16 @@
 		}
 		c.mu.Unlock()
 		select {
-		case <-c.news:
+		case <-c.ready:
 		case <-ctx.Done():
 			return engine.Event{}, context.Cause(ctx)
 		}
 	}
 }
 
-// open makes a call and a mailbox for what comes of it.
-func (d *driver) open(f func(*engine.Fleet) (engine.Call, error)) (*call, error) {
-	c := &call{news: make(chan struct{}, 1)}
+// openCall makes a call to the fleet and registers it for its events.
+func (d *driver) openCall(f func(*engine.Fleet) (engine.Call, error)) (*call, error) {
+	c := &call{ready: make(chan struct{}, 1)}
 	var err error
 	d.do(func(fleet *engine.Fleet) {
 		if c.id, err = f(fleet); err == nil {
@@ -168,8 +169,8 @@
 	return c, err
 }
 
-// give has the model know that nobody waits for a call any more.
-func (d *driver) give(c *call) {
+// cancelCall cancels a call whose caller has gone.
+func (d *driver) cancelCall(c *call) {
 	d.do(func(f *engine.Fleet) {
 		f.Cancel(c.id)
 		delete(d.calls, c.id)
@@ -178,14 +179,14 @@
 
 // sleepUntil waits for a time on the clock.
 func (d *driver) sleepUntil(ctx context.Context, at float64) error {
-	left := at - d.clock.Now()
-	if left <= 0 {
+	remaining := at - d.clock.Now()
+	if remaining <= 0 {
 		return nil
 	}
-	due := make(chan struct{})
-	stop := d.clock.AfterFunc(left, func() { close(due) })
+	expired := make(chan struct{})
+	stop := d.clock.AfterFunc(remaining, func() { close(expired) })
 	select {
-	case <-due:
+	case <-expired:
 		return nil
 	case <-ctx.Done():
 		stop()
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -19,72 +19,72 @@
 	"ashwood.example/ashwood/lab/scenario"
 )
 
-// Config is what an emulator needs.
+// Config holds what an emulator is made from.
 type Config struct {
 	Plan *scenario.Plan
 	IP   string // of all its listeners; "" = 127.83.0.1
-	GRPC bool   // boxes speak gRPC too
-	// Unlisted says that gateways have a list of their own, which nobody changes:
-	// they are told of no drain, and the rule on drains binds them to nothing.
-	Unlisted bool
-	Rules    rules.Limits // that the checker holds gateways to; zero = the platform's
-	Clock    clock.Clock
-	Log      *slog.Logger
+	GRPC bool   // engines serve gRPC too
+	// StaticMembership says that gateways have a fixed membership of their own: they
+	// are notified of no drain, and the rule on drains does not apply to them.
+	StaticMembership bool
+	Rules            rules.Limits // that the checker holds gateways to; zero = the platform's
+	Clock            clock.Clock
+	Log              *slog.Logger
 }
 
-// DefaultIP is a loopback address that clients' own ports do not come from, so
-// that a box finds its address free when it comes back.
+// DefaultIP is a loopback address that clients' ephemeral ports are not taken from,
+// so that a restarted engine finds its address free.
 const DefaultIP = "127.83.0.1"
 
-// sweepEvery is how often the rules on what is held are looked at, in ms.
-const sweepEvery = 100.0
+// sweepInterval is the time between sweeps of the rule checker, in ms.
+const sweepInterval = 100.0
 
-// Emulator is a fleet on sockets. Each gateway reaches each box, and its agent
-// of discovery, at addresses of its own.
+// Emulator is a fleet on sockets. Each gateway reaches each engine, and its
+// discovery agent, at addresses of its own.
 type Emulator struct {
-	plan   *scenario.Plan
-	listed bool
-	clock  clock.Clock
-	log    *slog.Logger
-	ctx    context.Context // ends with Close
-	cancel context.CancelFunc
-	driver *driver
-	rules  *rules.Checker
-	views  [][]*view // by gateway and box
-	boxes  map[string]int
-	http   *http.Server
-	grpc   *grpc.Server
-	agents []*agent
-	serves sync.WaitGroup
+	plan             *scenario.Plan
+	followsDiscovery bool
+	clock            clock.Clock
+	log              *slog.Logger
+	ctx              context.Context // cancelled by Close
+	cancel           context.CancelFunc
+	driver           *driver
+	rules            *rules.Checker
+	endpoints        [][]*endpoint // by gateway and engine
+	engineIndex      map[string]int
+	http             *http.Server
+	grpc             *grpc.Server
+	agents           []*agent
+	servers          sync.WaitGroup
 
-	lists struct {
+	discovery struct {
 		sync.Mutex
 		*news.Discovery
 		waiters map[chan struct{}]struct{}
 		stop    func() bool
 	}
 
-	began float64
-	dirty struct { // boxes whose condition has changed, in order
+	startedAt float64
+	changed   struct { // ids of engines whose condition has changed, in order
 		sync.Mutex
-		boxes []string
-		news  chan struct{}
+		ids   []string
+		ready chan struct{}
 	}
-	fallen    map[string]bool // of the goroutine that follows changes
-	malformed sync.Map        // text of a gateway's malformed requests
+	coldCrashed map[string]bool // used only by the goroutine of applyChanges
+	malformed   sync.Map        // errors of the gateways' malformed requests
 }
 
-// view is a box as one gateway reaches it.
-type view struct {
+// endpoint is an engine as one gateway reaches it.
+type endpoint struct {
 	gateway int
 	spec    engine.Spec
-	reads   bool
-	oneWay  float64 // ms between the two
-	http    *gate
-	grpc    *gate
+	prefill bool
+	oneWay  float64 // network delay in ms between the two
+	http    *gatedListener
+	grpc    *gatedListener
 }
 
-// New opens all listeners. The scenario's time does not run before Begin.
+// New opens all listeners. The scenario's time does not run before Start.
 func New(cfg Config) (*Emulator, error) {
 	if cfg.IP == "" {
 		cfg.IP = DefaultIP
@@ -104,26 +104,26 @@
 		return nil, err
 	}
 	e := &Emulator{
-		plan: cfg.Plan, listed: !cfg.Unlisted, clock: cfg.Clock, log: cfg.Log, rules: rules.New(cfg.Rules), boxes: map[string]int{}, began: now,
+		plan: cfg.Plan, followsDiscovery: !cfg.StaticMembership, clock: cfg.Clock, log: cfg.Log, rules: rules.New(cfg.Rules), engineIndex: map[string]int{}, startedAt: now,
 	}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
-	e.dirty.news, e.fallen = make(chan struct{}, 1), map[string]bool{}
-	e.driver = newDriver(fleet, cfg.Clock, e.mark)
-	e.lists.Discovery = news.New(cfg.Plan, now)
-	e.lists.waiters = map[chan struct{}]struct{}{}
+	e.changed.ready, e.coldCrashed = make(chan struct{}, 1), map[string]bool{}
+	e.driver = newDriver(fleet, cfg.Clock, e.conditionChanged)
+	e.discovery.Discovery = news.New(cfg.Plan, now)
+	e.discovery.waiters = map[chan struct{}]struct{}{}
 	if err := e.listen(cfg); err != nil {
 		return nil, errors.Join(err, e.Close())
 	}
-	e.serve(e.follow)
+	e.runServer(e.applyChanges)
 	var sweep func()
 	sweep = func() {
 		if e.ctx.Err() != nil {
 			return
 		}
-		e.rules.Sweep(e.clock.Now(), e.holding)
-		e.clock.AfterFunc(sweepEvery, sweep)
+		e.rules.Sweep(e.clock.Now(), e.enginesHolding)
+		e.clock.AfterFunc(sweepInterval, sweep)
 	}
-	e.clock.AfterFunc(sweepEvery, sweep)
+	e.clock.AfterFunc(sweepInterval, sweep)
 	return e, nil
 }
 
@@ -132,36 +132,36 @@
 	for _, k := range cfg.Plan.Engine.Kinds {
 		kinds[k.Name] = k.Role
 	}
-	for i, b := range cfg.Plan.Engine.Engines {
-		e.boxes[b.ID] = i
+	for i, spec := range cfg.Plan.Engine.Engines {
+		e.engineIndex[spec.ID] = i
 	}
 	e.serveHTTP()
 	if cfg.GRPC {
 		e.serveGRPC()
 	}
 	for g := range cfg.Plan.Gateways {
-		views := make([]*view, 0, len(cfg.Plan.Engine.Engines))
-		for _, b := range cfg.Plan.Engine.Engines {
-			v := &view{gateway: g, spec: b, reads: kinds[b.Kind] == engine.RolePrefill, oneWay: cfg.Plan.Network.SameMs}
-			if b.Zone != cfg.Plan.Zone(g) {
-				v.oneWay = cfg.Plan.Network.CrossMs
+		endpoints := make([]*endpoint, 0, len(cfg.Plan.Engine.Engines))
+		for _, spec := range cfg.Plan.Engine.Engines {
+			ep := &endpoint{gateway: g, spec: spec, prefill: kinds[spec.Kind] == engine.RolePrefill, oneWay: cfg.Plan.Network.SameMs}
+			if spec.Zone != cfg.Plan.Zone(g) {
+				ep.oneWay = cfg.Plan.Network.CrossMs
 			}
-			views = append(views, v)
+			endpoints = append(endpoints, ep)
 			var err error
-			if v.http, err = e.gate(cfg.IP, b.ID); err != nil {
+			if ep.http, err = e.newListener(cfg.IP, spec.ID); err != nil {
 				return err
 			}
-			e.serve(func() error { return e.http.Serve(taggedListener{v.http, v}) })
+			e.runServer(func() error { return e.http.Serve(taggedListener{ep.http, ep}) })
 			if !cfg.GRPC {
 				continue
 			}
-			if v.grpc, err = e.gate(cfg.IP, b.ID); err != nil {
+			if ep.grpc, err = e.newListener(cfg.IP, spec.ID); err != nil {
 				return err
 			}
-			e.serve(func() error { return e.grpc.Serve(taggedListener{v.grpc, v}) })
+			e.runServer(func() error { return e.grpc.Serve(taggedListener{ep.grpc, ep}) })
 		}
-		e.views = append(e.views, views)
-		a, err := e.openAgent(cfg.IP, g)
+		e.endpoints = append(e.endpoints, endpoints)
+		a, err := e.startAgent(cfg.IP, g)
 		if err != nil {
 			return err
 		}
@@ -170,59 +170,60 @@
 	return nil
 }
 
-func (e *Emulator) gate(ip, box string) (*gate, error) {
-	return openGate(ip, func() (err error) {
-		e.driver.do(func(f *engine.Fleet) { err = f.Connect(box) })
+func (e *Emulator) newListener(ip, engineID string) (*gatedListener, error) {
+	return newGatedListener(ip, func() (err error) {
+		e.driver.do(func(f *engine.Fleet) { err = f.Connect(engineID) })
 		return err
-	}, func() { e.driver.do(func(f *engine.Fleet) { f.Disconnect(box) }) }, func(raw []byte) {
-		for _, m := range attemptID.FindAllSubmatch(raw, -1) {
-			e.rules.AttemptUndelivered(e.clock.Now(), box, string(m[1])+string(m[2]))
+	}, func() { e.driver.do(func(f *engine.Fleet) { f.Disconnect(engineID) }) }, func(raw []byte) {
+		for _, m := range attemptIDPattern.FindAllSubmatch(raw, -1) {
+			e.rules.AttemptUndelivered(e.clock.Now(), engineID, string(m[1])+string(m[2]))
 		}
 	})
 }
 
-// attemptID finds an attempt's id in what comes to a silent box: in HTTP/1.1's
-// head, or in the message of a gRPC call to read or write (its first two fields).
-var attemptID = regexp.MustCompile(`(?i:x-txn: )([0-9a-zA-Z_.:~-]+)|\x0a\x10([0-9a-f]{16})\x12`)
+// attemptIDPattern finds an attempt's id in what is sent to an unreachable engine: in
+// the HTTP/1.1 head, or in the message of a gRPC Read or Write call (its first two
+// fields).
+var attemptIDPattern = regexp.MustCompile(`(?i:x-txn: )([0-9a-zA-Z_.:~-]+)|\x0a\x10([0-9a-f]{16})\x12`)
 
-func (e *Emulator) serve(f func() error) {
-	e.serves.Add(1)
+func (e *Emulator) runServer(f func() error) {
+	e.servers.Add(1)
 	go func() {
-		defer e.serves.Done()
+		defer e.servers.Done()
 		if err := f(); err != nil && e.ctx.Err() == nil {
-			e.log.Error("a listener has ended", "err", err)
+			e.log.Error("server failed", "err", err)
 		}
 	}()
 }
 
-// Begin starts the scenario's time: its faults come from now on.
-func (e *Emulator) Begin() error {
+// Start starts the scenario's time: its faults are counted from now.
+func (e *Emulator) Start() error {
 	var err error
-	e.began = e.clock.Now()
-	e.lists.Lock()
-	e.lists.Discovery = news.New(e.plan, e.began)
-	e.lists.Unlock()
+	e.startedAt = e.clock.Now()
+	e.discovery.Lock()
+	e.discovery.Discovery = news.New(e.plan, e.startedAt)
+	e.discovery.Unlock()
 	e.driver.do(func(f *engine.Fleet) {
-		err = e.begin(f)
+		err = e.preloadCaches(f)
 		for _, fault := range e.plan.Boxes {
-			fault.Start += e.began
+			fault.Start += e.startedAt
 			err = errors.Join(err, f.Inject(fault))
 		}
 	})
-	e.advanceLists()
+	e.advanceDiscovery()
 	return err
 }
 
-// begin fills readers with the shared beginnings that a fleet which has run for
-// long would have: of each class in turn the most used ones.
-func (e *Emulator) begin(f *engine.Fleet) error {
+// preloadCaches fills the prefix caches of prefill engines as in a fleet that has run
+// for long: with the most used prefixes of each class in turn.
+func (e *Emulator) preloadCaches(f *engine.Fleet) error {
 	kinds := map[string]engine.Kind{}
 	for _, k := range e.plan.Engine.Kinds {
 		kinds[k.Name] = k
 	}
-	for _, b := range e.plan.Engine.Engines {
-		k := kinds[b.Kind]
-		left := k.MemoryTokens * e.plan.Fleet.ReadersBegin
+	for _, spec := range e.plan.Engine.Engines {
+		k := kinds[spec.Kind]
+		remaining := k.MemoryTokens * e.plan.Fleet.ReadersBegin
 		for n, more := 0, k.Role == engine.RolePrefill; more; n++ {
 			more = false
 			for class, c := range e.plan.Load.Classes {
@@ -230,11 +231,11 @@
 					continue
 				}
 				name, tokens := e.plan.Prefix(class, n)
-				if left -= float64(tokens); left < 0 {
+				if remaining -= float64(tokens); remaining < 0 {
 					break
 				}
 				more = true
-				if err := f.PreloadCache(b.ID, engine.Prompt{Prefix: name, PrefixTokens: float64(tokens), Tokens: float64(tokens)}); err != nil {
+				if err := f.PreloadCache(spec.ID, engine.Prompt{Prefix: name, PrefixTokens: float64(tokens), Tokens: float64(tokens)}); err != nil {
 					return err
 				}
 			}
@@ -243,117 +244,118 @@
 	return nil
 }
 
-// Began is the scenario's begin on the clock.
-func (e *Emulator) Began() float64 { return e.began }
+// StartedAt returns the scenario's start on the clock.
+func (e *Emulator) StartedAt() float64 { return e.startedAt }
 
-// mark notes that a box has changed. It may be called from within a change, such
-// as by the connections that it closes; follow takes them one by one.
-func (e *Emulator) mark(box string) {
-	e.dirty.Lock()
-	e.dirty.boxes = append(e.dirty.boxes, box)
-	e.dirty.Unlock()
+// conditionChanged records that an engine's condition has changed. It may be called
+// while a change is applied, for instance through the connections that the change
+// closes; applyChanges handles the changes one by one.
+func (e *Emulator) conditionChanged(engineID string) {
+	e.changed.Lock()
+	e.changed.ids = append(e.changed.ids, engineID)
+	e.changed.Unlock()
 	select {
-	case e.dirty.news <- struct{}{}:
+	case e.changed.ready <- struct{}{}:
 	default:
 	}
 }
 
-func (e *Emulator) follow() error {
+func (e *Emulator) applyChanges() error {
 	for {
 		select {
-		case <-e.dirty.news:
+		case <-e.changed.ready:
 		case <-e.ctx.Done():
 			return nil
 		}
 		for {
-			e.dirty.Lock()
-			list := e.dirty.boxes
-			e.dirty.boxes = nil
-			e.dirty.Unlock()
+			e.changed.Lock()
+			list := e.changed.ids
+			e.changed.ids = nil
+			e.changed.Unlock()
 			if len(list) == 0 {
 				break
 			}
-			for _, box := range list {
-				e.changed(box)
+			for _, engineID := range list {
+				e.applyCondition(engineID)
 			}
 		}
 	}
 }
 
-// changed carries a box's new condition to its listeners and to discovery.
-func (e *Emulator) changed(box string) {
+// applyCondition carries an engine's new condition to its listeners and to discovery.
+func (e *Emulator) applyCondition(engineID string) {
 	var c engine.Condition
 	var started float64
 	e.driver.do(func(f *engine.Fleet) {
-		c, _ = f.Condition(box)
-		started = f.StartedAt(box)
+		c, _ = f.Condition(engineID)
+		started = f.StartedAt(engineID)
 	})
 	now := e.clock.Now()
-	i := e.boxes[box]
-	e.log.Info("box", "id", box, "state", c.State, "fallen", c.ColdCrashed, "draining", c.Draining, "hung", c.Hung, "at_ms", now-e.began)
-	for _, views := range e.views {
-		for _, g := range []*gate{views[i].http, views[i].grpc} {
+	i := e.engineIndex[engineID]
+	e.log.Info("box", "id", engineID, "state", c.State, "fallen", c.ColdCrashed, "draining", c.Draining, "hung", c.Hung, "at_ms", now-e.startedAt)
+	for _, endpoints := range e.endpoints {
+		for _, g := range []*gatedListener{endpoints[i].http, endpoints[i].grpc} {
 			if g == nil {
 				continue
 			}
-			if err := g.become(c.State); err != nil && e.ctx.Err() == nil {
-				e.log.Error("a box's listener", "box", box, "err", err)
+			if err := g.setState(c.State); err != nil && e.ctx.Err() == nil {
+				e.log.Error("cannot change the state of an engine's listener", "box", engineID, "err", err)
 			}
 		}
 	}
 	if c.State != engine.Up {
-		e.rules.EngineStopped(box)
+		e.rules.EngineStopped(engineID)
 	}
-	if c.ColdCrashed && !e.fallen[box] {
-		e.rules.EngineColdCrashed(now, box)
+	if c.ColdCrashed && !e.coldCrashed[engineID] {
+		e.rules.EngineColdCrashed(now, engineID)
 	}
-	e.fallen[box] = c.ColdCrashed
-	e.lists.Lock()
-	e.lists.ConditionChanged(now, e.plan.Engine.Engines[i], c, started)
-	e.lists.Unlock()
-	e.advanceLists()
+	e.coldCrashed[engineID] = c.ColdCrashed
+	e.discovery.Lock()
+	e.discovery.ConditionChanged(now, e.plan.Engine.Engines[i], c, started)
+	e.discovery.Unlock()
+	e.advanceDiscovery()
 }
 
-// become has a gate do what a box's state says, where it does something else.
-func (g *gate) become(s engine.State) error {
+// setState brings the listener into the engine's state, if it is in another one.
+func (g *gatedListener) setState(s engine.State) error {
 	g.mu.Lock()
-	was := engine.Up
+	current := engine.Up
 	switch {
-	case g.l == nil:
-		was = engine.Down
+	case g.listener == nil:
+		current = engine.Down
 	case g.blocked:
-		was = engine.Silent
+		current = engine.Silent
 	}
 	g.mu.Unlock()
-	if s == was {
+	if s == current {
 		return nil
 	}
 	switch s {
 	case engine.Down:
-		g.refuse()
+		g.stop()
 		return nil
 	case engine.Silent:
-		return g.silence()
+		return g.block()
 	}
 	return g.open()
 }
 
-// holding lists the boxes that hold something for a request.
-func (e *Emulator) holding(id string) (boxes []string) {
-	e.driver.do(func(f *engine.Fleet) { boxes = f.EnginesHolding(id) })
-	return boxes
+// enginesHolding lists the engines that hold something for a request.
+func (e *Emulator) enginesHolding(id string) (engineIDs []string) {
+	e.driver.do(func(f *engine.Fleet) { engineIDs = f.EnginesHolding(id) })
+	return engineIDs
 }
 
-// closeWait bounds how long Close waits for what is being served.
-const closeWait = 5 * time.Second
+// closeTimeout limits how long Close waits for requests in flight.
+const closeTimeout = 5 * time.Second
 
-// Close ends all that New began.
+// Close ends all that New started.
 func (e *Emulator) Close() error {
 	e.cancel()
 	e.driver.close()
-	for _, views := range e.views {
-		for _, v := range views {
-			for _, g := range []*gate{v.http, v.grpc} {
+	for _, endpoints := range e.endpoints {
+		for _, ep := range endpoints {
+			for _, g := range []*gatedListener{ep.http, ep.grpc} {
 				if g != nil {
 					g.Close()
 				}
@@ -368,12 +370,12 @@
 		e.grpc.Stop()
 	}
 	if e.http != nil {
-		ctx, cancel := context.WithTimeout(context.Background(), closeWait)
+		ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 		defer cancel()
 		if err := e.http.Shutdown(ctx); err != nil {
 			errs = append(errs, fmt.Errorf("emulator: %w", errors.Join(err, e.http.Close())))
 		}
 	}
-	e.serves.Wait()
+	e.servers.Wait()
 	return errors.Join(errs...)
 }
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -25,8 +25,8 @@
 	"ashwood.example/ashwood/lab/scenario"
 )
 
-// small is a reader and a writer in one zone.
-const small = `name = "x"
+// smallFleet has a prefill engine and a decode engine in one zone.
+const smallFleet = `name = "x"
 length_s = 600
 gateways = 1
 [fleet]
@@ -46,7 +46,7 @@
 spread_ms = 0
 `
 
-func open(t *testing.T, text string, grpc bool) *Emulator {
+func openEmulator(t *testing.T, text string, grpc bool) *Emulator {
 	t.Helper()
 	s, err := scenario.Parse([]byte(text))
 	if err != nil {
@@ -69,7 +69,7 @@
 	return e
 }
 
-func attempt(t *testing.T, addr, id string) (*http.Response, error) {
+func postAttempt(t *testing.T, addr, id string) (*http.Response, error) {
 	t.Helper()
 	body := `{"metadata":{"class":"case-chat","session":"s","prefix":"","prompt_len":300,"prefix_len":0},"model":"chat","max_tokens":50,"messages":[]}`
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -83,7 +83,7 @@
 	return http.DefaultClient.Do(req)
 }
 
-func ask(t *testing.T, method, url string) int {
+func requestStatus(t *testing.T, method, url string) int {
 	t.Helper()
 	req, err := http.NewRequest(method, url, nil)
 	if err != nil {
@@ -98,18 +98,18 @@
 	return resp.StatusCode
 }
 
-func TestEngineProtocol(t *testing.T) {
-	e := open(t, small, false)
-	boxes := e.Boxes(0)
-	reader, writer := boxes[0].HTTP, boxes[1].HTTP
+func TestHTTP_EngineProtocol(t *testing.T) {
+	e := openEmulator(t, smallFleet, false)
+	engines := e.Engines(0)
+	prefill, decode := engines[0].HTTP, engines[1].HTTP
 	const id = "00112233445566aa"
-	resp, err := attempt(t, writer, id)
+	resp, err := postAttempt(t, decode, id)
 	if err != nil || resp.StatusCode != http.StatusGone || resp.Header.Get("X-Turned-Away") != "1" {
-		t.Fatalf("a writer without a state: %v, %v", resp, err)
+		t.Fatalf("decode engine without a KV state: %v, %v", resp, err)
 	}
 	resp.Body.Close()
-	if resp, err = attempt(t, reader, id); err != nil || resp.StatusCode != http.StatusAccepted {
-		t.Fatalf("a read: %v, %v", resp, err)
+	if resp, err = postAttempt(t, prefill, id); err != nil || resp.StatusCode != http.StatusAccepted {
+		t.Fatalf("prefill: %v, %v", resp, err)
 	}
 	var kept struct {
 		Cached *int `json:"cached_tokens"`
@@ -119,43 +119,43 @@
 	}
 	resp.Body.Close()
 	if report := wire.ParseReport(resp.Header.Get("X-Pressure")); len(report) != 4 {
-		t.Errorf("report %q", resp.Header.Get("X-Pressure"))
+		t.Errorf("load report %q does not have 4 values", resp.Header.Get("X-Pressure"))
 	}
-	if got := ask(t, http.MethodPost, "http://"+writer+"/bootstrap/rooms/"+id); got != http.StatusNoContent {
-		t.Errorf("a place asked for when the read has ended: %d", got)
+	if got := requestStatus(t, http.MethodPost, "http://"+decode+"/bootstrap/rooms/"+id); got != http.StatusNoContent {
+		t.Errorf("reservation after the prefill's end: status %d", got)
 	}
-	resp, err = attempt(t, writer, id)
+	resp, err = postAttempt(t, decode, id)
 	if err != nil || resp.StatusCode != http.StatusOK || resp.Header.Get("Content-Type") != "text/event-stream" {
-		t.Fatalf("an answer: %v, %v", resp, err)
+		t.Fatalf("answer: %v, %v", resp, err)
 	}
 	text, err := io.ReadAll(resp.Body)
 	if err != nil || !strings.Contains(string(text), "data: [DONE]\n\n: X-Pressure: inflight=") || !strings.Contains(string(text), engine.AnswerText(id, 0, 1)) {
-		t.Fatalf("%s, %v", text, err)
+		t.Fatalf("answer %s, error %v", text, err)
 	}
-	if n := e.Held(); n != 0 {
-		t.Errorf("%d are held", n)
+	if n := e.HoldCount(); n != 0 {
+		t.Errorf("%d requests are still held", n)
 	}
-	if got := ask(t, http.MethodDelete, "http://"+writer+"/bootstrap/rooms/"+id); got != http.StatusNoContent {
-		t.Errorf("a release: %d", got)
+	if got := requestStatus(t, http.MethodDelete, "http://"+decode+"/bootstrap/rooms/"+id); got != http.StatusNoContent {
+		t.Errorf("release: status %d", got)
 	}
 	for path, want := range map[string]int{"/-/load": 200, "/-/healthy": 200, "/v1/chat/completions": 404} {
-		if got := ask(t, http.MethodGet, "http://"+reader+path); got != want {
-			t.Errorf("%s: %d, want %d", path, got, want)
+		if got := requestStatus(t, http.MethodGet, "http://"+prefill+path); got != want {
+			t.Errorf("%s: status %d, want %d", path, got, want)
 		}
 	}
-	resp, err = http.Post("http://"+reader+"/v1/x", "", strings.NewReader("{"))
+	resp, err = http.Post("http://"+prefill+"/v1/x", "", strings.NewReader("{"))
 	if err != nil || resp.StatusCode != http.StatusNotFound {
-		t.Errorf("no id: %v, %v", resp, err)
+		t.Errorf("request without an id: %v, %v", resp, err)
 	}
 	if b := e.Rules().Violations(); len(b) != 0 || len(e.Stats().Malformed) != 0 {
-		t.Errorf("%+v, %+v", b, e.Stats())
+		t.Errorf("violations %+v, stats %+v", b, e.Stats())
 	}
 }
 
-// targets asks the agent, as a gateway does.
-func targets(t *testing.T, e *Emulator, query string) wire.Targets {
+// getTargets asks the agent, as a gateway does.
+func getTargets(t *testing.T, e *Emulator, query string) wire.Targets {
 	t.Helper()
-	resp, err := http.Get("http://" + e.Discovery(0) + "/api/targets" + query)
+	resp, err := http.Get("http://" + e.DiscoveryAddr(0) + "/api/targets" + query)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -166,65 +166,65 @@
 	}
 	list, err := wire.DecodeTargets(raw)
 	if err != nil {
-		t.Fatalf("%s: %v", raw, err)
+		t.Fatalf("decode %s: %v", raw, err)
 	}
 	return list
 }
 
-func TestCrashIsToldAndComesBack(t *testing.T) {
-	e := open(t, small+"[[fault]]\nkind = \"crash\"\nat_s = 0\nlen_s = 0.3\nboxes = [\"prefill-1\"]\n", false)
-	list := targets(t, e, "")
-	if !list.Whole || len(list.Engines) != 2 {
-		t.Fatalf("%+v", list)
+func TestDiscovery_CrashAndReturn(t *testing.T) {
+	e := openEmulator(t, smallFleet+"[[fault]]\nkind = \"crash\"\nat_s = 0\nlen_s = 0.3\nboxes = [\"prefill-1\"]\n", false)
+	snapshot := getTargets(t, e, "")
+	if !snapshot.Whole || len(snapshot.Engines) != 2 {
+		t.Fatalf("snapshot %+v", snapshot)
 	}
-	if err := e.Begin(); err != nil {
+	if err := e.Start(); err != nil {
 		t.Fatal(err)
 	}
-	watch := func(from int64) wire.Targets { return targets(t, e, fmt.Sprintf("?from=%d&hold_ms=20000", from)) }
-	gone := watch(list.Generation)
-	if len(gone.Engines) != 1 || gone.Whole || gone.Engines[0].ID != "prefill-1" || gone.Generation <= list.Generation {
-		t.Fatalf("%+v", gone)
+	watch := func(from int64) wire.Targets { return getTargets(t, e, fmt.Sprintf("?from=%d&hold_ms=20000", from)) }
+	removed := watch(snapshot.Generation)
+	if len(removed.Engines) != 1 || removed.Whole || removed.Engines[0].ID != "prefill-1" || removed.Generation <= snapshot.Generation {
+		t.Fatalf("delta after the crash: %+v", removed)
 	}
-	back := watch(gone.Generation)
-	if len(back.Engines) != 1 || back.Engines[0].Started == 0 {
-		t.Fatalf("%+v", back)
+	restarted := watch(removed.Generation)
+	if len(restarted.Engines) != 1 || restarted.Engines[0].Started == 0 {
+		t.Fatalf("delta after the restart: %+v", restarted)
 	}
-	if resp, err := attempt(t, e.Boxes(0)[0].HTTP, "00112233445566bb"); err != nil || resp.StatusCode != http.StatusAccepted {
-		t.Fatalf("at its old address: %v, %v", resp, err)
+	if resp, err := postAttempt(t, e.Engines(0)[0].HTTP, "00112233445566bb"); err != nil || resp.StatusCode != http.StatusAccepted {
+		t.Fatalf("attempt at the engine's old address: %v, %v", resp, err)
 	}
-	if got := targets(t, e, fmt.Sprintf("?from=%d&hold_ms=10", back.Generation)); len(got.Engines) != 0 || got.Generation != back.Generation {
-		t.Errorf("a watch without news: %+v", got)
+	if got := getTargets(t, e, fmt.Sprintf("?from=%d&hold_ms=10", restarted.Generation)); len(got.Engines) != 0 || got.Generation != restarted.Generation {
+		t.Errorf("watch without a change: %+v", got)
 	}
-	if resp, err := http.Get("http://" + e.Discovery(0) + "/api/targets?from=x"); err != nil || resp.StatusCode != http.StatusBadRequest {
+	if resp, err := http.Get("http://" + e.DiscoveryAddr(0) + "/api/targets?from=x"); err != nil || resp.StatusCode != http.StatusBadRequest {
 		t.Errorf("from=x: %v, %v", resp, err)
 	}
 }
 
-func TestSpoiltAnswers(t *testing.T) {
+func TestHTTP_MalformedAnswers(t *testing.T) {
 	for kind, want := range map[string]string{"spoil-head": "malformed HTTP", "spoil-chunk": "invalid byte in chunk length", "break": "unexpected EOF"} {
-		e := open(t, small+"[[fault]]\nkind = \""+kind+"\"\nat_s = 0\nlen_s = 500\nboxes = [\"decode-a-1\"]\nfactor = 1.0\n", false)
-		if err := e.Begin(); err != nil {
+		e := openEmulator(t, smallFleet+"[[fault]]\nkind = \""+kind+"\"\nat_s = 0\nlen_s = 500\nboxes = [\"decode-a-1\"]\nfactor = 1.0\n", false)
+		if err := e.Start(); err != nil {
 			t.Fatal(err)
 		}
-		boxes := e.Boxes(0)
+		engines := e.Engines(0)
 		const id = "00112233445566cc"
-		if resp, err := attempt(t, boxes[0].HTTP, id); err != nil || resp.StatusCode != http.StatusAccepted {
+		if resp, err := postAttempt(t, engines[0].HTTP, id); err != nil || resp.StatusCode != http.StatusAccepted {
 			t.Fatal(resp, err)
 		}
-		resp, err := attempt(t, boxes[1].HTTP, id)
+		resp, err := postAttempt(t, engines[1].HTTP, id)
 		if err == nil {
 			_, err = io.Copy(io.Discard, bufio.NewReader(resp.Body))
 			resp.Body.Close()
 		}
 		if err == nil || !strings.Contains(err.Error(), want) && !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("%s: %v", kind, err)
+			t.Errorf("%s: the answer ended with the wrong error: %v", kind, err)
 		}
 	}
 }
 
-func TestBoxService(t *testing.T) {
-	e := open(t, small, true)
-	boxes := e.Boxes(0)
+func TestGRPC_BoxService(t *testing.T) {
+	e := openEmulator(t, smallFleet, true)
+	engines := e.Engines(0)
 	dial := func(addr string) ashwoodpb.BoxClient {
 		cc, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 		if err != nil {
@@ -235,21 +235,21 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	ctx = metadata.AppendToOutgoingContext(ctx, metaLeft, "9000")
-	reader, writer := dial(boxes[0].GRPC), dial(boxes[1].GRPC)
+	ctx = metadata.AppendToOutgoingContext(ctx, metadataRemaining, "9000")
+	prefill, decode := dial(engines[0].GRPC), dial(engines[1].GRPC)
 	req := &ashwoodpb.GenerateRequest{RequestId: "00112233445566dd", Class: "case-chat", Session: "s", PromptTokens: 300, MaxTokens: 50}
 	var trailer metadata.MD
-	stream, err := writer.Write(ctx, req)
+	stream, err := decode.Write(ctx, req)
 	if err == nil {
 		_, err = stream.Recv()
 	}
-	if status.Code(err) != codes.FailedPrecondition || len(stream.Trailer().Get(trailerAway)) != 1 {
-		t.Fatalf("a writer without a state: %v", err)
+	if status.Code(err) != codes.FailedPrecondition || len(stream.Trailer().Get(trailerRejected)) != 1 {
+		t.Fatalf("decode engine without a KV state: %v", err)
 	}
-	if _, err := reader.Read(ctx, req, grpc.Trailer(&trailer)); err != nil || wire.ParseReport(strings.Join(trailer.Get(trailerLoad), "")) == nil {
-		t.Fatalf("a read: %v, %v", err, trailer)
+	if _, err := prefill.Read(ctx, req, grpc.Trailer(&trailer)); err != nil || wire.ParseReport(strings.Join(trailer.Get(trailerLoad), "")) == nil {
+		t.Fatalf("prefill: %v, %v", err, trailer)
 	}
-	if stream, err = writer.Write(ctx, req); err != nil {
+	if stream, err = decode.Write(ctx, req); err != nil {
 		t.Fatal(err)
 	}
 	text := ""
@@ -264,18 +264,18 @@
 		text += piece.GetText()
 	}
 	if want := engine.AnswerText(req.GetRequestId(), 0, len(text)/4); text != want || text == "" {
-		t.Errorf("the answer %q, want %q", text, want)
+		t.Errorf("answer %q, want %q", text, want)
 	}
-	if _, err := writer.Release(ctx, &ashwoodpb.RoomRequest{RequestId: req.GetRequestId()}); err != nil {
+	if _, err := decode.Release(ctx, &ashwoodpb.RoomRequest{RequestId: req.GetRequestId()}); err != nil {
 		t.Error(err)
 	}
-	if _, err := reader.Load(ctx, &ashwoodpb.LoadRequest{}); err != nil {
+	if _, err := prefill.Load(ctx, &ashwoodpb.LoadRequest{}); err != nil {
 		t.Error(err)
 	}
-	if _, err := reader.Read(ctx, &ashwoodpb.GenerateRequest{RequestId: "x"}); status.Code(err) != codes.InvalidArgument {
-		t.Errorf("no class: %v", err)
+	if _, err := prefill.Read(ctx, &ashwoodpb.GenerateRequest{RequestId: "x"}); status.Code(err) != codes.InvalidArgument {
+		t.Errorf("request without a class: %v", err)
 	}
 	if b := e.Rules().Violations(); len(b) != 0 {
-		t.Errorf("%+v", b)
+		t.Errorf("violations %+v", b)
 	}
 }
--- a/lab/emulator/gate.go
+++ b/lab/emulator/gate.go
@@ -10,63 +10,64 @@
 	"ashwood.example/ashwood/lab/backlog"
 )
 
-// gate is a box's listener that can do what machines do: run, refuse connects,
-// or let none come up. It keeps its address through all of that.
-type gate struct {
-	mu      sync.Mutex
-	addr    string
-	l       *net.TCPListener
-	accepts chan *net.TCPConn
-	fillers []net.Conn
-	blocked bool
-	conns   map[*conn]struct{}
-	frozen  chan struct{} // closed while bytes pass; replaced at a freeze
-	stopped chan struct{}
-	loops   sync.WaitGroup
-	unheard func([]byte) // told of what comes in a silence
-	admit   func() error // asks the model for a connection's place
-	leave   func()
+// gatedListener is an engine's listener that can behave as machines do: accept
+// connections, refuse them, or let connects time out. It keeps its address
+// throughout.
+type gatedListener struct {
+	mu            sync.Mutex
+	addr          string
+	listener      *net.TCPListener
+	accepted      chan *net.TCPConn
+	fillers       []net.Conn
+	blocked       bool
+	conns         map[*trackedConn]struct{}
+	unblocked     chan struct{} // closed while bytes pass; replaced when the listener is blocked
+	stopped       chan struct{}
+	loops         sync.WaitGroup
+	onUndelivered func([]byte) // called with bytes that arrive while blocked
+	connect       func() error // asks the model for room for a connection
+	disconnect    func()
 }
 
-var errGateClosed = fmt.Errorf("emulator: %w", net.ErrClosed)
+var errListenerClosed = fmt.Errorf("emulator: %w", net.ErrClosed)
 
-func openGate(ip string, admit func() error, leave func(), unheard func([]byte)) (*gate, error) {
-	passing := make(chan struct{})
-	close(passing)
-	g := &gate{
-		addr: net.JoinHostPort(ip, "0"), accepts: make(chan *net.TCPConn), conns: map[*conn]struct{}{}, frozen: passing,
-		stopped: make(chan struct{}), admit: admit, leave: leave, unheard: unheard,
+func newGatedListener(ip string, connect func() error, disconnect func(), onUndelivered func([]byte)) (*gatedListener, error) {
+	unblocked := make(chan struct{})
+	close(unblocked)
+	g := &gatedListener{
+		addr: net.JoinHostPort(ip, "0"), accepted: make(chan *net.TCPConn), conns: map[*trackedConn]struct{}{}, unblocked: unblocked,
+		stopped: make(chan struct{}), connect: connect, disconnect: disconnect, onUndelivered: onUndelivered,
 	}
 	if err := g.listen(); err != nil {
 		return nil, err
 	}
-	g.addr = g.l.Addr().String() // for good
+	g.addr = g.listener.Addr().String() // kept from now on
 	return g, nil
 }
 
-// listen begins to take connections at the gate's address.
-func (g *gate) listen() error {
+// listen starts to accept connections at the listener's address.
+func (g *gatedListener) listen() error {
 	l, err := net.Listen("tcp", g.addr)
 	if err != nil {
 		return fmt.Errorf("emulator: %w", err)
 	}
-	g.l = l.(*net.TCPListener)
+	g.listener = l.(*net.TCPListener)
 	g.blocked = false
 	g.loops.Add(1)
-	go g.loop(g.l)
+	go g.acceptLoop(g.listener)
 	return nil
 }
 
-// loop accepts until the listener closes. While the gate is blocked nothing is
-// accepted, so that the kernel's queue stays full.
-func (g *gate) loop(l *net.TCPListener) {
+// acceptLoop accepts until the listener closes. While the listener is blocked nothing
+// is accepted, so that the kernel's queue stays full.
+func (g *gatedListener) acceptLoop(l *net.TCPListener) {
 	defer g.loops.Done()
 	for {
 		c, err := l.AcceptTCP()
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() { // blocked
 			g.mu.Lock()
-			wait := g.frozen
+			wait := g.unblocked
 			g.mu.Unlock()
 			select {
 			case <-wait:
@@ -79,7 +80,7 @@
 			return
 		}
 		select {
-		case g.accepts <- c:
+		case g.accepted <- c:
 		case <-g.stopped:
 			c.Close()
 			return
@@ -87,28 +88,28 @@
 	}
 }
 
-// Accept gives a connection that the model has room for. Others are reset.
-func (g *gate) Accept() (net.Conn, error) {
+// Accept returns a connection that the model has room for. Others are reset.
+func (g *gatedListener) Accept() (net.Conn, error) {
 	for {
 		select {
-		case c := <-g.accepts:
-			if g.admit() != nil {
-				reset(c)
+		case c := <-g.accepted:
+			if g.connect() != nil {
+				resetConn(c)
 				continue
 			}
 			g.mu.Lock()
-			out := &conn{Conn: c, tcp: c, gate: g}
-			g.conns[out] = struct{}{}
+			tracked := &trackedConn{Conn: c, tcp: c, listener: g}
+			g.conns[tracked] = struct{}{}
 			g.mu.Unlock()
-			return out, nil
+			return tracked, nil
 		case <-g.stopped:
-			return nil, errGateClosed
+			return nil, errListenerClosed
 		}
 	}
 }
 
-// Close ends the gate for good.
-func (g *gate) Close() error {
+// Close closes the listener for good.
+func (g *gatedListener) Close() error {
 	g.mu.Lock()
 	select {
 	case <-g.stopped:
@@ -118,26 +119,26 @@
 	}
 	close(g.stopped)
 	g.mu.Unlock()
-	g.refuse()
+	g.stop()
 	g.loops.Wait()
 	return nil
 }
 
-// Addr is the gate's address.
-func (g *gate) Addr() net.Addr {
+// Addr returns the listener's address.
+func (g *gatedListener) Addr() net.Addr {
 	a, err := net.ResolveTCPAddr("tcp", g.addr)
 	if err != nil {
-		panic(err) // it was a listener's
+		panic(err) // the address came from a listener
 	}
 	return a
 }
 
-// refuse is the process's death: connections are reset and connects refused.
-func (g *gate) refuse() {
+// stop behaves as a process that has died: connections are reset and connects refused.
+func (g *gatedListener) stop() {
 	g.mu.Lock()
 	g.unblock()
-	l := g.l
-	g.l = nil
+	l := g.listener
+	g.listener = nil
 	g.mu.Unlock()
 	if l != nil {
 		l.Close()
@@ -145,20 +146,21 @@
 	g.resetAll()
 }
 
-// silence is the machine's vanishing: what is open stays open and says nothing,
-// and no connect comes up, since the kernel's queue of them is kept full.
-func (g *gate) silence() error {
+// block behaves as a machine that has become unreachable: open connections stay open
+// without any answer, and connects time out, since the kernel's accept queue is kept
+// full.
+func (g *gatedListener) block() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.l == nil || g.blocked {
+	if g.listener == nil || g.blocked {
 		return nil
 	}
 	g.blocked = true
-	g.frozen = make(chan struct{})
-	if err := g.l.SetDeadline(time.Unix(1, 0)); err != nil {
+	g.unblocked = make(chan struct{})
+	if err := g.listener.SetDeadline(time.Unix(1, 0)); err != nil {
 		return fmt.Errorf("emulator: %w", err)
 	}
-	fillers, err := backlog.Fill(g.l)
+	fillers, err := backlog.Fill(g.listener)
 	g.fillers = append(g.fillers, fillers...)
 	if err != nil {
 		return fmt.Errorf("emulator: %w", err)
@@ -166,8 +168,8 @@
 	return nil
 }
 
-// unblock ends a silence; the caller holds the lock.
-func (g *gate) unblock() {
+// unblock ends a block; the caller holds the lock.
+func (g *gatedListener) unblock() {
 	if !g.blocked {
 		return
 	}
@@ -176,12 +178,12 @@
 		c.Close()
 	}
 	g.fillers = nil
-	close(g.frozen)
+	close(g.unblocked)
 }
 
-// open lets connections come up again. What was open is reset: the box has
-// started anew.
-func (g *gate) open() error {
+// open accepts connections again. Connections that were open are reset: the engine
+// has restarted.
+func (g *gatedListener) open() error {
 	g.resetAll()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -190,21 +192,21 @@
 		return nil
 	default:
 	}
-	if g.l != nil && g.blocked { // the queue's length is set anew with a new listener
-		l := g.l
-		g.l = nil
+	if g.listener != nil && g.blocked { // a new listener has the full length of the accept queue again
+		l := g.listener
+		g.listener = nil
 		g.unblock()
 		l.Close()
 	}
-	if g.l == nil {
+	if g.listener == nil {
 		return g.listen()
 	}
 	return nil
 }
 
-func (g *gate) resetAll() {
+func (g *gatedListener) resetAll() {
 	g.mu.Lock()
-	list := make([]*conn, 0, len(g.conns))
+	list := make([]*trackedConn, 0, len(g.conns))
 	for c := range g.conns {
 		list = append(list, c)
 	}
@@ -214,75 +216,75 @@
 	}
 }
 
-func reset(c *net.TCPConn) {
-	_ = c.SetLinger(0) // a reset in place of an ordinary end; without it the close still ends it
+func resetConn(c *net.TCPConn) {
+	_ = c.SetLinger(0) // a reset instead of a regular close; if this fails, the close still ends the connection
 	c.Close()
 }
 
-// conn is a connection that says nothing while its box is silent.
-type conn struct {
-	net.Conn // without the methods that would go round Write
+// trackedConn is a connection that sends nothing while its engine is unreachable.
+type trackedConn struct {
+	net.Conn // without the methods that would bypass Write
 	tcp      *net.TCPConn
-	gate     *gate
+	listener *gatedListener
 	once     sync.Once
 }
 
-// Read gives what has come. The end of a connection is told in a silence too,
-// for the emulator's own books; nothing is answered to it.
-func (c *conn) Read(p []byte) (int, error) {
+// Read returns what has arrived. While blocked, it still returns the end of the
+// connection, for the emulator's own bookkeeping; nothing is sent in answer.
+func (c *trackedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	for n > 0 && c.gate.isSilent() {
-		c.gate.unheard(p[:n])
-		n, err = c.Conn.Read(p) // until the caller gives up, or the reset at the silence's end
-		if n > 0 && !c.gate.isSilent() {
+	for n > 0 && c.listener.isBlocked() {
+		c.listener.onUndelivered(p[:n])
+		n, err = c.Conn.Read(p) // until the caller closes, or the reset at the end of the block
+		if n > 0 && !c.listener.isBlocked() {
 			return 0, net.ErrClosed
 		}
 	}
 	return n, err
 }
 
-func (g *gate) isSilent() bool {
+func (g *gatedListener) isBlocked() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.blocked
 }
 
-func (c *conn) Write(p []byte) (int, error) {
-	if c.silent() {
+func (c *trackedConn) Write(p []byte) (int, error) {
+	if c.waitUnblocked() {
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(p)
 }
 
-// silent waits for the end of a silence, and tells whether there was one: what
-// came or was to go then is lost, and the connection is reset.
-func (c *conn) silent() bool {
-	c.gate.mu.Lock()
-	frozen, was := c.gate.frozen, c.gate.blocked
-	c.gate.mu.Unlock()
-	if !was {
+// waitUnblocked waits for the end of a block, and tells whether there was one: what
+// arrived or was to be sent then is lost, and the connection is reset.
+func (c *trackedConn) waitUnblocked() bool {
+	c.listener.mu.Lock()
+	unblocked, blocked := c.listener.unblocked, c.listener.blocked
+	c.listener.mu.Unlock()
+	if !blocked {
 		return false
 	}
 	select {
-	case <-frozen:
-	case <-c.gate.stopped:
+	case <-unblocked:
+	case <-c.listener.stopped:
 	}
 	return true
 }
 
-func (c *conn) reset() {
+func (c *trackedConn) reset() {
 	_ = c.tcp.SetLinger(0)
 	c.Close()
 }
 
-// Close ends the connection and gives its place at the box back.
-func (c *conn) Close() error {
+// Close ends the connection and returns its room at the engine.
+func (c *trackedConn) Close() error {
 	err := c.Conn.Close()
 	c.once.Do(func() {
-		c.gate.mu.Lock()
-		delete(c.gate.conns, c)
-		c.gate.mu.Unlock()
-		c.gate.leave()
+		c.listener.mu.Lock()
+		delete(c.listener.conns, c)
+		c.listener.mu.Unlock()
+		c.listener.disconnect()
 	})
 	return err
 }
--- a/lab/emulator/grpc.go
+++ b/lab/emulator/grpc.go
@@ -15,50 +15,51 @@
 	"ashwood.example/ashwood/lab/engine"
 )
 
-// Metadata of the boxes' gRPC protocol.
+// Metadata of the engines' gRPC protocol.
 const (
-	trailerAway = "ashwood-turned-away"
-	trailerLoad = "ashwood-load"
-	metaLeft    = "ashwood-remaining-ms"
+	trailerRejected   = "ashwood-turned-away"
+	trailerLoad       = "ashwood-load"
+	metadataRemaining = "ashwood-remaining-ms"
 )
 
-// boxServer is the gRPC Box service of all boxes; the connection tells which.
-type boxServer struct {
+// engineServer is the gRPC Box service of all engines; the connection tells which
+// engine is meant.
+type engineServer struct {
 	ashwoodpb.UnimplementedBoxServer
-	e *Emulator
+	emulator *Emulator
 }
 
 func (e *Emulator) serveGRPC() {
-	e.grpc = grpc.NewServer(grpc.StatsHandler(&connTags{e: e}), grpc.MaxRecvMsgSize(maxBody+4096))
-	ashwoodpb.RegisterBoxServer(e.grpc, &boxServer{e: e})
+	e.grpc = grpc.NewServer(grpc.StatsHandler(&connTags{emulator: e}), grpc.MaxRecvMsgSize(maxBody+4096))
+	ashwoodpb.RegisterBoxServer(e.grpc, &engineServer{emulator: e})
 }
 
-// connTags marks calls with the view whose listener their connection came by.
+// connTags tags calls with the endpoint whose listener accepted their connection.
 type connTags struct {
-	e    *Emulator
-	once sync.Once
-	byAt map[string]*view
+	emulator *Emulator
+	once     sync.Once
+	byAddr   map[string]*endpoint
 }
 
 func (t *connTags) TagConn(ctx context.Context, info *stats.ConnTagInfo) context.Context {
 	t.once.Do(func() {
-		t.byAt = map[string]*view{}
-		for _, views := range t.e.views {
-			for _, v := range views {
-				t.byAt[v.grpc.addr] = v
+		t.byAddr = map[string]*endpoint{}
+		for _, endpoints := range t.emulator.endpoints {
+			for _, ep := range endpoints {
+				t.byAddr[ep.grpc.addr] = ep
 			}
 		}
 	})
-	return context.WithValue(ctx, viewKey{}, t.byAt[info.LocalAddr.String()])
+	return context.WithValue(ctx, endpointKey{}, t.byAddr[info.LocalAddr.String()])
 }
 
 func (t *connTags) HandleConn(context.Context, stats.ConnStats)                     {}
 func (t *connTags) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 func (t *connTags) HandleRPC(context.Context, stats.RPCStats)                       {}
 
-func viewIn(ctx context.Context) *view { return ctx.Value(viewKey{}).(*view) }
+func endpointFrom(ctx context.Context) *endpoint { return ctx.Value(endpointKey{}).(*endpoint) }
 
-func jobOf(ctx context.Context, in *ashwoodpb.GenerateRequest) (engine.Job, error) {
+func jobFromProto(ctx context.Context, in *ashwoodpb.GenerateRequest) (engine.Job, error) {
 	j := engine.Job{
 		Request: in.GetRequestId(), Class: in.GetClass(), MaxOutputTokens: int(in.GetMaxTokens()),
 		Prompt: engine.Prompt{
@@ -66,10 +67,10 @@
 		},
 	}
 	md, _ := metadata.FromIncomingContext(ctx)
-	if v := md.Get(metaLeft); len(v) == 1 {
+	if v := md.Get(metadataRemaining); len(v) == 1 {
 		left, err := strconv.ParseFloat(v[0], 64)
 		if err != nil || left < 0 {
-			return j, status.Errorf(codes.InvalidArgument, "%s: %q", metaLeft, v[0])
+			return j, status.Errorf(codes.InvalidArgument, "%s: %q", metadataRemaining, v[0])
 		}
 		j.Remaining = left
 	}
@@ -79,19 +80,19 @@
 	return j, nil
 }
 
-// grpcAnswer writes an attempt's answer as a gRPC call's.
+// grpcAnswer writes an attempt's answer to a gRPC call.
 type grpcAnswer struct {
-	id      string
-	stream  grpc.ServerStreamingServer[ashwoodpb.Token] // of a Write
-	trailer func(metadata.MD)
-	kept    int
-	err     error
+	requestID    string
+	stream       grpc.ServerStreamingServer[ashwoodpb.Token] // of a Write call
+	trailer      func(metadata.MD)
+	cachedTokens int
+	err          error
 }
 
-func (a *grpcAnswer) load(report string) { a.trailer(metadata.Pairs(trailerLoad, report)) }
+func (a *grpcAnswer) setLoad(report string) { a.trailer(metadata.Pairs(trailerLoad, report)) }
 
-func (a *grpcAnswer) away(ev engine.Event, report string) {
-	a.trailer(metadata.Pairs(trailerLoad, report, trailerAway, "1"))
+func (a *grpcAnswer) rejected(ev engine.Event, report string) {
+	a.trailer(metadata.Pairs(trailerLoad, report, trailerRejected, "1"))
 	code := codes.Unavailable
 	if ev.Kind == engine.EventNoState {
 		code = codes.FailedPrecondition
@@ -99,76 +100,76 @@
 	a.err = status.Error(code, "turned away: "+ev.Reason)
 }
 
-func (a *grpcAnswer) read(ev engine.Event, report string) {
-	a.load(report)
-	a.kept = ev.CachedTokens
+func (a *grpcAnswer) prefilled(ev engine.Event, report string) {
+	a.setLoad(report)
+	a.cachedTokens = ev.CachedTokens
 }
 
 func (a *grpcAnswer) failed(report string) {
-	a.load(report)
+	a.setLoad(report)
 	a.err = status.Error(codes.Internal, "error")
 }
 
 func (a *grpcAnswer) tokens(from int, ev engine.Event) {
-	// A caller that has gone shows in the call's context.
-	_ = a.stream.Send(&ashwoodpb.Token{Text: engine.AnswerText(a.id, from, ev.Tokens)})
+	// If the caller has gone, the call's context shows it.
+	_ = a.stream.Send(&ashwoodpb.Token{Text: engine.AnswerText(a.requestID, from, ev.Tokens)})
 }
 
-func (a *grpcAnswer) end(_ int, _ engine.Event, report string) {
-	a.load(report)
+func (a *grpcAnswer) finished(_ int, _ engine.Event, report string) {
+	a.setLoad(report)
 	_ = a.stream.Send(&ashwoodpb.Token{FinishReason: "stop"})
 }
 
-// spoil sends what is no message; the call then ends as broken.
-func (a *grpcAnswer) spoil(engine.StreamFault) {
+// malformed ends the call as broken, in place of a message that can't be decoded.
+func (a *grpcAnswer) malformed(engine.StreamFault) {
 	a.err = status.Error(codes.DataLoss, "spoilt")
 }
 
-func (a *grpcAnswer) lost() { a.err = status.Error(codes.DataLoss, "the stream broke") }
+func (a *grpcAnswer) broken() { a.err = status.Error(codes.DataLoss, "the stream broke") }
 
-func (a *grpcAnswer) hold(ctx context.Context) {
+func (a *grpcAnswer) stall(ctx context.Context) {
 	if a.err == nil {
 		<-ctx.Done()
 	}
 }
 
-// Read reads a prompt.
-func (s *boxServer) Read(ctx context.Context, in *ashwoodpb.GenerateRequest) (*ashwoodpb.ReadResult, error) {
-	first := s.e.clock.Now()
-	j, err := jobOf(ctx, in)
+// Read prefills a prompt.
+func (s *engineServer) Read(ctx context.Context, in *ashwoodpb.GenerateRequest) (*ashwoodpb.ReadResult, error) {
+	firstByte := s.emulator.clock.Now()
+	j, err := jobFromProto(ctx, in)
 	if err != nil {
 		return nil, err
 	}
-	a := &grpcAnswer{id: j.Request, trailer: func(md metadata.MD) { _ = grpc.SetTrailer(ctx, md) }} // fails only outside a call
-	s.e.run(ctx, viewIn(ctx), first, j, a)
+	a := &grpcAnswer{requestID: j.Request, trailer: func(md metadata.MD) { _ = grpc.SetTrailer(ctx, md) }} // fails only outside a call
+	s.emulator.serveAttempt(ctx, endpointFrom(ctx), firstByte, j, a)
 	if a.err == nil {
 		a.err = ctx.Err()
 	}
-	return &ashwoodpb.ReadResult{CachedTokens: uint32(a.kept)}, a.err
+	return &ashwoodpb.ReadResult{CachedTokens: uint32(a.cachedTokens)}, a.err
 }
 
-// Write fetches the state and streams the answer.
-func (s *boxServer) Write(in *ashwoodpb.GenerateRequest, stream grpc.ServerStreamingServer[ashwoodpb.Token]) error {
-	ctx, first := stream.Context(), s.e.clock.Now()
-	j, err := jobOf(ctx, in)
+// Write fetches the KV state and streams the answer.
+func (s *engineServer) Write(in *ashwoodpb.GenerateRequest, stream grpc.ServerStreamingServer[ashwoodpb.Token]) error {
+	ctx, firstByte := stream.Context(), s.emulator.clock.Now()
+	j, err := jobFromProto(ctx, in)
 	if err != nil {
 		return err
 	}
-	a := &grpcAnswer{id: j.Request, stream: stream, trailer: stream.SetTrailer}
-	s.e.run(ctx, viewIn(ctx), first, j, a)
+	a := &grpcAnswer{requestID: j.Request, stream: stream, trailer: stream.SetTrailer}
+	s.emulator.serveAttempt(ctx, endpointFrom(ctx), firstByte, j, a)
 	if a.err == nil {
 		a.err = ctx.Err()
 	}
 	return a.err
 }
 
-// Reserve asks for a place.
-func (s *boxServer) Reserve(ctx context.Context, in *ashwoodpb.RoomRequest) (*ashwoodpb.ReserveResult, error) {
-	v, first := viewIn(ctx), s.e.clock.Now()
-	if err := s.e.travel(ctx, v, first); err != nil {
+// Reserve asks for a reservation.
+func (s *engineServer) Reserve(ctx context.Context, in *ashwoodpb.RoomRequest) (*ashwoodpb.ReserveResult, error) {
+	ep, firstByte := endpointFrom(ctx), s.emulator.clock.Now()
+	if err := s.emulator.networkDelay(ctx, ep, firstByte); err != nil {
 		return nil, err
 	}
-	kind, report, ok := s.e.place(ctx, v, in.GetRequestId(), first)
+	kind, report, ok := s.emulator.askReservation(ctx, ep, in.GetRequestId(), firstByte)
 	if !ok {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -180,18 +181,18 @@
 	return &ashwoodpb.ReserveResult{Held: kind == engine.EventReserved}, nil
 }
 
-// Release lets go of what is held.
-func (s *boxServer) Release(ctx context.Context, in *ashwoodpb.RoomRequest) (*ashwoodpb.ReleaseResult, error) {
-	if !s.e.letGo(ctx, viewIn(ctx), in.GetRequestId()) {
+// Release releases what is held for a request.
+func (s *engineServer) Release(ctx context.Context, in *ashwoodpb.RoomRequest) (*ashwoodpb.ReleaseResult, error) {
+	if !s.emulator.releaseHolds(ctx, endpointFrom(ctx), in.GetRequestId()) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	return &ashwoodpb.ReleaseResult{}, nil
 }
 
-// Load tells the load report.
-func (s *boxServer) Load(ctx context.Context, _ *ashwoodpb.LoadRequest) (*ashwoodpb.LoadResult, error) {
-	report, ok := s.e.load(ctx, viewIn(ctx))
+// Load returns the load report.
+func (s *engineServer) Load(ctx context.Context, _ *ashwoodpb.LoadRequest) (*ashwoodpb.LoadResult, error) {
+	report, ok := s.emulator.probeLoad(ctx, endpointFrom(ctx))
 	if !ok {
 		<-ctx.Done()
 		return nil, ctx.Err()
--- a/lab/emulator/http.go
+++ b/lab/emulator/http.go
@@ -15,23 +15,23 @@
 
 // Names of the platform's protocol.
 const (
-	headerID   = "X-Txn"
-	headerLeft = "X-Remaining"
-	headerLoad = "X-Pressure"
-	headerAway = "X-Turned-Away"
-	roomsPath  = "/bootstrap/rooms/"
-	maxBody    = 256 << 10
+	headerID        = "X-Txn"
+	headerRemaining = "X-Remaining"
+	headerLoad      = "X-Pressure"
+	headerRejected  = "X-Turned-Away"
+	holdsPath       = "/bootstrap/rooms/"
+	maxBody         = 256 << 10
 )
 
-// taggedListener marks connections with the view that they came by.
+// taggedListener tags connections with the endpoint whose listener accepted them.
 type taggedListener struct {
 	net.Listener
-	view *view
+	endpoint *endpoint
 }
 
 type taggedConn struct {
 	net.Conn
-	view *view
+	endpoint *endpoint
 }
 
 func (l taggedListener) Accept() (net.Conn, error) {
@@ -39,66 +39,66 @@
 	if err != nil {
 		return nil, err
 	}
-	return taggedConn{c, l.view}, nil
+	return taggedConn{c, l.endpoint}, nil
 }
 
-type viewKey struct{}
+type endpointKey struct{}
 
 func (e *Emulator) serveHTTP() {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+roomsPath+"{id}", e.reserve)
-	mux.HandleFunc("DELETE "+roomsPath+"{id}", e.release)
-	mux.HandleFunc("GET /-/load", e.probe)
-	mux.HandleFunc("GET /-/healthy", e.probe)
-	mux.HandleFunc("/", e.attempt)
+	mux.HandleFunc("POST "+holdsPath+"{id}", e.handleReserve)
+	mux.HandleFunc("DELETE "+holdsPath+"{id}", e.handleRelease)
+	mux.HandleFunc("GET /-/load", e.handleLoad)
+	mux.HandleFunc("GET /-/healthy", e.handleLoad)
+	mux.HandleFunc("/", e.handleAttempt)
 	e.http = &http.Server{
 		Handler: mux, MaxHeaderBytes: 64 << 10,
 		BaseContext: func(net.Listener) context.Context { return e.ctx },
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, viewKey{}, c.(taggedConn).view)
+			return context.WithValue(ctx, endpointKey{}, c.(taggedConn).endpoint)
 		},
 	}
 }
 
-func viewOf(r *http.Request) *view { return r.Context().Value(viewKey{}).(*view) }
+func requestEndpoint(r *http.Request) *endpoint { return r.Context().Value(endpointKey{}).(*endpoint) }
 
-// travel waits for as long as bytes that leave at a time are on their way.
-func (e *Emulator) travel(ctx context.Context, v *view, from float64) error {
-	return e.driver.sleepUntil(ctx, from+v.oneWay)
+// networkDelay waits until bytes that were sent at the given time have arrived.
+func (e *Emulator) networkDelay(ctx context.Context, ep *endpoint, from float64) error {
+	return e.driver.sleepUntil(ctx, from+ep.oneWay)
 }
 
-// silent waits until the caller closes: the box says nothing to this call.
-func silent(ctx context.Context) {
+// neverAnswer waits until the caller closes: this call gets no answer.
+func neverAnswer(ctx context.Context) {
 	<-ctx.Done()
 	panic(http.ErrAbortHandler)
 }
 
-// bodyJSON is what a box reads of a request's body. Gateways pass bodies on
-// unchanged and need not pass on headers, so the lab's clients tell the rest in
-// the metadata, where the API has room for it.
+// bodyJSON is what an engine reads of a request's body. Gateways pass bodies on
+// unchanged and need not pass on headers, so the lab's clients put the rest into the
+// metadata, where the API has room for it.
 type bodyJSON struct {
 	Metadata  *metadataJSON `json:"metadata"`
 	MaxTokens int           `json:"max_tokens"`
 }
 
 type metadataJSON struct {
-	Class  string  `json:"class"`
-	Talk   string  `json:"session"`
-	Prefix string  `json:"prefix"`
-	Prompt float64 `json:"prompt_len"`
-	Shared float64 `json:"prefix_len"`
+	Class        string  `json:"class"`
+	Session      string  `json:"session"`
+	Prefix       string  `json:"prefix"`
+	PromptTokens float64 `json:"prompt_len"`
+	PrefixTokens float64 `json:"prefix_len"`
 }
 
-// charsAToken is how long a token is in a prompt's text.
-const charsAToken = 4
+// charsPerToken is the length of a token in a prompt's text.
+const charsPerToken = 4
 
-// parseJob reads what the model needs. Of a body without metadata, the length
-// tells the prompt's, and the class is the fleet's first.
+// parseJob reads what the model needs. Without metadata in the body, the prompt's
+// length is taken from the body's length, and the class is the fleet's first.
 func parseJob(h http.Header, body []byte, firstClass string) (engine.Job, error) {
 	j := engine.Job{Request: h.Get(headerID)}
-	left, err := strconv.ParseFloat(h.Get(headerLeft), 64)
+	left, err := strconv.ParseFloat(h.Get(headerRemaining), 64)
 	if err != nil || !(left >= 0) {
-		return j, fmt.Errorf("%s: %q", headerLeft, h.Get(headerLeft))
+		return j, fmt.Errorf("%s: %q", headerRemaining, h.Get(headerRemaining))
 	}
 	j.Remaining = left * 1000
 	if len(body) > maxBody {
@@ -110,25 +110,25 @@
 	}
 	m := in.Metadata
 	if m == nil {
-		m = &metadataJSON{Class: firstClass, Talk: j.Request, Prompt: float64(len(body) / charsAToken)}
+		m = &metadataJSON{Class: firstClass, Session: j.Request, PromptTokens: float64(len(body) / charsPerToken)}
 	}
 	j.Class, j.MaxOutputTokens = m.Class, in.MaxTokens
-	j.Prompt = engine.Prompt{Session: m.Talk, Prefix: m.Prefix, Tokens: m.Prompt, PrefixTokens: m.Shared}
-	if !(m.Prompt >= 1) || !(m.Shared >= 0) || m.Shared > m.Prompt || j.MaxOutputTokens < 0 {
-		return j, fmt.Errorf("the body: a prompt of %v tokens, %v of them shared, for %d at most", m.Prompt, m.Shared, j.MaxOutputTokens)
+	j.Prompt = engine.Prompt{Session: m.Session, Prefix: m.Prefix, Tokens: m.PromptTokens, PrefixTokens: m.PrefixTokens}
+	if !(m.PromptTokens >= 1) || !(m.PrefixTokens >= 0) || m.PrefixTokens > m.PromptTokens || j.MaxOutputTokens < 0 {
+		return j, fmt.Errorf("the body: a prompt of %v tokens, %v of them shared, for %d at most", m.PromptTokens, m.PrefixTokens, j.MaxOutputTokens)
 	}
 	return j, nil
 }
 
-func (e *Emulator) attempt(w http.ResponseWriter, r *http.Request) {
-	v, first := viewOf(r), e.clock.Now()
+func (e *Emulator) handleAttempt(w http.ResponseWriter, r *http.Request) {
+	ep, firstByte := requestEndpoint(r), e.clock.Now()
 	if r.Header.Get(headerID) == "" {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody+1))
 	if err != nil {
-		panic(http.ErrAbortHandler) // it never was whole
+		panic(http.ErrAbortHandler) // the body was never complete
 	}
 	j, err := parseJob(r.Header, body, e.plan.Engine.Classes[0].Name)
 	if err != nil {
@@ -136,35 +136,35 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	e.run(r.Context(), v, first, j, httpAnswer{w, r, j.Request})
+	e.serveAttempt(r.Context(), ep, firstByte, j, httpAnswer{w, r, j.Request})
 }
 
-// answer is the wire's side of an attempt.
-type answer interface {
-	away(ev engine.Event, report string)
-	read(ev engine.Event, report string)
+// answerWriter writes an attempt's answer to HTTP or gRPC.
+type answerWriter interface {
+	rejected(ev engine.Event, report string)
+	prefilled(ev engine.Event, report string)
 	failed(report string)
 	tokens(from int, ev engine.Event)
-	spoil(fate engine.StreamFault) // writes what can't be read, and returns once the caller has closed
-	end(prompt int, ev engine.Event, report string)
-	lost()
-	hold(ctx context.Context) // says nothing more, and keeps the connection
+	malformed(fault engine.StreamFault) // writes malformed bytes, and returns once the caller has closed
+	finished(prompt int, ev engine.Event, report string)
+	broken()
+	stall(ctx context.Context) // sends nothing more, and keeps the connection
 }
 
-// run takes an attempt through the model, for any wire. It returns once the
-// answer is whole or the caller has gone.
-func (e *Emulator) run(ctx context.Context, v *view, first float64, j engine.Job, out answer) {
+// serveAttempt takes an attempt through the model, for any transport. It returns once
+// the answer is complete or the caller has gone.
+func (e *Emulator) serveAttempt(ctx context.Context, ep *endpoint, firstByte float64, j engine.Job, out answerWriter) {
 	now := e.clock.Now()
-	cold := e.coldSince(v.spec.ID)
-	e.rules.AttemptSent(first, now, v.gateway, v.spec.ID, j.Request, v.reads, cold)
-	ended := func(how rules.Outcome) { e.rules.AttemptEnded(e.clock.Now(), v.spec.ID, j.Request, how) }
-	if e.travel(ctx, v, now) != nil {
+	coldSince := e.coldStart(ep.spec.ID)
+	e.rules.AttemptSent(firstByte, now, ep.gateway, ep.spec.ID, j.Request, ep.prefill, coldSince)
+	ended := func(outcome rules.Outcome) { e.rules.AttemptEnded(e.clock.Now(), ep.spec.ID, j.Request, outcome) }
+	if e.networkDelay(ctx, ep, now) != nil {
 		ended(rules.Cancelled)
 		return
 	}
-	c, err := e.driver.open(func(f *engine.Fleet) (engine.Call, error) { return f.Send(v.spec.ID, j) })
-	if err != nil { // it has just died
-		out.hold(ctx)
+	c, err := e.driver.openCall(func(f *engine.Fleet) (engine.Call, error) { return f.Send(ep.spec.ID, j) })
+	if err != nil { // the engine has just died
+		out.stall(ctx)
 		ended(rules.Reset)
 		return
 	}
@@ -172,22 +172,22 @@
 	for {
 		ev, err := c.next(ctx)
 		if err == nil {
-			err = e.travel(ctx, v, ev.At)
+			err = e.networkDelay(ctx, ep, ev.At)
 		}
 		if err != nil {
-			e.driver.give(c)
+			e.driver.cancelCall(c)
 			ended(rules.Cancelled)
 			return
 		}
-		report := e.loadText(v.spec.ID, ev.Report)
+		report := e.formatLoad(ep.spec.ID, ev.Report)
 		switch ev.Kind {
 		case engine.EventPrefilled:
 			ended(rules.Prefilled)
-			out.read(ev, report)
+			out.prefilled(ev, report)
 			return
 		case engine.EventRejected, engine.EventNoState:
 			ended(rules.Rejected)
-			out.away(ev, report)
+			out.rejected(ev, report)
 			return
 		case engine.EventError:
 			ended(rules.Failed)
@@ -195,10 +195,10 @@
 			return
 		case engine.EventTokens:
 			if sent == 0 {
-				e.rules.AnswerStarted(e.clock.Now(), v.spec.ID, j.Request)
+				e.rules.AnswerStarted(e.clock.Now(), ep.spec.ID, j.Request)
 			}
 			if ev.StreamFault == engine.StreamMalformedHead {
-				out.spoil(ev.StreamFault)
+				out.malformed(ev.StreamFault)
 				ended(rules.Reset)
 				return
 			}
@@ -206,55 +206,55 @@
 			out.tokens(sent, ev)
 			sent += ev.Tokens
 			if ev.StreamFault == engine.StreamMalformedChunk {
-				out.spoil(ev.StreamFault)
+				out.malformed(ev.StreamFault)
 				ended(rules.Reset)
 				return
 			}
 		case engine.EventEnd:
 			e.rules.AnswerEvent(e.clock.Now(), j.Request)
 			ended(rules.Whole)
-			out.end(int(j.Prompt.Tokens), ev, report)
+			out.finished(int(j.Prompt.Tokens), ev, report)
 			return
 		case engine.EventLost:
 			ended(rules.Reset)
-			out.lost()
+			out.broken()
 			return
 		}
 	}
 }
 
-// coldSince is the box's last start where it is still cold, else -1.
-func (e *Emulator) coldSince(box string) float64 {
+// coldStart returns the time of the engine's last start while it is cold, else -1.
+func (e *Emulator) coldStart(engineID string) float64 {
 	at := -1.0
 	e.driver.do(func(f *engine.Fleet) {
-		if f.Cold(box) {
-			at = f.StartedAt(box)
+		if f.Cold(engineID) {
+			at = f.StartedAt(engineID)
 		}
 	})
 	return at
 }
 
-// loadText is a report as it is written.
-func (e *Emulator) loadText(box string, r engine.Report) string {
-	bad := false
+// formatLoad formats a load report as it is sent.
+func (e *Emulator) formatLoad(engineID string, r engine.Report) string {
+	malformed := false
 	e.driver.do(func(f *engine.Fleet) {
-		c, _ := f.Condition(box)
-		bad = c.MalformedReports
+		c, _ := f.Condition(engineID)
+		malformed = c.MalformedReports
 	})
-	if bad {
+	if malformed {
 		return "inflight=,queue=?,x0=-inf;"
 	}
 	return fmt.Sprintf("inflight=%.0f,queue=%.0f,x0=%.3f,x1=%.2f", r.InFlight, r.Queue, r.Memory, r.Pending)
 }
 
-func (e *Emulator) reserve(w http.ResponseWriter, r *http.Request) {
-	v, id, now := viewOf(r), r.PathValue("id"), e.clock.Now()
-	if e.travel(r.Context(), v, now) != nil {
+func (e *Emulator) handleReserve(w http.ResponseWriter, r *http.Request) {
+	ep, id, now := requestEndpoint(r), r.PathValue("id"), e.clock.Now()
+	if e.networkDelay(r.Context(), ep, now) != nil {
 		return
 	}
-	kind, report, ok := e.place(r.Context(), v, id, now)
+	kind, report, ok := e.askReservation(r.Context(), ep, id, now)
 	if !ok {
-		silent(r.Context())
+		neverAnswer(r.Context())
 	}
 	w.Header().Set(headerLoad, report)
 	w.WriteHeader(map[engine.EventKind]int{
@@ -262,71 +262,71 @@
 	}[kind])
 }
 
-// place asks the model for a place, for any wire; ok is false where the caller
-// has gone or is never answered.
-func (e *Emulator) place(ctx context.Context, v *view, id string, first float64) (kind engine.EventKind, report string, ok bool) {
-	c, err := e.driver.open(func(f *engine.Fleet) (engine.Call, error) { return f.Reserve(v.spec.ID, id) })
+// askReservation asks the model for a reservation, for any transport; ok is false if
+// the caller has gone or is never answered.
+func (e *Emulator) askReservation(ctx context.Context, ep *endpoint, id string, firstByte float64) (kind engine.EventKind, report string, ok bool) {
+	c, err := e.driver.openCall(func(f *engine.Fleet) (engine.Call, error) { return f.Reserve(ep.spec.ID, id) })
 	if err != nil {
 		return 0, "", false
 	}
 	ev, err := c.next(ctx)
 	if err != nil {
-		e.driver.give(c)
+		e.driver.cancelCall(c)
 		return 0, "", false
 	}
-	e.rules.ReservationAnswered(first, v.gateway, v.spec.ID, id, ev.Kind == engine.EventReserved)
-	if e.travel(ctx, v, ev.At) != nil {
+	e.rules.ReservationAnswered(firstByte, ep.gateway, ep.spec.ID, id, ev.Kind == engine.EventReserved)
+	if e.networkDelay(ctx, ep, ev.At) != nil {
 		return 0, "", false
 	}
-	return ev.Kind, e.loadText(v.spec.ID, ev.Report), true
+	return ev.Kind, e.formatLoad(ep.spec.ID, ev.Report), true
 }
 
-func (e *Emulator) release(w http.ResponseWriter, r *http.Request) {
-	v, id := viewOf(r), r.PathValue("id")
-	if !e.letGo(r.Context(), v, id) {
-		silent(r.Context())
+func (e *Emulator) handleRelease(w http.ResponseWriter, r *http.Request) {
+	ep, id := requestEndpoint(r), r.PathValue("id")
+	if !e.releaseHolds(r.Context(), ep, id) {
+		neverAnswer(r.Context())
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// letGo carries a release to the model, for any wire. A box that hangs lets go
-// and does not answer.
-func (e *Emulator) letGo(ctx context.Context, v *view, id string) bool {
-	if e.travel(ctx, v, e.clock.Now()) != nil {
+// releaseHolds passes a release to the model, for any transport. A hung engine
+// releases and does not answer.
+func (e *Emulator) releaseHolds(ctx context.Context, ep *endpoint, id string) bool {
+	if e.networkDelay(ctx, ep, e.clock.Now()) != nil {
 		return false
 	}
 	var err error
 	hung := false
 	e.driver.do(func(f *engine.Fleet) {
-		err = f.Release(v.spec.ID, id)
-		c, _ := f.Condition(v.spec.ID)
+		err = f.Release(ep.spec.ID, id)
+		c, _ := f.Condition(ep.spec.ID)
 		hung = c.Hung
 	})
 	if err == nil {
-		e.rules.HoldsReleased(e.clock.Now(), v.spec.ID, id)
+		e.rules.HoldsReleased(e.clock.Now(), ep.spec.ID, id)
 	}
-	return err == nil && !hung && e.travel(ctx, v, e.clock.Now()) == nil
+	return err == nil && !hung && e.networkDelay(ctx, ep, e.clock.Now()) == nil
 }
 
-func (e *Emulator) probe(w http.ResponseWriter, r *http.Request) {
-	report, ok := e.load(r.Context(), viewOf(r))
+func (e *Emulator) handleLoad(w http.ResponseWriter, r *http.Request) {
+	report, ok := e.probeLoad(r.Context(), requestEndpoint(r))
 	if !ok {
-		silent(r.Context())
+		neverAnswer(r.Context())
 	}
 	w.Header().Set(headerLoad, report)
 	_, _ = io.WriteString(w, report)
 }
 
-// load probes the model, for any wire.
-func (e *Emulator) load(ctx context.Context, v *view) (string, bool) {
-	if e.travel(ctx, v, e.clock.Now()) != nil {
+// probeLoad probes the model, for any transport.
+func (e *Emulator) probeLoad(ctx context.Context, ep *endpoint) (string, bool) {
+	if e.networkDelay(ctx, ep, e.clock.Now()) != nil {
 		return "", false
 	}
-	var rep engine.Report
+	var report engine.Report
 	var ok bool
-	e.driver.do(func(f *engine.Fleet) { rep, ok = f.Probe(v.spec.ID) })
-	if !ok || e.travel(ctx, v, e.clock.Now()) != nil {
+	e.driver.do(func(f *engine.Fleet) { report, ok = f.Probe(ep.spec.ID) })
+	if !ok || e.networkDelay(ctx, ep, e.clock.Now()) != nil {
 		return "", false
 	}
-	return e.loadText(v.spec.ID, rep), true
+	return e.formatLoad(ep.spec.ID, report), true
 }
--- a/lab/emulator/http_answer.go
+++ b/lab/emulator/http_answer.go
@@ -9,14 +9,14 @@
 	"ashwood.example/ashwood/lab/engine"
 )
 
-// httpAnswer writes an attempt's answer in the platform's form.
+// httpAnswer writes an attempt's answer in the platform's HTTP form.
 type httpAnswer struct {
-	w  http.ResponseWriter
-	r  *http.Request
-	id string
+	writer    http.ResponseWriter
+	request   *http.Request
+	requestID string
 }
 
-func (a httpAnswer) away(ev engine.Event, report string) {
+func (a httpAnswer) rejected(ev engine.Event, report string) {
 	code := http.StatusServiceUnavailable
 	switch {
 	case ev.Kind == engine.EventNoState:
@@ -24,52 +24,52 @@
 	case ev.Reason == engine.ReasonExpired:
 		code = http.StatusGatewayTimeout
 	}
-	a.w.Header().Set(headerAway, "1")
-	a.w.Header().Set(headerLoad, report)
-	http.Error(a.w, ev.Reason, code)
+	a.writer.Header().Set(headerRejected, "1")
+	a.writer.Header().Set(headerLoad, report)
+	http.Error(a.writer, ev.Reason, code)
 }
 
-func (a httpAnswer) read(ev engine.Event, report string) {
-	a.w.Header().Set(headerLoad, report)
-	a.w.Header().Set("Content-Type", "application/json")
-	a.w.WriteHeader(http.StatusAccepted)
-	fmt.Fprintf(a.w, `{"cached_tokens":%d}`, ev.CachedTokens)
+func (a httpAnswer) prefilled(ev engine.Event, report string) {
+	a.writer.Header().Set(headerLoad, report)
+	a.writer.Header().Set("Content-Type", "application/json")
+	a.writer.WriteHeader(http.StatusAccepted)
+	fmt.Fprintf(a.writer, `{"cached_tokens":%d}`, ev.CachedTokens)
 }
 
 func (a httpAnswer) failed(report string) {
-	a.w.Header().Set(headerLoad, report)
-	http.Error(a.w, "error", http.StatusInternalServerError)
+	a.writer.Header().Set(headerLoad, report)
+	http.Error(a.writer, "error", http.StatusInternalServerError)
 }
 
 func (a httpAnswer) tokens(from int, ev engine.Event) {
 	if from == 0 {
-		a.w.Header().Set("Content-Type", "text/event-stream")
+		a.writer.Header().Set("Content-Type", "text/event-stream")
 	}
-	fmt.Fprintf(a.w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", engine.AnswerText(a.id, from, ev.Tokens))
-	_ = http.NewResponseController(a.w).Flush() // a caller that has gone shows in the context
+	fmt.Fprintf(a.writer, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", engine.AnswerText(a.requestID, from, ev.Tokens))
+	_ = http.NewResponseController(a.writer).Flush() // if the caller has gone, the context shows it
 }
 
-func (a httpAnswer) end(prompt int, ev engine.Event, report string) {
-	fmt.Fprintf(a.w, "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"+
+func (a httpAnswer) finished(prompt int, ev engine.Event, report string) {
+	fmt.Fprintf(a.writer, "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"+
 		"data: {\"choices\":[],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":%d,\"prompt_tokens_details\":{\"cached_tokens\":%d}}}\n\n"+
 		"data: [DONE]\n\n: %s: %s\n\n", prompt, ev.Tokens, ev.CachedTokens, headerLoad, report)
 }
 
-func (a httpAnswer) lost() { panic(http.ErrAbortHandler) }
+func (a httpAnswer) broken() { panic(http.ErrAbortHandler) }
 
-func (a httpAnswer) hold(ctx context.Context) {
+func (a httpAnswer) stall(ctx context.Context) {
 	<-ctx.Done()
 }
 
-// spoil writes what can't be read, in place of a head or of the next chunk.
-func (a httpAnswer) spoil(fate engine.StreamFault) {
-	c, rw, err := http.NewResponseController(a.w).Hijack()
+// malformed writes malformed bytes, in place of the head or of the next chunk.
+func (a httpAnswer) malformed(fault engine.StreamFault) {
+	c, rw, err := http.NewResponseController(a.writer).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	defer c.Close()
 	text := "HTTP/1.1 2\x00\x00 \xff\xfe garbled\r\nX-Load: \x01\r\n"
-	if fate == engine.StreamMalformedChunk {
+	if fault == engine.StreamMalformedChunk {
 		text = "zz;not a size\r\ngarbled\r\n"
 	}
 	if _, err := rw.WriteString(text); err == nil {
--- a/lab/emulator/inspect.go
+++ b/lab/emulator/inspect.go
@@ -5,46 +5,47 @@
 	"ashwood.example/ashwood/lab/rules"
 )
 
-// Box is a box's address as a gateway reaches it.
-type Box struct {
+// Engine is an engine with the addresses at which a gateway reaches it.
+type Engine struct {
 	engine.Spec
 	HTTP, GRPC string
 }
 
-// Boxes lists the boxes with the addresses that a gateway reaches them at.
-func (e *Emulator) Boxes(gateway int) []Box {
-	list := make([]Box, len(e.views[gateway]))
-	for i, v := range e.views[gateway] {
-		list[i] = Box{Spec: v.spec, HTTP: v.http.addr}
-		if v.grpc != nil {
-			list[i].GRPC = v.grpc.addr
+// Engines lists the engines with the addresses at which a gateway reaches them.
+func (e *Emulator) Engines(gateway int) []Engine {
+	list := make([]Engine, len(e.endpoints[gateway]))
+	for i, ep := range e.endpoints[gateway] {
+		list[i] = Engine{Spec: ep.spec, HTTP: ep.http.addr}
+		if ep.grpc != nil {
+			list[i].GRPC = ep.grpc.addr
 		}
 	}
 	return list
 }
 
-// Discovery is the address of a gateway's agent.
-func (e *Emulator) Discovery(gateway int) string { return e.agents[gateway].addr }
+// DiscoveryAddr returns the address of a gateway's discovery agent.
+func (e *Emulator) DiscoveryAddr(gateway int) string { return e.agents[gateway].addr }
 
-// Rules is the checker that watches the boxes; clients tell it their part.
+// Rules returns the rule checker; clients report their side to it.
 func (e *Emulator) Rules() *rules.Checker { return e.rules }
 
-// Stats tell how the emulator itself is doing.
+// Stats tells how the emulator itself is doing.
 type Stats struct {
-	Steps     int64    `json:"steps"`       // of the model that fell due while others waited
-	LateP50   float64  `json:"late_p50_ms"` // how much later than due it carried them out
+	Steps     int64    `json:"steps"`       // timers of the model that ran late
+	LateP50   float64  `json:"late_p50_ms"` // how late they ran
 	LateP99   float64  `json:"late_p99_ms"`
 	LateMax   float64  `json:"late_max_ms"`
-	Malformed []string `json:"malformed,omitempty"` // requests of gateways that could not be read
+	Malformed []string `json:"malformed,omitempty"` // errors of the gateways' malformed requests
 }
 
-// lateAt is the p99 lateness in ms from which on figures are not to be trusted.
-const lateAt = 20.0
+// maxTrustedLateness is the p99 lateness in ms above which measurements are not to be
+// trusted.
+const maxTrustedLateness = 20.0
 
-// Late tells whether the emulator was too late for its figures to be trusted.
-func (s Stats) Late() bool { return s.LateP99 > lateAt }
+// Late tells whether the emulator was too late for its measurements to be trusted.
+func (s Stats) Late() bool { return s.LateP99 > maxTrustedLateness }
 
-// Stats tells how late the emulator has been, and what it could not read.
+// Stats returns how late the emulator has been, and what it could not parse.
 func (e *Emulator) Stats() (s Stats) {
 	s.LateP50, s.LateP99, s.LateMax, s.Steps = e.driver.lateness()
 	e.malformed.Range(func(k, _ any) bool {
@@ -54,8 +55,9 @@
 	return s
 }
 
-// Held tells what is held anywhere; a rehearsal's end finds nothing.
-func (e *Emulator) Held() (n int) {
+// HoldCount returns the number of requests with holds anywhere; it is 0 at the end of
+// a correct rehearsal.
+func (e *Emulator) HoldCount() (n int) {
 	e.driver.do(func(f *engine.Fleet) { n = f.HoldCount() })
 	return n
 }
