--- a/lab/backlog/backlog.go
+++ b/lab/backlog/backlog.go
@@ -1,6 +1,6 @@
 // Package backlog keeps a listener from completing connects, as a machine that has become unreachable does: the kernel's
 // accept queue is made short and kept full. Whether it is full is read from the kernel: a connect that does not complete in
-// time may just be late on a busy machine. The package doesn't accept connections and doesn't empty the queue again.
+// time may just be late on a busy machine. The caller ends this by closing the connections in the queue.
 package backlog
 
 import (
--- a/lab/engine/engine_test.go
+++ b/lab/engine/engine_test.go
@@ -34,11 +34,11 @@
 	f := newTestFleet(t, func(c *Config) { c.Kinds[0].Slots, c.Kinds[0].MaxQueue = 1, 1e6 })
 	r := rand.New(rand.NewPCG(1, 2))
 	at, waits := 0.0, 0.0
-	began := map[Call]float64{}
+	sentAt := map[Call]float64{}
 	take := func() {
 		for _, e := range f.TakeEvents() {
-			waits += e.At - began[e.Call] - service
-			delete(began, e.Call)
+			waits += e.At - sentAt[e.Call] - service
+			delete(sentAt, e.Call)
 			f.Release("r", fmt.Sprint("q", e.Call))
 		}
 	}
@@ -51,7 +51,7 @@
 		f.Advance(at)
 		j := testJob(fmt.Sprint("q", f.lastCall+1), service)
 		j.Remaining = math.MaxFloat64
-		began[send(t, f, "r", j)] = at
+		sentAt[send(t, f, "r", j)] = at
 	}
 	want := load * service / (2 * (1 - load))
 	if got := waits / n; math.Abs(got-want) > 0.03*want {
--- a/lab/engine/faults_test.go
+++ b/lab/engine/faults_test.go
@@ -9,8 +9,8 @@
 // when its budget is respected.
 func TestColdEngine_Overload(t *testing.T) {
 	for _, c := range []struct {
-		sends float64 // in one window, relative to what it withstands
-		falls bool
+		sends   float64 // in one window, relative to what it withstands
+		crashes bool
 	}{{0.8, false}, {1.5, true}} {
 		f := newTestFleet(t, func(c *Config) { c.Kinds[0].MaxQueue = 1000 })
 		f.Inject(Fault{Kind: FaultCrash, Engines: []string{"r"}, Start: 0, Duration: 100})
@@ -22,10 +22,10 @@
 		}
 		advanceTo(t, f, 60000)
 		cond, _ := f.Condition("r")
-		if cond.ColdCrashed != c.falls || (cond.State == Down) != c.falls {
+		if cond.ColdCrashed != c.crashes || (cond.State == Down) != c.crashes {
 			t.Fatalf("after %d sends: %+v", n, cond)
 		}
-		if c.falls {
+		if c.crashes {
 			f.Restart("r")
 			if cond, _ = f.Condition("r"); cond.State != Up || cond.ColdCrashed {
 				t.Fatalf("after a restart by hand: %+v", cond)
--- a/lab/news/news_test.go
+++ b/lab/news/news_test.go
@@ -20,8 +20,8 @@
 	return New(p, 0), p
 }
 
-func agentLifecycle(l *Discovery, agent int, id string) Lifecycle {
-	_, list := l.Snapshot(agent)
+func agentLifecycle(d *Discovery, agent int, id string) Lifecycle {
+	_, list := d.Snapshot(agent)
 	for _, e := range list {
 		if e.Engine.ID == id {
 			return e.Lifecycle
@@ -31,32 +31,32 @@
 }
 
 func TestDiscovery_NoticeDelay(t *testing.T) {
-	l, p := newTestDiscovery(t, "")
+	d, p := newTestDiscovery(t, "")
 	spec := p.Engine.Engines[0]
-	l.ConditionChanged(0, spec, engine.Condition{State: engine.Down}, 0)
-	l.Advance(999)
-	if got := agentLifecycle(l, 0, spec.ID); got != Up {
+	d.ConditionChanged(0, spec, engine.Condition{State: engine.Down}, 0)
+	d.Advance(999)
+	if got := agentLifecycle(d, 0, spec.ID); got != Up {
 		t.Fatalf("lifecycle before the notice delay: %s", got)
 	}
-	if at, ok := l.NextUpdateAt(); !ok || at != 1000 {
+	if at, ok := d.NextUpdateAt(); !ok || at != 1000 {
 		t.Fatalf("next update at %v, %v", at, ok)
 	}
-	if got := l.Advance(1000); len(got) != 2 || got[1].Agent != 1 || got[1].Entry.Lifecycle != Removed {
+	if got := d.Advance(1000); len(got) != 2 || got[1].Agent != 1 || got[1].Entry.Lifecycle != Removed {
 		t.Fatalf("notifications %+v", got)
 	}
-	l.ConditionChanged(2000, spec, engine.Condition{State: engine.Up}, 2000)
-	l.Advance(2500)
-	version, list, ok := l.Delta(0, 1)
+	d.ConditionChanged(2000, spec, engine.Condition{State: engine.Up}, 2000)
+	d.Advance(2500)
+	version, list, ok := d.Delta(0, 1)
 	if !ok || version != 3 || len(list) != 2 || list[1].Lifecycle != Up || list[1].StartedAt != 2000 {
 		t.Fatalf("delta after version 1: %d %+v %v", version, list, ok)
 	}
-	if _, _, ok := l.Delta(0, 99); ok {
+	if _, _, ok := d.Delta(0, 99); ok {
 		t.Fatal("a version that was never sent has a delta")
 	}
 }
 
 func TestDiscovery_Faults(t *testing.T) {
-	l, p := newTestDiscovery(t, `
+	d, p := newTestDiscovery(t, `
 [[fault]]
 kind = "list-late"
 at_s = 0
@@ -73,34 +73,34 @@
 len_s = 4
 `)
 	first, other := p.Engine.Engines[0], p.Engine.Engines[1]
-	l.ConditionChanged(0, first, engine.Condition{State: engine.Up, Draining: true}, 0)
-	l.ConditionChanged(0, other, engine.Condition{State: engine.Up, Draining: true}, 0)
-	l.Advance(600)
-	if a, b := agentLifecycle(l, 0, first.ID), agentLifecycle(l, 1, first.ID); a != Draining || b != Up {
+	d.ConditionChanged(0, first, engine.Condition{State: engine.Up, Draining: true}, 0)
+	d.ConditionChanged(0, other, engine.Condition{State: engine.Up, Draining: true}, 0)
+	d.Advance(600)
+	if a, b := agentLifecycle(d, 0, first.ID), agentLifecycle(d, 1, first.ID); a != Draining || b != Up {
 		t.Fatalf("lifecycles with a late agent: %s, %s", a, b)
 	}
-	l.Advance(3500)
-	if got := agentLifecycle(l, 1, first.ID); got != Draining {
+	d.Advance(3500)
+	if got := agentLifecycle(d, 1, first.ID); got != Draining {
 		t.Fatalf("lifecycle at the late agent: %s", got)
 	}
 	for at, want := range map[float64]bool{19999: false, 20000: true, 24999: true, 25000: false} {
-		if got := l.Silent(at, 1); got != want {
+		if got := d.Silent(at, 1); got != want {
 			t.Errorf("silent at %v: %v", at, got)
 		}
 	}
-	if at, ok := l.NextUpdateAt(); !ok || at != 30000 {
+	if at, ok := d.NextUpdateAt(); !ok || at != 30000 {
 		t.Fatalf("the contradiction is scheduled at %v, %v", at, ok)
 	}
-	l.Advance(31000)
-	if got := agentLifecycle(l, 0, first.ID); got != Up {
+	d.Advance(31000)
+	if got := agentLifecycle(d, 0, first.ID); got != Up {
 		t.Fatalf("lifecycle during the contradiction: %s", got)
 	}
-	taken, _, _ := l.Delta(0, 1)
-	l.Advance(34000)
-	if _, list, ok := l.Delta(0, taken); !ok || len(list) != 2 || list[0].Lifecycle != Draining || list[1].Lifecycle != Draining {
+	contradictedVersion, _, _ := d.Delta(0, 1)
+	d.Advance(34000)
+	if _, list, ok := d.Delta(0, contradictedVersion); !ok || len(list) != 2 || list[0].Lifecycle != Draining || list[1].Lifecycle != Draining {
 		t.Fatalf("delta to a gateway that has the contradicting update: %+v", list)
 	}
-	if got := agentLifecycle(l, 0, first.ID); got != Draining {
+	if got := agentLifecycle(d, 0, first.ID); got != Draining {
 		t.Fatalf("lifecycle after the contradiction: %s", got)
 	}
 }
