--- a/contract/targets.go
+++ b/contract/targets.go
@@ -85,7 +85,7 @@
 			addr = b.GRPC
 		}
 		out = append(out, ashwood.Server{
-			ID: ashwood.ServerID(b.ID), Kind: b.Kind, Zone: b.Zone, Cell: b.Cell, State: ashwood.StateOn, Weight: 1, Address: via(b.Kind, addr),
+			ID: ashwood.ServerID(b.ID), Kind: b.Kind, Zone: b.Zone, Cell: b.Cell, State: ashwood.StateActive, Weight: 1, Address: via(b.Kind, addr),
 		})
 	}
 	return out
@@ -170,9 +170,9 @@
 	asked()
 	a, err := d.r.Do(ctx, &router.Request{
 		Method: http.MethodPost, Target: "/v1/chat/completions", Body: d.body.Body(t),
-		Call: ashwood.Call{
+		RequestInfo: ashwood.RequestInfo{
 			ID: ashwood.RequestID(t.ID), Class: t.Class.Name, Session: gateway.AffinityKey(t.Session), Prefix: gateway.AffinityKey(t.Shared),
-			PromptTokens: float64(t.PromptTokens), PrefixTokens: float64(t.SharedTokens), MaxOut: float64(t.MaxOut), Remaining: t.Remaining,
+			PromptTokens: float64(t.PromptTokens), PrefixTokens: float64(t.SharedTokens), MaxOutputTokens: float64(t.MaxOut), Remaining: t.Remaining,
 		},
 	})
 	var refused *router.RefusedError
--- a/gateway/fallback_engine_test.go
+++ b/gateway/fallback_engine_test.go
@@ -34,7 +34,7 @@
 func TestFallback_EngineWithPendingCalls(t *testing.T) {
 	sends := func(_ *Gateway, h *requestHolds, _ ashwood.ServerID) { h.pauseReleases(true) }
 	leaves := func(g *Gateway, _ *requestHolds, id ashwood.ServerID) {
-		g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{{ID: id, Kind: "w", State: ashwood.StateOff}})
+		g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: id, Kind: "w", State: ashwood.StateRemoved}})
 	}
 	for name, tt := range map[string]struct {
 		hangs     bool
--- a/gateway/fallback_test.go
+++ b/gateway/fallback_test.go
@@ -23,8 +23,8 @@
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
 	for i := range engines {
-		engine := ashwood.Server{ID: ashwood.ServerID(fmt.Sprint("e", i)), Kind: "w", Zone: fmt.Sprint("z", i%3), State: ashwood.StateOn}
-		g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{engine})
+		engine := ashwood.Server{ID: ashwood.ServerID(fmt.Sprint("e", i)), Kind: "w", Zone: fmt.Sprint("z", i%3), State: ashwood.StateActive}
+		g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{engine})
 		fake.silentFor[engine.ID] = 1e6
 		list = append(list, engine.ID)
 	}
@@ -339,8 +339,8 @@
 				newTestHolds(g, "q", "r1", "w1").release(true)
 				time.Sleep(10 * time.Millisecond)
 				if started > 0 {
-					anew := ashwood.Server{ID: "r1", Kind: "r", State: ashwood.StateOn, Started: clock.Duration(g.clock.Now())}
-					g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{anew})
+					anew := ashwood.Server{ID: "r1", Kind: "r", State: ashwood.StateActive, Started: clock.Duration(g.clock.Now())}
+					g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{anew})
 				}
 				if d := fake.wantNextRelease(t, string(fleet[0])); d > releaseRuleTime {
 					t.Errorf("release taken after %v", d)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -48,7 +48,7 @@
 
 // New returns a gateway. Run must be running while it serves.
 func New(settings ashwood.Settings, seed int64, transport Transport, c Clock, log *slog.Logger) (*Gateway, error) {
-	g := &Gateway{transport: transport, clock: c, log: log, holdLimit: clock.Millis(settings.Rules.Release), probesAllowed: settings.Limits.Probes}
+	g := &Gateway{transport: transport, clock: c, log: log, holdLimit: clock.Millis(settings.Rules.ReleaseTimeout), probesAllowed: settings.Limits.Probes}
 	names := make([]string, len(settings.Classes))
 	for i, class := range settings.Classes {
 		names[i] = class.Name
@@ -92,7 +92,7 @@
 }
 
 // UpdateMembership applies a membership update.
-func (g *Gateway) UpdateMembership(form ashwood.ListForm, engines []ashwood.Server) {
+func (g *Gateway) UpdateMembership(form ashwood.MembershipForm, engines []ashwood.Server) {
 	g.router.Update(form, engines)
 	g.releaser.updateMembership(form, engines)
 	if g.log.Enabled(context.Background(), slog.LevelDebug) {
@@ -110,7 +110,7 @@
 func (g *Gateway) Holds() (open int, oldest float64) { return g.holdLog.gauges() }
 
 // Engines returns the number of engines in the membership and how many of them are avoided now; see ashwood.Router.
-func (g *Gateway) Engines() (listed, avoided int) { return g.router.Engines() }
+func (g *Gateway) Engines() (listed, avoided int) { return g.router.CountEngines() }
 
 // Share sets how many processes count as this one gateway; see ashwood.Router.
 func (g *Gateway) Share(processes int) { g.router.Share(processes) }
@@ -119,7 +119,7 @@
 // because the process ends; see ashwood.Router.
 func (g *Gateway) SetAnswerDeadline(at float64) {
 	g.answerDeadline.Store(math.Float64bits(at))
-	g.router.EndBy(at)
+	g.router.ShutdownBy(at)
 }
 
 // TurnAway counts a request that a front itself refuses because it has no capacity left, and returns
@@ -131,7 +131,7 @@
 
 // RetryAfter returns the ms after which a client may retry whose request a front itself
 // refuses because it has no capacity left; 0 = no advice.
-func (g *Gateway) RetryAfter() float64 { return g.router.Pause() }
+func (g *Gateway) RetryAfter() float64 { return g.router.RetryAfter() }
 
 // Serve handles a request until it has its final answer or the first piece of one. The end of
 // ctx means that the client has disconnected. ctx bounds a served stream too, which the
@@ -148,7 +148,7 @@
 }
 
 func (g *Gateway) serve(ctx context.Context, request *Request) (Reply, error) {
-	step, err := g.router.Pick(ctx, request.Call)
+	step, err := g.router.Pick(ctx, request.RequestInfo)
 	if err != nil {
 		return Reply{}, err
 	}
@@ -170,7 +170,7 @@
 			reason = "after " + statusName(result.Status)
 			if showsEngineRuns(result.Status) {
 				g.releaser.engineAnswered(step.Engine)
-			} else if result.Status != ashwood.NotSent && result.Status != ashwood.CalledOff {
+			} else if result.Status != ashwood.StatusNotSent && result.Status != ashwood.StatusCancelled {
 				g.releaser.noteUnanswered(step.Engine, "attempt", false)
 			}
 			if result.Err != nil {
@@ -183,9 +183,9 @@
 		case ashwood.StepRelease:
 			step, decidedAt = g.router.Next(request.ID), g.clock.Now()
 		case ashwood.StepRefuse:
-			return Reply{Kind: Refused, RetryAfter: step.RetryAfter, Reason: step.Why, Err: lastErr}, nil
+			return Reply{Kind: Refused, RetryAfter: step.RetryAfter, Reason: step.Reason, Err: lastErr}, nil
 		case ashwood.StepFail:
-			return Reply{Kind: Failed, Reason: step.Why, Err: lastErr}, nil
+			return Reply{Kind: Failed, Reason: step.Reason, Err: lastErr}, nil
 		default:
 			return Reply{Kind: ClientGone, Err: ErrClientGone}, nil
 		}
@@ -199,9 +199,9 @@
 	attemptCtx, cancel := context.WithCancelCause(step.Context)
 	stop := g.clock.AfterFunc(step.Timeout, func() { cancel(ErrFirstTokenTimeout) })
 	result := g.transport.Send(attemptCtx, Attempt{
-		Request: request, Engine: step.Engine, Prefill: step.Reads, NonIdempotent: step.Once, Remaining: step.Timeout,
+		Request: request, Engine: step.Engine, Prefill: step.Prefill, NonIdempotent: step.NonRepeatable, Remaining: step.Timeout,
 		MayWrite: func() bool {
-			late := step.Until > 0 && g.clock.Now() >= step.Until
+			late := step.SendBefore > 0 && g.clock.Now() >= step.SendBefore
 			if late || attemptCtx.Err() != nil || !g.router.Accepts(step.Engine.ID) {
 				return false
 			}
@@ -210,9 +210,9 @@
 		},
 		OnSent: func() {
 			g.logRequestState(request, step, reqlog.Sent, "")
-			holds.attemptSent(step.Engine, step.Reads)
+			holds.attemptSent(step.Engine, step.Prefill)
 			g.metrics.Relayed(request.Class)
-			if step.Place.ID != "" {
+			if step.ReserveAt.ID != "" {
 				g.runInBackground(func() { g.reserve(attemptCtx, step, holds) })
 			}
 		},
@@ -220,35 +220,35 @@
 	inTime := stop() && attemptCtx.Err() == nil
 	g.log.Debug("attempt", "id", request.ID, "class", request.Class, "engine", step.Engine.ID, "kind", step.Engine.Kind,
 		"attempt", step.Attempt, "status", result.Status, "ms", g.clock.Now()-startedAt, "err", result.Err)
-	if result.Status == ashwood.Served {
-		if inTime && g.router.Begun(request.ID, step.Attempt) {
+	if result.Status == ashwood.StatusServed {
+		if inTime && g.router.AnswerStarted(request.ID, step.Attempt) {
 			holds.markAnswerBegun()
 			result.Stream = &stream{Stream: result.Stream, gateway: g, clientCtx: ctx, id: request.ID, attempt: step.Attempt, engine: step.Engine, progress: g.progress.join(step.Engine.ID), cancel: cancel}
 			return result, ashwood.Step{}
 		}
 		result.Stream.Close()
-		result.Stream, result.Status = nil, ashwood.ConnectionLost
+		result.Stream, result.Status = nil, ashwood.StatusConnectionLost
 	}
 	// A cancelled attempt may have run, unless its last byte was not written.
-	if result.Status == ashwood.ConnectionLost && !inTime {
-		result.Status = ashwood.CalledOff
+	if result.Status == ashwood.StatusConnectionLost && !inTime {
+		result.Status = ashwood.StatusCancelled
 		if errors.Is(context.Cause(attemptCtx), ErrFirstTokenTimeout) {
-			result.Status, result.Err = ashwood.NoAnswer, ErrFirstTokenTimeout
+			result.Status, result.Err = ashwood.StatusTimedOut, ErrFirstTokenTimeout
 		}
 	}
 	cancel(nil)
 	switch result.Status {
-	case ashwood.NoConnection, ashwood.NotSent:
+	case ashwood.StatusConnectFailed, ashwood.StatusNotSent:
 		holds.pauseReleases(false)
-	case ashwood.TurnedAway, ashwood.ServerError:
+	case ashwood.StatusRejected, ashwood.StatusServerError:
 		holds.attemptTurnedAway()
 	default:
 		holds.attemptEnded(showsEngineRuns(result.Status))
 	}
-	if result.Status == ashwood.ConnectionLost || result.Status == ashwood.CalledOff || result.Status == ashwood.NoAnswer {
+	if result.Status == ashwood.StatusConnectionLost || result.Status == ashwood.StatusCancelled || result.Status == ashwood.StatusTimedOut {
 		holds.markAbandoned(step.Engine)
 	}
-	return result, g.router.Report(request.ID, step.Attempt, result.Result)
+	return result, g.router.ReportResult(request.ID, step.Attempt, result.Result)
 }
 
 // logRequestState logs the state of a request's attempt, with the remaining time that the engine is given.
@@ -277,23 +277,23 @@
 // statusName returns the name of an attempt's status for logs.
 func statusName(status ashwood.Status) string {
 	switch status {
-	case ashwood.Served:
+	case ashwood.StatusServed:
 		return "served"
-	case ashwood.ServerError:
+	case ashwood.StatusServerError:
 		return "server error"
-	case ashwood.TurnedAway:
+	case ashwood.StatusRejected:
 		return "turned away"
-	case ashwood.NoAnswer:
+	case ashwood.StatusTimedOut:
 		return "no answer"
-	case ashwood.NoConnection:
+	case ashwood.StatusConnectFailed:
 		return "no connection"
-	case ashwood.ConnectionLost:
+	case ashwood.StatusConnectionLost:
 		return "connection lost"
-	case ashwood.CalledOff:
+	case ashwood.StatusCancelled:
 		return "cancelled"
-	case ashwood.NotSent:
+	case ashwood.StatusNotSent:
 		return "not sent"
-	case ashwood.Parsed:
+	case ashwood.StatusPrefilled:
 		return "prompt read"
 	}
 	return "unknown"
@@ -301,7 +301,7 @@
 
 // showsEngineRuns reports whether a status proves that the engine runs and can be reached.
 func showsEngineRuns(status ashwood.Status) bool {
-	return status == ashwood.Served || status == ashwood.Parsed || status == ashwood.TurnedAway || status == ashwood.ServerError
+	return status == ashwood.StatusServed || status == ashwood.StatusPrefilled || status == ashwood.StatusRejected || status == ashwood.StatusServerError
 }
 
 // reserve asks decode engines for reservations while a prefill is in flight. Each of these engines
@@ -311,7 +311,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	defer g.clock.AfterFunc(reserveTimeout, cancel)()
-	for engine, ok := step.Place, true; ok; {
+	for engine, ok := step.ReserveAt, true; ok; {
 		ready := func() bool { return prefillCtx.Err() == nil && g.router.Accepts(engine.ID) }
 		askedAt := g.clock.Now()
 		result := g.transport.Reserve(ctx, engine, holds.id, ready)
@@ -334,7 +334,7 @@
 		if result == ReserveUnknown || result == ReserveNotSent {
 			return
 		}
-		engine, ok = g.router.Place(holds.id, step.Attempt, engine.ID, result == ReserveHeld)
+		engine, ok = g.router.ReportReservation(holds.id, step.Attempt, engine.ID, result == ReserveHeld)
 	}
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -14,7 +14,7 @@
 )
 
 func request(class string) *Request {
-	return &Request{Call: ashwood.Call{ID: "q", Class: class, PromptTokens: 64, Remaining: 3000}}
+	return &Request{RequestInfo: ashwood.RequestInfo{ID: "q", Class: class, PromptTokens: 64, Remaining: 3000}}
 }
 
 func serve(t *testing.T, g *Gateway, ctx context.Context, class string) Reply {
@@ -46,7 +46,7 @@
 
 func TestServe_AnswerPassesAllPieces(t *testing.T) {
 	fake := &fakeTransport{reserveResult: ReserveHeld, results: map[ashwood.ServerID][]AttemptResult{
-		"r1": {resultOf(ashwood.Parsed)}, "w1": {streamResult(io.EOF, "a", "b")}}}
+		"r1": {resultOf(ashwood.StatusPrefilled)}, "w1": {streamResult(io.EOF, "a", "b")}}}
 	g, _ := startManualClock(t, fake)
 	reply := serve(t, g, context.Background(), "order")
 	got := ""
@@ -72,7 +72,7 @@
 // A decision that waits for a load report continues after 12 ms without it.
 func TestServe_ProbeBesideRequest(t *testing.T) {
 	fake := &fakeTransport{gatewayCount: 4, reserveResult: ReserveHeld, results: map[ashwood.ServerID][]AttemptResult{
-		"r1": {resultOf(ashwood.Parsed)}, "w1": {streamResult(io.EOF, "a")}}}
+		"r1": {resultOf(ashwood.StatusPrefilled)}, "w1": {streamResult(io.EOF, "a")}}}
 	runInBubble(t, fake, func(t *testing.T, g *Gateway) {
 		begun := time.Now()
 		end := make(chan Reply, 1)
@@ -102,15 +102,15 @@
 		kind   ReplyKind
 		sends  []string
 	}{
-		{ashwood.ConnectionLost, Failed, []string{"send r1", "send w1"}},
-		{ashwood.ServerError, Failed, []string{"send r1", "send w1"}},
-		{ashwood.NoConnection, Served, []string{"send r1", "send w1", "send w2"}},
-		{ashwood.TurnedAway, Served, []string{"send r1", "send w1", "send w2"}},
+		{ashwood.StatusConnectionLost, Failed, []string{"send r1", "send w1"}},
+		{ashwood.StatusServerError, Failed, []string{"send r1", "send w1"}},
+		{ashwood.StatusConnectFailed, Served, []string{"send r1", "send w1", "send w2"}},
+		{ashwood.StatusRejected, Served, []string{"send r1", "send w1", "send w2"}},
 	} {
 		fake := &fakeTransport{reserveResult: ReserveUnknown, results: map[ashwood.ServerID][]AttemptResult{ // so that w1 comes first
-			"r1": {resultOf(ashwood.Parsed)}, "w1": {resultOf(tt.status)}, "w2": {streamResult(io.EOF, "a")}}}
+			"r1": {resultOf(ashwood.StatusPrefilled)}, "w1": {resultOf(tt.status)}, "w2": {streamResult(io.EOF, "a")}}}
 		g, _ := startManualClock(t, fake)
-		g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{{ID: "w2", Kind: "w", Cell: 1, State: ashwood.StateOn}})
+		g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "w2", Kind: "w", Cell: 1, State: ashwood.StateActive}})
 		reply := serve(t, g, context.Background(), "order")
 		if diff := cmp.Diff(tt.sends, fake.recordedCalls()); reply.Kind != tt.kind || diff != "" {
 			t.Errorf("after %v: kind %v, want %v\n%s", tt.status, reply.Kind, tt.kind, diff)
@@ -124,19 +124,19 @@
 // While connections to decode engines fail, no attempt is in flight: the KV state is released
 // at its deadline, and the next attempt needs a new prefill.
 func TestServe_KVStateReleasedWhileConnectsFail(t *testing.T) {
-	noState := resultOf(ashwood.TurnedAway)
-	noState.Note = 1
+	noState := resultOf(ashwood.StatusRejected)
+	noState.Detail = 1
 	fake := &fakeTransport{recordReleases: true, reserveResult: ReserveNotSent, results: map[ashwood.ServerID][]AttemptResult{
-		"r1": {resultOf(ashwood.Parsed), resultOf(ashwood.Parsed)}, "w1": {resultOf(ashwood.NoConnection), streamResult(io.EOF, "a")},
-		"w2": {resultOf(ashwood.NoConnection)}, "w3": {noState}}}
+		"r1": {resultOf(ashwood.StatusPrefilled), resultOf(ashwood.StatusPrefilled)}, "w1": {resultOf(ashwood.StatusConnectFailed), streamResult(io.EOF, "a")},
+		"w2": {resultOf(ashwood.StatusConnectFailed)}, "w3": {noState}}}
 	g, manualClock := startManualClock(t, fake)
 	fake.beforeWrite = func(engine ashwood.Server) {
 		if engine.ID == "w1" || engine.ID == "w2" {
 			manualClock.Advance(250)
 		}
 	}
-	g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{
-		{ID: "w2", Kind: "w", Cell: 1, State: ashwood.StateOn}, {ID: "w3", Kind: "w", Cell: 1, Zone: "far", State: ashwood.StateOn}})
+	g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{
+		{ID: "w2", Kind: "w", Cell: 1, State: ashwood.StateActive}, {ID: "w3", Kind: "w", Cell: 1, Zone: "far", State: ashwood.StateActive}})
 	ended := make(chan Reply, 1)
 	go func() { ended <- serve(t, g, context.Background(), "order") }()
 	var reply Reply
@@ -173,7 +173,7 @@
 // have run, a refusal with a retry time if its last byte was not written.
 func TestServe_FirstTokenTimeout(t *testing.T) {
 	for _, unsent := range []bool{false, true} {
-		fake := &fakeTransport{reserveResult: ReserveRefused, results: map[ashwood.ServerID][]AttemptResult{"r1": {resultOf(ashwood.Parsed)}}}
+		fake := &fakeTransport{reserveResult: ReserveRefused, results: map[ashwood.ServerID][]AttemptResult{"r1": {resultOf(ashwood.StatusPrefilled)}}}
 		g, manualClock := startManualClock(t, fake)
 		done := make(chan Reply)
 		fake.unsent = unsent
@@ -194,15 +194,15 @@
 // An engine that starts to drain between the decision and the first byte is sent nothing.
 func TestServe_DrainBeforeFirstByte(t *testing.T) {
 	fake := &fakeTransport{reserveResult: ReserveRefused, results: map[ashwood.ServerID][]AttemptResult{
-		"r1": {resultOf(ashwood.Parsed)}, "w1": {streamResult(io.EOF, "a")}, "w2": {streamResult(io.EOF, "a")}}}
+		"r1": {resultOf(ashwood.StatusPrefilled)}, "w1": {streamResult(io.EOF, "a")}, "w2": {streamResult(io.EOF, "a")}}}
 	g, _ := startManualClock(t, fake)
-	g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{{ID: "w2", Kind: "w", State: ashwood.StateOn}})
+	g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "w2", Kind: "w", State: ashwood.StateActive}})
 	var drained ashwood.ServerID
 	fake.beforeWrite = func(engine ashwood.Server) {
 		if engine.Kind == "w" && drained == "" {
 			drained = engine.ID
-			engine.State = ashwood.StateFading
-			g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{engine})
+			engine.State = ashwood.StateDraining
+			g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{engine})
 		}
 	}
 	reply := serve(t, g, context.Background(), "order")
@@ -216,7 +216,7 @@
 func TestStream_BrokenByEngine(t *testing.T) {
 	broken := errors.New("reset")
 	fake := &fakeTransport{reserveResult: ReserveRefused, results: map[ashwood.ServerID][]AttemptResult{
-		"r1": {resultOf(ashwood.Parsed)}, "w1": {streamResult(broken, "a")}}}
+		"r1": {resultOf(ashwood.StatusPrefilled)}, "w1": {streamResult(broken, "a")}}}
 	g, _ := startManualClock(t, fake)
 	reply := serve(t, g, context.Background(), "chat")
 	if piece, err := reply.Stream.Next(); string(piece) != "a" || err != nil {
--- a/gateway/holds_test.go
+++ b/gateway/holds_test.go
@@ -124,8 +124,8 @@
 	fake := &fakeTransport{silentFor: map[ashwood.ServerID]int{"r1": 1e6, "w1": 1e6}}
 	runInBubble(t, fake, func(t *testing.T, g *Gateway) {
 		for _, id := range []ashwood.ServerID{"w3", "w2"} {
-			engine := ashwood.Server{ID: id, Kind: "w", Zone: "another", State: ashwood.StateOn}
-			g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{engine})
+			engine := ashwood.Server{ID: id, Kind: "w", Zone: "another", State: ashwood.StateActive}
+			g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{engine})
 			g.releaser.engineAnswered(engine)
 		}
 		newTestHolds(g, "q", "r1", "w1").release(true)
@@ -150,14 +150,14 @@
 	runInBubble(t, fake, func(t *testing.T, g *Gateway) {
 		g.releaser.zone = "home"
 		for i, zone := range []string{"cut", "cut", "cut", "off", "home"} {
-			engine := ashwood.Server{ID: ashwood.ServerID(fmt.Sprint("w", i+2)), Kind: "w", Zone: zone, State: ashwood.StateOn}
-			g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{engine})
+			engine := ashwood.Server{ID: ashwood.ServerID(fmt.Sprint("w", i+2)), Kind: "w", Zone: zone, State: ashwood.StateActive}
+			g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{engine})
 			if zone != "home" {
 				fake.silentFor[engine.ID] = 1e6
 				g.releaser.engineAnswered(engine)
 			}
 		}
-		g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{{ID: "w1", Kind: "w", State: ashwood.StateOff}})
+		g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "w1", Kind: "w", State: ashwood.StateRemoved}})
 		h := newTestHolds(g, "q")
 		h.add(ashwood.Server{ID: "r1", Zone: "cut"}, holdAttempt)
 		h.release(true)
@@ -170,7 +170,7 @@
 // The hold deadline keeps running during a connect that does not succeed.
 func TestServe_KVStateReleasedDuringConnect(t *testing.T) {
 	fake := &fakeTransport{reserveResult: ReserveNotSent, results: map[ashwood.ServerID][]AttemptResult{
-		"r1": {resultOf(ashwood.Parsed)}, "w1": {resultOf(ashwood.NoConnection)}}}
+		"r1": {resultOf(ashwood.StatusPrefilled)}, "w1": {resultOf(ashwood.StatusConnectFailed)}}}
 	runInBubble(t, fake, func(t *testing.T, g *Gateway) {
 		fake.beforeWrite = func(engine ashwood.Server) {
 			if engine.ID == "w1" {
@@ -208,8 +208,8 @@
 	} {
 		fake := &fakeTransport{silentFor: map[ashwood.ServerID]int{"w1": 1e6}}
 		runInBubble(t, fake, func(t *testing.T, g *Gateway) {
-			engine := ashwood.Server{ID: "w2", Kind: "w", Zone: "another", State: ashwood.StateOn}
-			g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{engine, {ID: "r1", Kind: "r", State: ashwood.StateOff}})
+			engine := ashwood.Server{ID: "w2", Kind: "w", Zone: "another", State: ashwood.StateActive}
+			g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{engine, {ID: "r1", Kind: "r", State: ashwood.StateRemoved}})
 			late(newTestHolds(g, "q"), ashwood.Server{ID: "w1"})
 			if d := fake.wantNextRelease(t, "w2"); d > holderTimeout*time.Millisecond {
 				t.Errorf("%s: release taken after %v", name, d)
@@ -229,10 +229,10 @@
 		want  map[string]int
 	}{
 		{"timed out", "order", nil, map[string]int{"r1": 4, "w1": 3}}, // r1 once more while the attempt is in flight
-		{"connection lost", "order", []AttemptResult{resultOf(ashwood.ConnectionLost)}, map[string]int{"r1": 3, "w1": 3}},
-		{"answered", "order", []AttemptResult{resultOf(ashwood.ServerError)}, map[string]int{"r1": 1, "w1": 1}},
+		{"connection lost", "order", []AttemptResult{resultOf(ashwood.StatusConnectionLost)}, map[string]int{"r1": 3, "w1": 3}},
+		{"answered", "order", []AttemptResult{resultOf(ashwood.StatusServerError)}, map[string]int{"r1": 1, "w1": 1}},
 	} {
-		fake := &fakeTransport{reserveResult: ReserveNotSent, results: map[ashwood.ServerID][]AttemptResult{"r1": {resultOf(ashwood.Parsed)}, "w1": tt.w1}}
+		fake := &fakeTransport{reserveResult: ReserveNotSent, results: map[ashwood.ServerID][]AttemptResult{"r1": {resultOf(ashwood.StatusPrefilled)}, "w1": tt.w1}}
 		runInBubble(t, fake, func(t *testing.T, g *Gateway) {
 			serve(t, g, t.Context(), tt.class)
 			time.Sleep((holderTimeout + firstRepeatDelay + secondRepeatDelay) * time.Millisecond)
@@ -265,7 +265,7 @@
 // A prefill may have succeeded although its connection broke, so its engine is sent a release. A membership snapshot, as
 // after a reload, does not drop the pending releases of engines that it contains.
 func TestServe_LostPrefillAndWholeSnapshot(t *testing.T) {
-	fake := &fakeTransport{reserveResult: ReserveNotSent, silentFor: map[ashwood.ServerID]int{"r1": 1e6}, results: map[ashwood.ServerID][]AttemptResult{"r1": {resultOf(ashwood.ConnectionLost)}}}
+	fake := &fakeTransport{reserveResult: ReserveNotSent, silentFor: map[ashwood.ServerID]int{"r1": 1e6}, results: map[ashwood.ServerID][]AttemptResult{"r1": {resultOf(ashwood.StatusConnectionLost)}}}
 	runInBubble(t, fake, func(t *testing.T, g *Gateway) {
 		ctx, leave := context.WithCancel(t.Context())
 		end := make(chan Reply)
@@ -278,7 +278,7 @@
 		if reply := <-end; reply.Kind != ClientGone {
 			t.Errorf("kind %v", reply.Kind)
 		}
-		g.UpdateMembership(ashwood.ListWhole, []ashwood.Server{{ID: "r1", Kind: "r", State: ashwood.StateOn}})
+		g.UpdateMembership(ashwood.MembershipSnapshot, []ashwood.Server{{ID: "r1", Kind: "r", State: ashwood.StateActive}})
 		time.Sleep(10 * time.Millisecond) // on the test's clock: the release call is in flight
 		fake.makeReachable("r1")
 		fake.wantReleasedAt(t, "r1")
@@ -310,7 +310,7 @@
 		stalled := &hangingStream{pieceStream: pieceStream{remaining: []string{"a"}}, hanging: make(chan struct{})}
 		fake := &fakeTransport{gatewayCount: 300, reserveResult: ReserveRefused, loadReport: ashwood.Report{ashwood.ReportQueue: waits, ashwood.ReportInFlight: 9},
 			results: map[ashwood.ServerID][]AttemptResult{
-				"r1": {resultOf(ashwood.Parsed)}, "w1": {{Result: ashwood.Result{Status: ashwood.Served}, Stream: stalled}}}}
+				"r1": {resultOf(ashwood.StatusPrefilled)}, "w1": {{Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: stalled}}}}
 		synctest.Test(t, func(t *testing.T) {
 			g := startGateway(t, fake, SystemClock())
 			fake.probed = make(chan string, 99)
@@ -337,7 +337,7 @@
 func TestServe_LateReservationReleased(t *testing.T) {
 	for _, result := range []ReserveResult{ReserveHeld, ReserveUnknown} {
 		fake := &fakeTransport{reserveResult: result, reserveGate: make(chan struct{}), results: map[ashwood.ServerID][]AttemptResult{
-			"r1": {resultOf(ashwood.Parsed)}, "w1": {streamResult(io.EOF, "a")}}}
+			"r1": {resultOf(ashwood.StatusPrefilled)}, "w1": {streamResult(io.EOF, "a")}}}
 		g, _ := startManualClock(t, fake)
 		reply := serve(t, g, context.Background(), "chat")
 		close(fake.reserveGate)
--- a/gateway/holds_time_test.go
+++ b/gateway/holds_time_test.go
@@ -214,9 +214,9 @@
 // use up a part.
 func TestServe_RemainingAfterSlowRelease(t *testing.T) {
 	fake := &fakeTransport{reserveResult: ReserveNotSent, silentFor: map[ashwood.ServerID]int{"r1": 9, "r2": 9, "w1": 9}, results: map[ashwood.ServerID][]AttemptResult{
-		"r1": {resultOf(ashwood.Parsed)}, "w1": {{Result: ashwood.Result{Status: ashwood.TurnedAway, Note: 1}}}}}
+		"r1": {resultOf(ashwood.StatusPrefilled)}, "w1": {{Result: ashwood.Result{Status: ashwood.StatusRejected, Detail: 1}}}}}
 	runInBubble(t, fake, func(t *testing.T, g *Gateway) {
-		g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{{ID: "r2", Kind: "r", State: ashwood.StateOn}})
+		g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "r2", Kind: "r", State: ashwood.StateActive}})
 		begun := time.Now()
 		fake.beforeWrite = func(ashwood.Server) { time.Sleep(300 * time.Millisecond) } // duration of a prefill
 		go g.Serve(t.Context(), request("chat"))
@@ -324,16 +324,16 @@
 // and then leaves the membership; r2 turns the request away at 0, 40, 120, 280 and 600 ms, and r1 was sent nothing in between.
 func TestServe_TurnedAwayKeepsRepeats(t *testing.T) {
 	fake := &fakeTransport{reserveResult: ReserveNotSent, recordReleases: true, results: map[ashwood.ServerID][]AttemptResult{
-		"r1": {resultOf(ashwood.ConnectionLost)},
-		"r2": slices.Repeat([]AttemptResult{resultOf(ashwood.TurnedAway)}, 9),
+		"r1": {resultOf(ashwood.StatusConnectionLost)},
+		"r2": slices.Repeat([]AttemptResult{resultOf(ashwood.StatusRejected)}, 9),
 	}}
 	runInBubble(t, fake, func(t *testing.T, g *Gateway) {
 		fake.beforeWrite = func(engine ashwood.Server) {
 			if engine.ID == "r2" {
-				g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{{ID: "r1", Kind: "r", State: ashwood.StateOff}})
+				g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "r1", Kind: "r", State: ashwood.StateRemoved}})
 			}
 		}
-		g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{{ID: "r2", Kind: "r", State: ashwood.StateOn}})
+		g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "r2", Kind: "r", State: ashwood.StateActive}})
 		g.Serve(t.Context(), request("chat"))
 		taken, calls := 0, fake.recordedCalls()
 		for slices.Contains(calls, "send r2") && calls[len(calls)-1] != "send r2" { // releases after the last send belong to the request's end
--- a/gateway/liveness_test.go
+++ b/gateway/liveness_test.go
@@ -41,8 +41,8 @@
 	fake := &fakeTransport{localFailures: 4 * silentThreshold}
 	runInBubble(t, fake, func(t *testing.T, g *Gateway) {
 		fake.releasedAt = make(chan string, 9)
-		w1 := ashwood.Server{ID: "w1", Kind: "w", State: ashwood.StateOn}
-		g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{w1})
+		w1 := ashwood.Server{ID: "w1", Kind: "w", State: ashwood.StateActive}
+		g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{w1})
 		g.releaser.engineAnswered(w1)
 		for range silentThreshold {
 			g.probeWithin(w1, probeTimeout)
--- a/gateway/peer_test.go
+++ b/gateway/peer_test.go
@@ -60,7 +60,7 @@
 		f.beforeWrite(a.Engine)
 	}
 	if !a.MayWrite() {
-		return AttemptResult{Result: ashwood.Result{Status: ashwood.NotSent}}
+		return AttemptResult{Result: ashwood.Result{Status: ashwood.StatusNotSent}}
 	}
 	f.mu.Lock()
 	f.remainingTimes = append(f.remainingTimes, a.Remaining)
@@ -69,7 +69,7 @@
 		f.results[a.Engine.ID] = list[1:]
 	}
 	f.mu.Unlock()
-	if !f.unsent && (len(list) == 0 || list[0].Status != ashwood.NoConnection) {
+	if !f.unsent && (len(list) == 0 || list[0].Status != ashwood.StatusConnectFailed) {
 		a.OnSent()
 	}
 	if len(list) > 0 {
@@ -80,9 +80,9 @@
 	}
 	f.hanging <- struct{}{}
 	<-ctx.Done()
-	status := ashwood.ConnectionLost
+	status := ashwood.StatusConnectionLost
 	if f.unsent {
-		status = ashwood.NotSent
+		status = ashwood.StatusNotSent
 	}
 	return AttemptResult{Result: ashwood.Result{Status: status}}
 }
@@ -140,13 +140,13 @@
 	local := f.localFailures > 0
 	f.mu.Unlock()
 	if local {
-		return ashwood.NotSent, nil
+		return ashwood.StatusNotSent, nil
 	}
 	if f.muteProbes {
 		<-ctx.Done()
-		return ashwood.ConnectionLost, nil
+		return ashwood.StatusConnectionLost, nil
 	}
-	return ashwood.Served, f.loadReport
+	return ashwood.StatusServed, f.loadReport
 }
 
 // pieceStream is a stream of pieces that ends with err.
@@ -172,7 +172,7 @@
 	return AttemptResult{Result: ashwood.Result{Status: status}}
 }
 func streamResult(err error, pieces ...string) AttemptResult {
-	return AttemptResult{Result: ashwood.Result{Status: ashwood.Served}, Stream: &pieceStream{remaining: pieces, err: err}}
+	return AttemptResult{Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: &pieceStream{remaining: pieces, err: err}}
 }
 
 func startManualClock(t *testing.T, fake *fakeTransport) (*Gateway, *clock.Manual) {
@@ -189,18 +189,18 @@
 		return ashwood.Class{Name: name, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: e}
 	}
 	g, err := New(ashwood.Settings{
-		Nodes: max(fake.gatewayCount, 1), Ahead: true, Reports: ashwood.ReportInline,
+		Nodes: max(fake.gatewayCount, 1), Reservations: true, Reports: ashwood.ReportInline,
 		Kinds: []ashwood.Kind{{Name: "r", Role: ashwood.RoleRead, MemoryTokens: 1e5}, {Name: "w", Role: ashwood.RoleWrite, MemoryTokens: 1e5}},
 		Classes: []ashwood.Class{class("chat", ashwood.Pure), class("order", ashwood.SideEffect), {
-			Name: "quote", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: ashwood.Token, Group: ashwood.ScopeAll, Window: time.Second}},
+			Name: "quote", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: ashwood.TokenEffect, Group: ashwood.ScopeAll, Window: time.Second}},
 		Limits: ashwood.Limits{MaxAttempts: 6, Cancel: true, Probes: fake.gatewayCount > 1, RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond},
-		Rules:  ashwood.Rules{Release: 500 * time.Millisecond},
+		Rules:  ashwood.Rules{ReleaseTimeout: 500 * time.Millisecond},
 	}, 1, fake, c, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.UpdateMembership(ashwood.ListWhole, []ashwood.Server{
-		{ID: "r1", Kind: "r", State: ashwood.StateOn}, {ID: "w1", Kind: "w", State: ashwood.StateOn}})
+	g.UpdateMembership(ashwood.MembershipSnapshot, []ashwood.Server{
+		{ID: "r1", Kind: "r", State: ashwood.StateActive}, {ID: "w1", Kind: "w", State: ashwood.StateActive}})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go g.Run(ctx)
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -9,7 +9,7 @@
 // probe asks an engine for its load report and passes the outcome to the decision module.
 func (g *Gateway) probe(engine ashwood.Server) {
 	status, report := g.probeWithin(engine, probeTimeout)
-	g.router.Probed(engine.ID, status, report)
+	g.router.ReportProbeResult(engine.ID, status, report)
 }
 
 // probeWithin probes an engine and cancels the probe after timeout ms.
@@ -22,7 +22,7 @@
 	switch {
 	case showsEngineRuns(status):
 		g.releaser.engineAnswered(engine)
-	case status == ashwood.NotSent && ctx.Err() == nil: // the probe failed on this machine
+	case status == ashwood.StatusNotSent && ctx.Err() == nil: // the probe failed on this machine
 	default:
 		g.releaser.noteUnanswered(engine, "probe", false)
 	}
@@ -35,14 +35,14 @@
 // allowed, prefillKnown decides: by the protocol, an engine that holds a reservation knows of its prefill.
 func (g *Gateway) prefillArrived(attempt *inFlightAttempt, prefillKnown bool, by float64) bool {
 	switch {
-	case g.router.HeardAt(attempt.engine.ID) >= attempt.writtenAt+arrivalTimeout:
+	case g.router.LastResponseAt(attempt.engine.ID) >= attempt.writtenAt+arrivalTimeout:
 		return true
 	case !g.probesAllowed:
 		return prefillKnown
 	}
 	status, report := g.probeWithin(attempt.engine, max(min(probeTimeout, by-g.clock.Now()), 0))
 	if showsEngineRuns(status) {
-		g.router.Probed(attempt.engine.ID, status, report) // so that the decision module need not probe it as well
+		g.router.ReportProbeResult(attempt.engine.ID, status, report) // so that the decision module need not probe it as well
 	}
 	return showsEngineRuns(status)
 }
--- a/gateway/repeat_test.go
+++ b/gateway/repeat_test.go
@@ -94,7 +94,7 @@
 				time.Sleep(tt.after)
 				h.pauseReleases(true)
 				if tt.restarts {
-					g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{{ID: "r1", Kind: "r", State: ashwood.StateOn, Started: clock.Duration(g.clock.Now())}})
+					g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "r1", Kind: "r", State: ashwood.StateActive, Started: clock.Duration(g.clock.Now())}})
 				}
 				time.Sleep(2 * time.Second)
 				if taken := fake.drainReleaseCounts(); len(taken) > 0 {
@@ -139,10 +139,10 @@
 	for name, change := range map[string]func(*Gateway){
 		"dies": func(*Gateway) {},
 		"restarts": func(g *Gateway) {
-			g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{{ID: "w1", Kind: "w", State: ashwood.StateOn, Started: clock.Duration(g.clock.Now())}})
+			g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "w1", Kind: "w", State: ashwood.StateActive, Started: clock.Duration(g.clock.Now())}})
 		},
 		"leaves": func(g *Gateway) {
-			g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{{ID: "w1", Kind: "w", State: ashwood.StateOff}})
+			g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "w1", Kind: "w", State: ashwood.StateRemoved}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/gateway/stall_test.go
+++ b/gateway/stall_test.go
@@ -34,8 +34,8 @@
 	for _, works := range []bool{true, false} {
 		stalled := &hangingStream{pieceStream: pieceStream{remaining: []string{"a"}}, hanging: make(chan struct{})}
 		fake := &fakeTransport{reserveResult: ReserveRefused, results: map[ashwood.ServerID][]AttemptResult{
-			"r1": {resultOf(ashwood.Parsed), resultOf(ashwood.Parsed)},
-			"w1": {{Result: ashwood.Result{Status: ashwood.Served}, Stream: stalled}, streamResult(io.EOF, "b")}}}
+			"r1": {resultOf(ashwood.StatusPrefilled), resultOf(ashwood.StatusPrefilled)},
+			"w1": {{Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: stalled}, streamResult(io.EOF, "b")}}}
 		g, manualClock := startManualClock(t, fake)
 		reply := serve(t, g, context.Background(), "chat")
 		if piece, err := reply.Stream.Next(); string(piece) != "a" || err != nil {
@@ -110,8 +110,8 @@
 		stalled := &hangingStream{pieceStream: pieceStream{remaining: []string{"a", "b"}}}
 		going := &steppedStream{}
 		fake := &fakeTransport{gatewayCount: 2, reserveResult: ReserveRefused, loadReport: ashwood.Report{ashwood.ReportQueue: tt.queue}, results: map[ashwood.ServerID][]AttemptResult{
-			"r1": {resultOf(ashwood.Parsed), resultOf(ashwood.Parsed)},
-			"w1": {{Result: ashwood.Result{Status: ashwood.Served}, Stream: going}, {Result: ashwood.Result{Status: ashwood.Served}, Stream: stalled}}}}
+			"r1": {resultOf(ashwood.StatusPrefilled), resultOf(ashwood.StatusPrefilled)},
+			"w1": {{Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: going}, {Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: stalled}}}}
 		synctest.Test(t, func(t *testing.T) {
 			stalled.hanging, going.step, fake.probed = make(chan struct{}), make(chan struct{}, 1), make(chan string, 99)
 			g := startGateway(t, fake, SystemClock())
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -37,13 +37,13 @@
 	case err == nil:
 		s.pieceCount++
 	case errors.Is(err, io.EOF):
-		s.end(ashwood.Served)
+		s.end(ashwood.StatusServed)
 	case s.clientCtx.Err() != nil:
-		s.end(ashwood.CalledOff)
+		s.end(ashwood.StatusCancelled)
 		err = ErrClientGone
 	default:
 		s.gateway.log.Debug("stream broke", "id", s.id, "err", err)
-		s.end(ashwood.ConnectionLost)
+		s.end(ashwood.StatusConnectionLost)
 	}
 	return piece, err
 }
@@ -66,7 +66,7 @@
 		}
 	}
 	check = func() {
-		stalled, shouldProbe := s.gateway.router.Stopped(s.id, s.attempt, s.engine.ID, since, s.progress.at(), firstPiece)
+		stalled, shouldProbe := s.gateway.router.AnswerStalled(s.id, s.attempt, s.engine.ID, since, s.progress.at(), firstPiece)
 		remaining := stallTimeout - (s.gateway.clock.Now() - since)
 		if stalled || remaining <= 0 {
 			s.cancel(ErrStalled)
@@ -98,7 +98,7 @@
 		return give(state)
 	})
 	if err == nil {
-		s.end(ashwood.CalledOff)
+		s.end(ashwood.StatusCancelled)
 	}
 	return err
 }
@@ -119,7 +119,7 @@
 
 // Close cancels the answer if it has not ended.
 func (s *stream) Close() error {
-	s.end(ashwood.CalledOff)
+	s.end(ashwood.StatusCancelled)
 	s.cancel(nil)
 	return s.Stream.Close()
 }
@@ -131,5 +131,5 @@
 	s.ended = true
 	s.gateway.progress.leave(s.engine.ID)
 	s.gateway.log.Debug("end", "id", s.id, "class", s.class, "status", status, "ms", s.gateway.clock.Now()-s.startedAt)
-	s.gateway.router.Report(s.id, s.attempt, ashwood.Result{Status: status, Report: s.Stream.Report()})
+	s.gateway.router.ReportResult(s.id, s.attempt, ashwood.Result{Status: status, Report: s.Stream.Report()})
 }
--- a/gateway/types.go
+++ b/gateway/types.go
@@ -33,7 +33,7 @@
 
 // Request is one try of a client in the form that fronts and transports share.
 type Request struct {
-	ashwood.Call
+	ashwood.RequestInfo
 	Front      string     // name of the front that took it, for limits
 	ClientAddr netip.Addr // for limits; the zero value = unknown
 	Method     string
@@ -86,9 +86,9 @@
 type Reply struct {
 	Kind       ReplyKind
 	Stream     Stream
-	RetryAfter float64     // ms, with Refused; 0 = no advice
-	Reason     ashwood.Why // with Refused and Failed
-	Err        error       // of the last attempt that reported one
+	RetryAfter float64        // ms, with Refused; 0 = no advice
+	Reason     ashwood.Reason // with Refused and Failed
+	Err        error          // of the last attempt that reported one
 }
 
 // Stream is an answer that is being received. Only one goroutine uses it.
--- a/gateway/window_test.go
+++ b/gateway/window_test.go
@@ -16,8 +16,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			writes := 0
 			fake := &fakeTransport{reserveResult: ReserveRefused, results: map[ashwood.ServerID][]AttemptResult{
-				"r1": {resultOf(ashwood.Parsed), resultOf(ashwood.Parsed), resultOf(ashwood.Parsed)},
-				"w1": {resultOf(ashwood.ConnectionLost)}, "w2": {resultOf(ashwood.ConnectionLost)}}}
+				"r1": {resultOf(ashwood.StatusPrefilled), resultOf(ashwood.StatusPrefilled), resultOf(ashwood.StatusPrefilled)},
+				"w1": {resultOf(ashwood.StatusConnectionLost)}, "w2": {resultOf(ashwood.StatusConnectionLost)}}}
 			fake.beforeWrite = func(engine ashwood.Server) {
 				if engine.Kind == "w" {
 					if writes++; writes == 2 {
@@ -27,7 +27,7 @@
 				}
 			}
 			g := startGateway(t, fake, SystemClock())
-			g.UpdateMembership(ashwood.ListPatch, []ashwood.Server{{ID: "w2", Kind: "w", State: ashwood.StateOn}})
+			g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "w2", Kind: "w", State: ashwood.StateActive}})
 			reply := serve(t, g, t.Context(), "quote")
 			if reply.Kind != want || writes != 2 {
 				t.Errorf("%v ms late: %v after %d writes, want %v", int(late), reply.Kind, writes, want)
--- a/internal/grpcfront/call.go
+++ b/internal/grpcfront/call.go
@@ -50,22 +50,22 @@
 		return c.unserved(box, err)
 	}
 	return gateway.AttemptResult{Result: ashwood.Result{
-		Status: ashwood.Parsed, Note: float64(kept.GetCachedTokens()), Report: c.report(),
+		Status: ashwood.StatusPrefilled, Detail: float64(kept.GetCachedTokens()), Report: c.report(),
 	}}
 }
 
 // unserved tells what a call that brought no answer proves.
 func (c *call) unserved(box ashwood.ServerID, err error) gateway.AttemptResult {
-	res := ashwood.Result{Status: ashwood.ConnectionLost, Report: c.report()}
+	res := ashwood.Result{Status: ashwood.StatusConnectionLost, Report: c.report()}
 	switch {
 	case !c.trailed.Load():
 	case len(c.Trailer().Get(trailerAway)) > 0:
-		res.Status = ashwood.TurnedAway
+		res.Status = ashwood.StatusRejected
 		if status.Code(err) == codes.FailedPrecondition {
-			res.Note = 1
+			res.Detail = 1
 		}
 	default:
-		res.Status = ashwood.ServerError
+		res.Status = ashwood.StatusServerError
 	}
 	if errors.Is(err, io.EOF) {
 		err = errors.New("ended without a token")
--- a/internal/grpcfront/server.go
+++ b/internal/grpcfront/server.go
@@ -216,10 +216,10 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		left = min(left, clock.Millis(time.Until(deadline))) // not by the wall clock, which may be stepped
 	}
-	return &gateway.Request{Front: frontName, ClientAddr: clientAddr(ctx), Body: raw, Call: ashwood.Call{
+	return &gateway.Request{Front: frontName, ClientAddr: clientAddr(ctx), Body: raw, RequestInfo: ashwood.RequestInfo{
 		ID: ashwood.RequestID(in.GetRequestId()), Class: in.GetClass(), Tenant: in.GetTenant(),
 		Session: gateway.AffinityKey(in.GetSession()), Prefix: gateway.AffinityKey(in.GetPrefix()), PromptTokens: float64(in.GetPromptTokens()),
-		PrefixTokens: float64(in.GetPrefixTokens()), MaxOut: float64(in.GetMaxTokens()),
+		PrefixTokens: float64(in.GetPrefixTokens()), MaxOutputTokens: float64(in.GetMaxTokens()),
 		Remaining: max(left, 0), Retry: in.GetResent(),
 	}}, nil
 }
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -26,7 +26,7 @@
 type Discovery struct {
 	clock         clock.Clock
 	log           *slog.Logger
-	update        func(ashwood.ListForm, []ashwood.Server)
+	update        func(ashwood.MembershipForm, []ashwood.Server)
 	generation    int64 // of the current membership
 	hasMembership bool
 	schedule      *pacing.WatchSchedule
@@ -48,7 +48,7 @@
 // gateways share (Settings.Subscribe) or an agent of its own, to which membership is pushed, and
 // the seed of its random delays. It must be called before Run.
 func (d *Discovery) Configure(settings ashwood.Settings, seed int64) {
-	d.schedule = pacing.NewWatchSchedule(settings.Nodes, settings.Subscribe, clock.Millis(settings.Rules.AskWithin), rand.New(rand.NewSource(seed)))
+	d.schedule = pacing.NewWatchSchedule(settings.Nodes, settings.Subscribe, clock.Millis(settings.Rules.ResubscribeWithin), rand.New(rand.NewSource(seed)))
 }
 
 // Share sets how many processes, including this one, poll on behalf of one gateway.
@@ -82,7 +82,7 @@
 // Run calls update for each membership update until ctx ends, starting from the current
 // version. Another address may count versions differently, so after SetAddress it fetches
 // a whole snapshot.
-func (d *Discovery) Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) {
+func (d *Discovery) Run(ctx context.Context, update func(ashwood.MembershipForm, []ashwood.Server)) {
 	d.update = update
 	for hasMembership := d.hasMembership; ctx.Err() == nil; hasMembership = false {
 		addressCtx, addr := d.currentAddress(ctx)
@@ -110,7 +110,7 @@
 		start := d.clock.Now()
 		wait, timeout := d.schedule.NextTimeouts()
 		targets, err := fetchMembership(client, generation, hasMembership, wait, timeout)
-		d.log.Debug("list", "from", generation, "watch", hasMembership, "generation", targets.Generation, "whole", targets.Whole, "entries", len(targets.Engines),
+		d.log.Debug("list", "from", generation, "watch", hasMembership, "generation", targets.Generation, "whole", targets.Snapshot, "entries", len(targets.Engines),
 			"ms", d.clock.Now()-start, "err", err)
 		if ctx.Err() != nil {
 			return
@@ -129,10 +129,10 @@
 		}
 		d.schedule.Succeeded()
 		switch {
-		case targets.Whole:
-			d.update(ashwood.ListWhole, targets.Engines)
+		case targets.Snapshot:
+			d.update(ashwood.MembershipSnapshot, targets.Engines)
 		case len(targets.Engines) > 0:
-			d.update(ashwood.ListPatch, targets.Engines)
+			d.update(ashwood.MembershipDelta, targets.Engines)
 		}
 		generation, hasMembership = targets.Generation, true
 	}
@@ -188,7 +188,7 @@
 func checkUnique(targets wire.Targets) error {
 	seen := map[ashwood.ServerID]bool{}
 	for _, engine := range targets.Engines {
-		if targets.Whole && seen[engine.ID] {
+		if targets.Snapshot && seen[engine.ID] {
 			return fmt.Errorf("platform: discovery: the snapshot contains engine %q twice", engine.ID)
 		}
 		seen[engine.ID] = true
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -24,20 +24,20 @@
 	}
 	const serverError = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
 	responses := []string{"\x00", membershipResponse(7, false, "draining"), serverError, serverError, membershipResponse(9, true, "up"), ""}
-	peer := engine(t, "d", "", func(s seen) string {
+	peer := scriptedEngine(t, "d", "", func(s engineRequest) string {
 		requests <- s.Target
 		response := responses[0]
 		responses = responses[1:]
 		return response
 	})
 	type membershipUpdate struct {
-		Form  ashwood.ListForm
+		Form  ashwood.MembershipForm
 		State ashwood.ServerState
 	}
 	updates := make(chan membershipUpdate, 9)
 	var logged bytes.Buffer
 	d := NewDiscovery(peer.Address, clock.System(), slog.New(slog.NewTextHandler(&logged, nil)))
-	update := func(f ashwood.ListForm, l []ashwood.Server) {
+	update := func(f ashwood.MembershipForm, l []ashwood.Server) {
 		updates <- membershipUpdate{f, l[0].State}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -50,7 +50,7 @@
 		target, _, _ := strings.Cut(<-requests, "&hold_ms=")
 		targets = append(targets, target)
 	}
-	want := []membershipUpdate{{ashwood.ListPatch, ashwood.StateFading}, {ashwood.ListWhole, ashwood.StateOn}}
+	want := []membershipUpdate{{ashwood.MembershipDelta, ashwood.StateDraining}, {ashwood.MembershipSnapshot, ashwood.StateActive}}
 	const from = "/api/targets?from="
 	if diff := cmp.Diff(want, got) + cmp.Diff([]string{from + "0", from + "0", from + "7", from + "7", from + "7", from + "9"}, targets); diff != "" {
 		t.Error(diff)
@@ -66,7 +66,7 @@
 func TestDiscovery_AddressChangeDuringWatch(t *testing.T) {
 	requests, respond := make(chan string, 9), make(chan struct{})
 	peer := func(name string, responses ...string) ashwood.Server {
-		return engine(t, name, "", func(s seen) string {
+		return scriptedEngine(t, name, "", func(s engineRequest) string {
 			requests <- name + " " + s.Target
 			if len(responses) == 0 {
 				return ""
@@ -86,7 +86,7 @@
 	old, replacement := peer("old", snapshot("a")), peer("new", snapshot("b"))
 	updates := make(chan ashwood.ServerID, 9)
 	d := NewDiscovery(old.Address, clock.System(), slog.New(slog.DiscardHandler))
-	update := func(_ ashwood.ListForm, l []ashwood.Server) {
+	update := func(_ ashwood.MembershipForm, l []ashwood.Server) {
 		updates <- l[0].ID
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -121,7 +121,7 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
 	responses := []string{"", delta("up")[:90], delta("draining")}
-	peer := engine(t, "d", "", func(seen) string {
+	peer := scriptedEngine(t, "d", "", func(engineRequest) string {
 		response := responses[0]
 		if len(responses) > 1 {
 			responses = responses[1:]
@@ -130,14 +130,14 @@
 	})
 	states := make(chan ashwood.ServerState, 99)
 	d := NewDiscovery(peer.Address, clock.System(), slog.New(slog.DiscardHandler))
-	update := func(_ ashwood.ListForm, l []ashwood.Server) {
+	update := func(_ ashwood.MembershipForm, l []ashwood.Server) {
 		states <- l[0].State
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d.ResumeFrom(7)
 	go d.Run(ctx, update)
-	if got := <-states; got != ashwood.StateFading {
+	if got := <-states; got != ashwood.StateDraining {
 		t.Errorf("first update has state %v, want draining", got)
 	}
 }
@@ -173,7 +173,7 @@
 		var firstWaits []float64
 		for seed := range int64(2) {
 			responses := []string{unavailable, unavailable, unavailable, unavailable, emptyDelta, unavailable, ""}
-			peer := engine(t, "d", "", func(seen) string {
+			peer := scriptedEngine(t, "d", "", func(engineRequest) string {
 				response := responses[0]
 				responses = responses[1:]
 				return response
@@ -185,7 +185,7 @@
 			d.Share(tt.processes)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			go d.Run(ctx, func(ashwood.ListForm, []ashwood.Server) {})
+			go d.Run(ctx, func(ashwood.MembershipForm, []ashwood.Server) {})
 			for n, maxWait := range tt.maxWaits {
 				wait := <-c.waits
 				if n == 0 {
--- a/internal/platform/engines.go
+++ b/internal/platform/engines.go
@@ -236,7 +236,7 @@
 			stream.abandon()
 			return failedAnswer(ctx, true, err)
 		}
-		result.Status = ashwood.Served
+		result.Status = ashwood.StatusServed
 		return gateway.AttemptResult{Result: result, Stream: stream}
 	}
 	body, err := e.readShortBody(ctx, c, &response, e.pool.abandon)
@@ -249,14 +249,14 @@
 		if err == nil {
 			err = json.Unmarshal(body, &cached)
 		}
-		result.Status, result.Note = ashwood.Parsed, cached.Tokens
+		result.Status, result.Detail = ashwood.StatusPrefilled, cached.Tokens
 		return gateway.AttemptResult{Result: result, Err: err}
 	case rejected && (code == fasthttp.StatusServiceUnavailable || code == fasthttp.StatusGatewayTimeout):
-		result.Status = ashwood.TurnedAway
+		result.Status = ashwood.StatusRejected
 	case rejected && code == fasthttp.StatusGone:
-		result.Status, result.Note = ashwood.TurnedAway, 1
+		result.Status, result.Detail = ashwood.StatusRejected, 1
 	default:
-		result.Status = ashwood.ServerError
+		result.Status = ashwood.StatusServerError
 	}
 	return gateway.AttemptResult{Result: result, Err: fmt.Errorf("platform: engine %s responded with status %d", attempt.Engine.ID, code)}
 }
@@ -264,13 +264,13 @@
 // failedAnswer returns the status of an attempt without a usable response, which says
 // whether the engine may have run it.
 func failedAnswer(ctx context.Context, written bool, err error) gateway.AttemptResult {
-	status := ashwood.ConnectionLost
+	status := ashwood.StatusConnectionLost
 	switch {
 	case written:
 	case ctx.Err() != nil, errors.Is(err, errNotReady), isLocalError(err):
-		status = ashwood.NotSent
+		status = ashwood.StatusNotSent
 	default:
-		status = ashwood.NoConnection
+		status = ashwood.StatusConnectFailed
 	}
 	return gateway.AttemptResult{Result: ashwood.Result{Status: status}, Err: fmt.Errorf("platform: no response from the engine: %w", err)}
 }
@@ -369,7 +369,7 @@
 		report = wire.ParseReport(string(body))
 	}
 	if response.StatusCode() != fasthttp.StatusOK {
-		return ashwood.ServerError, report
+		return ashwood.StatusServerError, report
 	}
-	return ashwood.Served, report
+	return ashwood.StatusServed, report
 }
--- a/internal/platform/engines_test.go
+++ b/internal/platform/engines_test.go
@@ -22,13 +22,13 @@
 
 // An engine may close an idle connection. A request written to it would end with a reset.
 func TestPool_IdleConnectionClosedByEngine(t *testing.T) {
-	requests := make(chan seen, 9)
-	c := start(t, engine(t, "r1", "reader", reads), engine(t, "w1", "writer", writes(func(s seen) string {
+	requests := make(chan engineRequest, 9)
+	c := startAndDial(t, scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", scriptDecode(func(s engineRequest) string {
 		requests <- s
-		return whole() + "\x00" // and closes it
+		return fullStream() + "\x00" // and closes it
 	})))
 	for range 3 {
-		r, body, err := ask(t, c, request("order", "", "{}"))
+		r, body, err := roundTrip(t, c, requestText("order", "", "{}"))
 		s := <-requests
 		s.conn.Read(make([]byte, 1)) // returns when the connection is closed
 		if r.StatusCode != 200 || err != nil {
@@ -112,14 +112,14 @@
 	if other == first {
 		t.Fatal("the connection is reused while surplus bytes may still arrive")
 	}
-	io.WriteString(peer, whole())
+	io.WriteString(peer, fullStream())
 	if _, err := first.reader.Peek(1); err != nil { // it has arrived, but the pool has not seen it
 		t.Fatal(err)
 	}
 	first.reader.Reset(first.Conn)
 	io.WriteString(peer, "more")
 	c.Advance(1)
-	until(t, "the surplus bytes have arrived", func() bool { return !first.isOpen() })
+	waitFor(t, "the surplus bytes have arrived", func() bool { return !first.isOpen() })
 	if got := take(); got == first || p.open != 2 {
 		t.Errorf("connection with surplus bytes reused: %v; %d open, want 2", got == first, p.open)
 	}
@@ -146,17 +146,17 @@
 		err   error
 		want  ashwood.Status
 	}{
-		{live, true, io.EOF, ashwood.ConnectionLost},
-		{ended, true, context.Canceled, ashwood.ConnectionLost},
-		{live, false, io.ErrShortWrite, ashwood.NoConnection},
-		{ended, false, io.ErrShortWrite, ashwood.NotSent},
-		{live, false, errNotReady, ashwood.NotSent},
-		{live, false, errTooManyConns, ashwood.NotSent},
-		{live, false, dialError(syscall.ECONNREFUSED), ashwood.NoConnection},
-		{live, false, dialError(syscall.EMFILE), ashwood.NotSent}, // an error of this machine, which says nothing about the engine
-		{live, false, dialError(syscall.EADDRNOTAVAIL), ashwood.NotSent},
-		{live, false, dialError(syscall.ENETUNREACH), ashwood.NotSent},
-		{live, true, dialError(syscall.ENOBUFS), ashwood.ConnectionLost},
+		{live, true, io.EOF, ashwood.StatusConnectionLost},
+		{ended, true, context.Canceled, ashwood.StatusConnectionLost},
+		{live, false, io.ErrShortWrite, ashwood.StatusConnectFailed},
+		{ended, false, io.ErrShortWrite, ashwood.StatusNotSent},
+		{live, false, errNotReady, ashwood.StatusNotSent},
+		{live, false, errTooManyConns, ashwood.StatusNotSent},
+		{live, false, dialError(syscall.ECONNREFUSED), ashwood.StatusConnectFailed},
+		{live, false, dialError(syscall.EMFILE), ashwood.StatusNotSent}, // an error of this machine, which says nothing about the engine
+		{live, false, dialError(syscall.EADDRNOTAVAIL), ashwood.StatusNotSent},
+		{live, false, dialError(syscall.ENETUNREACH), ashwood.StatusNotSent},
+		{live, true, dialError(syscall.ENOBUFS), ashwood.StatusConnectionLost},
 	}
 	for _, tt := range tests {
 		if got := failedAnswer(tt.ctx, tt.wrote, tt.err).Status; got != tt.want {
@@ -166,20 +166,20 @@
 }
 
 func TestProbe_LoadReport(t *testing.T) {
-	e := NewEngines(settings(), clock.NewManual(0), 9)
+	e := NewEngines(testSettings(), clock.NewManual(0), 9)
 	for _, tt := range []struct {
 		name, answer string
 		status       ashwood.Status
 		report       ashwood.Report
 	}{
 		{"in the head", "HTTP/1.1 200 OK\r\nX-Pressure: inflight=3,x0=0.5\r\nContent-Length: 0\r\n\r\n",
-			ashwood.Served, ashwood.Report{ashwood.ReportInFlight: 3, ashwood.ReportMemory: 0.5}},
-		{"in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("queue=2") + "0\r\n\r\n",
-			ashwood.Served, ashwood.Report{ashwood.ReportQueue: 2}},
-		{"an error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", ashwood.ServerError, nil},
-		{"a reset", "\x00", ashwood.ConnectionLost, nil},
+			ashwood.StatusServed, ashwood.Report{ashwood.ReportInFlight: 3, ashwood.ReportMemory: 0.5}},
+		{"in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + encodeChunk("queue=2") + "0\r\n\r\n",
+			ashwood.StatusServed, ashwood.Report{ashwood.ReportQueue: 2}},
+		{"an error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", ashwood.StatusServerError, nil},
+		{"a reset", "\x00", ashwood.StatusConnectionLost, nil},
 	} {
-		target := engine(t, "w1", "writer", func(s seen) string {
+		target := scriptedEngine(t, "w1", "writer", func(s engineRequest) string {
 			if s.Method != "GET" || s.Target != loadReportPath {
 				t.Errorf("probe sent as %s %s", s.Method, s.Target)
 			}
@@ -196,15 +196,15 @@
 // that is lost on it must not be resent. It goes to its decode engine on a new connection.
 func TestSend_SideEffectsUseNewConnections(t *testing.T) {
 	conns := map[net.Conn]bool{}
-	c := start(t, engine(t, "r1", "reader", reads), engine(t, "w1", "writer", func(s seen) string {
+	c := startAndDial(t, scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", func(s engineRequest) string {
 		if s.Method == "DELETE" || strings.HasPrefix(s.Target, holdsPath) {
-			return freed
+			return releasedResponse
 		}
 		conns[s.conn] = true
-		return whole()
+		return fullStream()
 	}))
 	for range 3 {
-		if r, _, err := ask(t, c, request("order", "", "{}")); r.StatusCode != 200 || err != nil {
+		if r, _, err := roundTrip(t, c, requestText("order", "", "{}")); r.StatusCode != 200 || err != nil {
 			t.Errorf("status %s, error %v", r.Status, err)
 		}
 	}
@@ -217,8 +217,8 @@
 // response. The next try uses none of the connections that were open then.
 func TestRelease_RetryOnNewConnection(t *testing.T) {
 	for name, fault := range map[string]string{"silent": "", "closed": "\x00", "cut short": "HTTP/1.1 20\x00", "no header": "\r\n\x00"} {
-		e, conns, answers := NewEngines(settings(), clock.System(), 9), make(chan net.Conn), make(chan string)
-		target := engine(t, "w1", "writer", func(s seen) string {
+		e, conns, answers := NewEngines(testSettings(), clock.System(), 9), make(chan net.Conn), make(chan string)
+		target := scriptedEngine(t, "w1", "writer", func(s engineRequest) string {
 			conns <- s.conn
 			return <-answers
 		})
@@ -230,7 +230,7 @@
 		}
 		idle := []net.Conn{release(false), release(false)} // two at the same time
 		for range idle {
-			answers <- freed
+			answers <- releasedResponse
 			if err := <-results; err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
@@ -248,7 +248,7 @@
 		if c := release(true); slices.Contains(idle, c) {
 			t.Errorf("%s: the retry used an old connection", name)
 		}
-		answers <- freed
+		answers <- releasedResponse
 		if err := <-results; err != nil {
 			t.Errorf("%s: the retry failed: %v", name, err)
 		}
@@ -260,7 +260,7 @@
 // at the value from the settings.
 func TestConnectTimeout_ByFleetSize(t *testing.T) {
 	for nodes, want := range map[int]float64{300: 400, 4: 2000} {
-		config := settings()
+		config := testSettings()
 		config.Nodes = nodes
 		e := NewEngines(config, clock.NewManual(1), 99) // a clock on which a connect takes no time
 		addr := listen(t).Addr().String()
@@ -319,18 +319,18 @@
 func TestSend_CancelDuringFailure(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	e := NewEngines(ashwood.Settings{}, clock.System(), 16)
-	target := engine(t, "w", "decode", func(seen) string { return "" })
+	target := scriptedEngine(t, "w", "decode", func(engineRequest) string { return "" })
 	for i := range 50 {
 		ctx, cancel := context.WithCancel(context.Background())
 		answer := e.Send(ctx, gateway.Attempt{
-			Request: &gateway.Request{Call: ashwood.Call{ID: ashwood.RequestID(fmt.Sprint(i))}, Method: "POST", Target: "/", Body: []byte("{}")},
+			Request: &gateway.Request{RequestInfo: ashwood.RequestInfo{ID: ashwood.RequestID(fmt.Sprint(i))}, Method: "POST", Target: "/", Body: []byte("{}")},
 			Engine:  target, Remaining: 1000, OnSent: func() {},
 			MayWrite: func() bool {
 				cancel()
 				return false
 			},
 		})
-		if answer.Status != ashwood.NotSent {
+		if answer.Status != ashwood.StatusNotSent {
 			t.Fatalf("attempt %d: status %v, error %v", i, answer.Status, answer.Err)
 		}
 		runtime.Gosched()
@@ -339,7 +339,7 @@
 
 // While two processes serve one gateway, each may have half of the connections to engines.
 func TestPool_SharedBetweenProcesses(t *testing.T) {
-	target := engine(t, "e", "", func(seen) string { return "HTTP/1.1 204 No Content\r\n\r\n" })
+	target := scriptedEngine(t, "e", "", func(engineRequest) string { return "HTTP/1.1 204 No Content\r\n\r\n" })
 	p := newConnPool(clock.System(), 1000, 15000, 4)
 	var conns []*engineConn
 	for range 4 {
--- a/internal/platform/lists_test.go
+++ b/internal/platform/lists_test.go
@@ -61,7 +61,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			d.Run(ctx, func(_ ashwood.ListForm, list []ashwood.Server) { updates = append(updates, len(list)) })
+			d.Run(ctx, func(_ ashwood.MembershipForm, list []ashwood.Server) { updates = append(updates, len(list)) })
 		}()
 		for n := 0; n < 3; {
 			select {
--- a/internal/platform/move.go
+++ b/internal/platform/move.go
@@ -22,7 +22,7 @@
 
 // Give hands another process a message with the client's and the engine's connections.
 // After an error nothing of them has gone.
-type Give func(message []byte, client, engine syscall.Conn) error
+type HandoverFunc func(message []byte, client, engine syscall.Conn) error
 
 // moved is an answer on its way from one process to another.
 type moved struct {
@@ -49,7 +49,7 @@
 
 // Give has answers that have begun, and those that begin from now on, handed over; nil
 // ends that. One that can't be goes on here.
-func (s *Server) Give(give Give) {
+func (s *Server) SetHandover(give HandoverFunc) {
 	if give == nil {
 		s.in.give.Store(nil)
 		return
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -102,7 +102,7 @@
 		case "prefix_len":
 			into = &req.PrefixTokens
 		case "max_out":
-			into = &req.MaxOut
+			into = &req.MaxOutputTokens
 		}
 		if into != nil {
 			if *into, err = number(value); err != nil {
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -174,7 +174,7 @@
 func TestDiscovery_CrashAndReturn(t *testing.T) {
 	e := openEmulator(t, smallFleet+"[[fault]]\nkind = \"crash\"\nat_s = 0\nlen_s = 0.3\nboxes = [\"prefill-1\"]\n", false)
 	snapshot := getTargets(t, e, "")
-	if !snapshot.Whole || len(snapshot.Engines) != 2 {
+	if !snapshot.Snapshot || len(snapshot.Engines) != 2 {
 		t.Fatalf("snapshot %+v", snapshot)
 	}
 	if err := e.Start(); err != nil {
@@ -182,7 +182,7 @@
 	}
 	watch := func(from int64) wire.Targets { return getTargets(t, e, fmt.Sprintf("?from=%d&hold_ms=20000", from)) }
 	removed := watch(snapshot.Generation)
-	if len(removed.Engines) != 1 || removed.Whole || removed.Engines[0].ID != "prefill-1" || removed.Generation <= snapshot.Generation {
+	if len(removed.Engines) != 1 || removed.Snapshot || removed.Engines[0].ID != "prefill-1" || removed.Generation <= snapshot.Generation {
 		t.Fatalf("delta after the crash: %+v", removed)
 	}
 	restarted := watch(removed.Generation)
--- a/router/moving_test.go
+++ b/router/moving_test.go
@@ -22,7 +22,7 @@
 	old, young := start(t, first, Config{Known: boxes}), start(t, second, Config{Known: boxes})
 	ctx := context.Background()
 	serve := func(id string) gateway.Stream {
-		reply, err := old.Serve(ctx, &gateway.Request{Call: request(id, "order").Call})
+		reply, err := old.Serve(ctx, &gateway.Request{RequestInfo: request(id, "order").RequestInfo})
 		if err != nil || reply.Kind != gateway.Served {
 			t.Fatal(reply, err)
 		}
--- a/router/parts.go
+++ b/router/parts.go
@@ -29,7 +29,7 @@
 		creds = insecure.NewCredentials()
 	}
 	return func(set ashwood.Settings, c gateway.Clock) (Transport, error) {
-		return grpcfront.NewBoxes(set, creds, c), nil
+		return grpcfront.NewEngines(set, creds, c), nil
 	}
 }
 
@@ -37,8 +37,8 @@
 type Static []ashwood.Server
 
 // Run tells of the list once.
-func (s Static) Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error {
-	update(ashwood.ListWhole, s)
+func (s Static) Run(ctx context.Context, update func(ashwood.MembershipForm, []ashwood.Server)) error {
+	update(ashwood.MembershipSnapshot, s)
 	<-ctx.Done()
 	return nil
 }
@@ -69,7 +69,7 @@
 func (p *Platform) Share(processes int) { p.d.Share(processes) }
 
 // Run watches until ctx ends.
-func (p *Platform) Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error {
+func (p *Platform) Run(ctx context.Context, update func(ashwood.MembershipForm, []ashwood.Server)) error {
 	p.d.Run(ctx, update)
 	return nil
 }
@@ -90,7 +90,7 @@
 }
 
 // Run follows the server until ctx ends.
-func (x XDS) Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error {
+func (x XDS) Run(ctx context.Context, update func(ashwood.MembershipForm, []ashwood.Server)) error {
 	o := resolve(x.opts)
 	if x.Credentials == nil {
 		x.Credentials = insecure.NewCredentials()
--- a/router/router.go
+++ b/router/router.go
@@ -39,7 +39,7 @@
 type Source interface {
 	// Run tells update of each change until ctx ends. An error says that it can't
 	// go on; the list in hand stays.
-	Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error
+	Run(ctx context.Context, update func(ashwood.MembershipForm, []ashwood.Server)) error
 }
 
 // Transport carries attempts to engines; see gateway.Transport.
@@ -161,7 +161,7 @@
 	if err := r.life.Start(); err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
-	r.gw.UpdateMembership(ashwood.ListStale, r.cfg.Known)
+	r.gw.UpdateMembership(ashwood.MembershipStale, r.cfg.Known)
 	r.running.Go(func() { r.gw.Run(r.ctx) })
 	for _, s := range r.sources {
 		r.running.Go(func() {
@@ -174,9 +174,9 @@
 }
 
 // Update tells of news of the engines, as a Source does.
-func (r *Router) Update(form ashwood.ListForm, list []ashwood.Server) {
+func (r *Router) Update(form ashwood.MembershipForm, list []ashwood.Server) {
 	r.gw.UpdateMembership(form, list)
-	if form == ashwood.ListWhole {
+	if form == ashwood.MembershipSnapshot {
 		r.transport.Keep(list)
 	}
 }
@@ -274,7 +274,7 @@
 		return gateway.Reply{Kind: gateway.Failed, Err: ErrShuttingDown}, nil
 	}
 	ended := errors.Is(context.Cause(vctx), ErrShuttingDown)
-	if ended || reply.Reason == ashwood.WhyEnding {
+	if ended || reply.Reason == ashwood.ReasonShutdown {
 		r.count(&r.gaveUp)
 		reqlog.Write(r.log, change(req, reqlog.Ended, "the process's time to answer is up"))
 	}
@@ -306,7 +306,7 @@
 		return 0, nil, err
 	}
 	ticket, err := r.limit.Admit(r.clock.Now(), limits.Request{
-		Front: req.Front, Class: req.Class, Tenant: req.Tenant, Addr: req.ClientAddr, Tokens: req.PromptTokens + req.MaxOut,
+		Front: req.Front, Class: req.Class, Tenant: req.Tenant, Addr: req.ClientAddr, Tokens: req.PromptTokens + req.MaxOutputTokens,
 	})
 	if err != nil {
 		r.life.Leave(id)
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -205,7 +205,7 @@
 	ended chan struct{}
 }
 
-func (s silent) Run(ctx context.Context, _ func(ashwood.ListForm, []ashwood.Server)) error {
+func (s silent) Run(ctx context.Context, _ func(ashwood.MembershipForm, []ashwood.Server)) error {
 	close(s.asked)
 	<-ctx.Done()
 	for range 10000 {
