--- a/facade.go
+++ b/facade.go
@@ -134,7 +134,7 @@
 
 // Share says how many processes, this one among them, count as one node to the rules:
 // each keeps to its part of what cold servers may be sent.
-func (t *Router) Share(processes int) {
+func (t *Router) SetProcesses(processes int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sched.copies = float64(max(processes, 1))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -111,7 +111,7 @@
 func (g *Gateway) Engines() (listed, avoided int) { return g.router.Engines() }
 
 // Share says how many processes count as this one gateway; see ashwood.Router.
-func (g *Gateway) Share(processes int) { g.router.Share(processes) }
+func (g *Gateway) SetProcesses(processes int) { g.router.SetProcesses(processes) }
 
 // EndBy tells by when, in ms of the clock, each request must have its answer, because the
 // process ends then; see ashwood.Router.
--- a/internal/grpcfront/boxes.go
+++ b/internal/grpcfront/boxes.go
@@ -89,7 +89,7 @@
 
 // Keep forgets the boxes that a whole list no longer names. Their connections
 // are closed only after a while, since answers may still come over them.
-func (b *Boxes) Keep(list []ashwood.Server) {
+func (b *Boxes) RetainOnly(list []ashwood.Server) {
 	named := map[string]bool{}
 	for _, v := range list {
 		named[v.Address] = true
--- a/internal/grpcfront/harness_test.go
+++ b/internal/grpcfront/harness_test.go
@@ -111,7 +111,7 @@
 		case in.Session == "error after first":
 			return status.Error(codes.DataLoss, "broke in the middle")
 		case in.Session == "removed" && i == 0:
-			b.boxes.Keep(nil)
+			b.boxes.RetainOnly(nil)
 		case in.Session == "halved" && i == 0:
 			<-b.second
 		case in.Session == "endless":
--- a/internal/pacing/reopen.go
+++ b/internal/pacing/reopen.go
@@ -45,13 +45,13 @@
 	if askMs > 0 {
 		p.most = min(p.most, askMs)
 	}
-	p.Share(1)
+	p.SetProcesses(1)
 	return p
 }
 
 // Share says how many processes make calls in the place of one gateway: each makes its part
 // of them at a discovery that all gateways share, as far as the rule bears longer waits.
-func (p *Reopen) Share(processes int) {
+func (p *Reopen) SetProcesses(processes int) {
 	if !p.shared {
 		return
 	}
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -51,7 +51,7 @@
 }
 
 // Share says how many processes, this one among them, ask in the place of one gateway.
-func (d *Discovery) Share(processes int) { d.shares.Store(int32(processes)) }
+func (d *Discovery) SetProcesses(processes int) { d.shares.Store(int32(processes)) }
 
 // Known says which version of the list is in hand, so that Run watches from there.
 func (d *Discovery) Known(version int64) { d.from, d.inHand = version, true }
@@ -116,7 +116,7 @@
 			if failed++; failed == 1 {
 				d.log.Warn("discovery: no answer, the list in hand stays", "err", err)
 			}
-			d.pace.Share(max(int(d.shares.Load()), 1))
+			d.pace.SetProcesses(max(int(d.shares.Load()), 1))
 			clock.Wait(ctx, d.clock, d.pace.Failed(silent(err)))
 			continue
 		}
--- a/internal/platform/engines.go
+++ b/internal/platform/engines.go
@@ -75,7 +75,7 @@
 func (e *Engines) Log(log *slog.Logger) { e.pool.log = log }
 
 // Share says how many processes share the connections that the limit allows.
-func (e *Engines) Share(processes int) { e.pool.share(processes) }
+func (e *Engines) SetProcesses(processes int) { e.pool.share(processes) }
 
 // sweep closes what has been idle too long, now and every so often.
 func (e *Engines) sweep() {
@@ -88,7 +88,7 @@
 }
 
 // Keep forgets nothing: connections to engines that are gone end by being idle.
-func (e *Engines) Keep([]ashwood.Server) {}
+func (e *Engines) RetainOnly([]ashwood.Server) {}
 
 // Close closes idle connections and those that are put back from now on.
 func (e *Engines) Close() {
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -89,7 +89,7 @@
 func (s *Server) Yield(on bool) { s.yielding.Store(on) }
 
 // Share says how many processes share the connections that the limit allows.
-func (s *Server) Share(processes int) { s.in.share(processes) }
+func (s *Server) SetProcesses(processes int) { s.in.share(processes) }
 
 // EndBy says how long requests may still be read, since the process ends. Those of which
 // a part has come get the error of a request that is not whole in time.
--- a/router/answer.go
+++ b/router/answer.go
@@ -12,105 +12,107 @@
 	"ashwood.example/ashwood/lifecycle"
 )
 
-// stream is a served answer that gives its request's place back when it ends.
+// stream is the answer to a served request. Close removes the request from the router and
+// counts how it ended.
 type stream struct {
 	gateway.Stream
-	ctx   context.Context
-	leave func()
-	ended func(metrics.End) // counts it
-	whole bool              // its last piece has been passed on
-	left  bool              // its client has
-	over  bool              // it has been counted
+	ctx        context.Context
+	release    func()
+	countEnd   func(metrics.End)
+	complete   bool // Next has returned io.EOF
+	clientGone bool // the client disconnected first
+	counted    bool // the end is already counted, here or by another process
 }
 
-func (r *Router) stream(ctx context.Context, id lifecycle.ID, class string, inner gateway.Stream) *stream {
+func (r *Router) newStream(ctx context.Context, id lifecycle.ID, class string, inner gateway.Stream) *stream {
 	return &stream{
-		Stream: inner, ctx: ctx, leave: func() { r.leave(id) },
-		ended: func(how metrics.End) { r.gw.Metrics().Ended(class, how) },
+		Stream: inner, ctx: ctx, release: func() { r.release(id) },
+		countEnd: func(how metrics.End) { r.gateway.Metrics().Ended(class, how) },
 	}
 }
 
-// Next gives the next piece. Of an answer that the stop has ended, the error is
+// Next returns the next piece. If the shutdown ended the answer, the error is
 // ErrShuttingDown.
 func (s *stream) Next() ([]byte, error) {
 	piece, err := s.Stream.Next()
-	s.whole = s.whole || errors.Is(err, io.EOF)
-	s.left = s.left || errors.Is(err, gateway.ErrClientGone)
+	s.complete = s.complete || errors.Is(err, io.EOF)
+	s.clientGone = s.clientGone || errors.Is(err, gateway.ErrClientGone)
 	if err != nil && errors.Is(context.Cause(s.ctx), ErrShuttingDown) {
 		err = ErrShuttingDown
 	}
 	return piece, err
 }
 
-// Move hands the answer to another process, which counts it.
-func (s *stream) Move(give func(gateway.Live) error) error {
-	m, ok := s.Stream.(gateway.Movable)
+// Move hands the answer over to another process, which then counts its end.
+func (s *stream) Move(transfer func(gateway.Live) error) error {
+	movable, ok := s.Stream.(gateway.Movable)
 	if !ok {
-		return fmt.Errorf("router: a stream of %T can't be moved", s.Stream)
+		return fmt.Errorf("router: a stream of type %T does not support handover", s.Stream)
 	}
-	err := m.Move(give)
-	s.over = s.over || err == nil
+	err := movable.Move(transfer)
+	s.counted = s.counted || err == nil
 	return err
 }
 
-// Close ends the answer.
+// Close closes the answer and counts its end, unless another process counts it or the
+// client disconnected, which is not counted at all.
 func (s *stream) Close() error {
-	defer s.leave()
+	defer s.release()
 	switch {
-	case s.over || s.left: // whose client has left is counted nowhere
-	case s.whole:
-		s.ended(metrics.Fulfilled)
+	case s.counted || s.clientGone:
+	case s.complete:
+		s.countEnd(metrics.Fulfilled)
 	default:
-		s.ended(metrics.Faulted)
+		s.countEnd(metrics.Faulted)
 	}
-	s.over = true
+	s.counted = true
 	return s.Stream.Close()
 }
 
-// Adopt goes on with an answer that another process of this gateway has begun; see
-// gateway.Gateway. It is counted as this router's request from now on, whatever its limits.
-func (r *Router) Adopt(ctx context.Context, live gateway.Live, make func(context.Context, gateway.Transport) (gateway.Stream, error)) (gateway.Stream, error) {
-	vctx, cancel := context.WithCancelCause(ctx)
-	v := &activeRequest{cancel: cancel}
+// Adopt continues an answer that another process of this gateway has started; see
+// gateway.Gateway. From now on it counts as a request of this router. Limits don't apply to it.
+func (r *Router) Adopt(ctx context.Context, live gateway.Live, newStream func(context.Context, gateway.Transport) (gateway.Stream, error)) (gateway.Stream, error) {
+	requestCtx, cancel := context.WithCancelCause(ctx)
+	entry := &activeRequest{cancel: cancel}
 	r.mu.Lock()
-	id, err := r.life.Adopt()
+	id, err := r.machine.Adopt()
 	if err == nil {
-		r.active[id] = v
+		r.active[id] = entry
 	}
 	r.mu.Unlock()
 	if err != nil {
-		v.cancel(nil)
+		entry.cancel(nil)
 		return nil, fmt.Errorf("router: %w", err)
 	}
-	inner, err := r.gw.Adopt(vctx, live, make)
+	inner, err := r.gateway.Adopt(requestCtx, live, newStream)
 	if err != nil {
-		r.leave(id)
+		r.release(id)
 		return nil, err
 	}
-	return r.stream(vctx, id, live.Class, inner), nil
+	return r.newStream(requestCtx, id, live.Class, inner), nil
 }
 
-// EndWaiting ends the active requests whose answer has not begun; what is held for them is
-// let go of. Answers that have begun go on.
-func (r *Router) EndWaiting() {
+// EndUnanswered ends the active requests whose answer has not started, and releases the KV
+// state and reservations that engines hold for them. Answers that have started continue.
+func (r *Router) EndUnanswered() {
 	r.mu.Lock()
-	var end []context.CancelCauseFunc
-	for _, id := range r.life.EndWaiting() {
-		end = append(end, r.active[id].cancel)
+	var cancels []context.CancelCauseFunc
+	for _, id := range r.machine.EndWaiting() {
+		cancels = append(cancels, r.active[id].cancel)
 	}
 	r.mu.Unlock()
-	r.logCounts("shutdown: the time to answer is over")
-	for _, cancel := range end {
+	r.logCounts("shutdown: answer deadline reached")
+	for _, cancel := range cancels {
 		cancel(ErrShuttingDown)
 	}
 }
 
-// unanswered is the answer to a request that the stop has ended: a refusal where trying
-// again does no harm whatever has run.
-func (r *Router) unanswered(class string) gateway.Reply {
-	for _, c := range r.cfg.Settings.Classes {
-		if c.Name == class && c.Effect == ashwood.Pure {
-			return gateway.Reply{Kind: gateway.Refused, RetryAfter: r.gw.Pause(), Err: ErrShuttingDown}
+// shutdownReply is the reply to a request that the shutdown ended before its answer started:
+// refused if its class is pure, because repeating it is safe even if it ran, else failed.
+func (r *Router) shutdownReply(class string) gateway.Reply {
+	for _, candidate := range r.cfg.Settings.Classes {
+		if candidate.Name == class && candidate.Effect == ashwood.Pure {
+			return gateway.Reply{Kind: gateway.Refused, RetryAfter: r.gateway.Pause(), Err: ErrShuttingDown}
 		}
 	}
 	return gateway.Reply{Kind: gateway.Failed, Err: ErrShuttingDown}
--- a/router/do.go
+++ b/router/do.go
@@ -11,8 +11,7 @@
 	"ashwood.example/ashwood/gateway"
 )
 
-// Errors of Do and of answers. Of all others than a RefusedError, the request may
-// have run.
+// Errors of Do and of answers. Except after a RefusedError, the request may have run.
 var (
 	ErrShuttingDown = errors.New("router: shutting down")
 	ErrDeadline     = gateway.ErrTimedOut
@@ -21,50 +20,52 @@
 	ErrUnknownClass = ashwood.ErrUnknownClass
 )
 
-// RefusedError says that a request was turned away: trying again does no harm.
+// RefusedError reports that a request was refused: it is safe to send it again.
 type RefusedError struct {
-	RetryAfter float64 // ms to stay away, 0 = no advice
-	Err        error   // what turned it away: a *limits.Refusal, ErrShuttingDown, or of the last attempt
+	RetryAfter float64 // ms to wait before the next try; 0 = no advice
+	Err        error   // the cause: a *limits.Refusal, ErrShuttingDown, or the last attempt's error
 }
 
 func (e *RefusedError) Error() string {
 	if e.Err == nil {
-		return fmt.Sprintf("router: refused, again in %.0f ms", e.RetryAfter)
+		return fmt.Sprintf("router: refused, retry after %.0f ms", e.RetryAfter)
 	}
-	return fmt.Sprintf("router: refused, again in %.0f ms: %v", e.RetryAfter, e.Err)
+	return fmt.Sprintf("router: refused, retry after %.0f ms: %v", e.RetryAfter, e.Err)
 }
 
-// Unwrap gives what turned the request away.
+// Unwrap returns the cause of the refusal.
 func (e *RefusedError) Unwrap() error { return e.Err }
 
-// FailedError says that a request failed and may have run.
+// FailedError reports that a request failed and may have run.
 type FailedError struct{ Err error }
 
 func (e *FailedError) Error() string {
 	if e.Err == nil {
-		return "router: failed: it may have run"
+		return "router: request failed and may have run"
 	}
-	return "router: failed: it may have run: " + e.Err.Error()
+	return "router: request failed and may have run: " + e.Err.Error()
 }
 
-// Unwrap gives what the last attempt met.
+// Unwrap returns the error of the last attempt.
 func (e *FailedError) Unwrap() error { return e.Err }
 
-// Request is what Do sends.
+// Request is a request as Do and Serve take it.
 type Request = gateway.Request
 
-// Answer is an answer on its way. It is used by one goroutine, and closed by it.
+// Answer is a streamed answer. Only one goroutine may use it, and that goroutine must close it.
 type Answer struct{ stream gateway.Stream }
 
-// Next gives the next piece as the engine sent it, valid until the next call.
-// After a whole answer the error is io.EOF; with any other it is broken.
+// Next returns the next piece as the engine sent it; it is valid until the next call.
+// The error is io.EOF at the end of a complete answer; any other error means that the
+// answer broke off.
 func (a *Answer) Next() ([]byte, error) { return a.stream.Next() }
 
-// Close gives up what is left of the answer. It is called in any case, and may be
-// called again.
+// Close discards the rest of the answer. It must always be called, and may be called
+// more than once.
 func (a *Answer) Close() error { return a.stream.Close() }
 
-// Pieces ranges over the answer and closes it. A broken answer ends with its error.
+// Pieces iterates over the answer and then closes it. An answer that breaks off yields its
+// error last.
 func (a *Answer) Pieces() iter.Seq2[[]byte, error] {
 	return func(yield func([]byte, error) bool) {
 		defer a.Close()
@@ -80,18 +81,18 @@
 	}
 }
 
-// directFront is Do's name to the limits.
+// directFront is the name under which limits count the requests of Do.
 const directFront = "direct"
 
-// Do sends a request, for callers with no front. It waits for the first piece of
-// the answer; ctx bounds the answer too. The errors are *RefusedError and
-// *FailedError, those above, and what makes a request unusable.
+// Do sends a request, for callers that have no front. It returns once the first piece of
+// the answer is there; ctx also bounds the rest of the answer. The error is a *RefusedError,
+// a *FailedError, one of the errors above, or says why the request is invalid.
 func (r *Router) Do(ctx context.Context, req *Request) (*Answer, error) {
-	in := *req
-	if in.Front == "" {
-		in.Front = directFront
+	request := *req
+	if request.Front == "" {
+		request.Front = directFront
 	}
-	reply, err := r.Serve(ctx, &in)
+	reply, err := r.Serve(ctx, &request)
 	if err != nil {
 		return nil, err
 	}
--- a/router/ending_test.go
+++ b/router/ending_test.go
@@ -11,102 +11,103 @@
 	"ashwood.example/ashwood/limits"
 )
 
-// Before a process is killed, requests whose answer has not begun are ended: refused where
-// trying again does no harm, failed otherwise, and nothing stays held. Answers go on.
-func TestWhatWaitsIsEndedAndAnswersGoOn(t *testing.T) {
-	f := newFleet()
-	r := start(t, f, Config{Known: boxes, Limits: limits.Config{}})
+// EndUnanswered ends requests whose answer has not started: refused where a retry is safe,
+// failed otherwise, and no engine keeps a hold. Started answers continue.
+func TestEndUnanswered_KeepsStartedAnswers(t *testing.T) {
+	f := newFakeFleet()
+	r := startRouter(t, f, Config{LastKnownEngines: testEngines, Limits: limits.Config{}})
 	ctx := context.Background()
-	begun, err := r.Do(ctx, request("b", "order"))
+	started, err := r.Do(ctx, newRequest("b", "order"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.writing = make(chan struct{})
-	for len(f.reached) > 0 {
-		<-f.reached
+	f.decodeGate = make(chan struct{})
+	for len(f.calls) > 0 {
+		<-f.calls
 	}
-	ends := map[string]chan error{"chat": make(chan error, 1), "order": make(chan error, 1)}
-	for class, ended := range ends {
+	results := map[string]chan error{"chat": make(chan error, 1), "order": make(chan error, 1)}
+	for class, result := range results {
 		go func() {
-			_, err := r.Do(ctx, request(class, class))
-			ended <- err
+			_, err := r.Do(ctx, newRequest(class, class))
+			result <- err
 		}()
 	}
-	until(t, f, "write", "write")
-	r.EndWaiting()
+	waitForCalls(t, f, "decode", "decode")
+	r.EndUnanswered()
 	var refused *RefusedError
 	var failed *FailedError
-	if err := <-ends["chat"]; !errors.As(err, &refused) || !errors.Is(err, ErrShuttingDown) {
-		t.Errorf("a request that may be repeated: %v", err)
+	if err := <-results["chat"]; !errors.As(err, &refused) || !errors.Is(err, ErrShuttingDown) {
+		t.Errorf("pure request: error %v, want a refusal with ErrShuttingDown", err)
 	}
-	if err := <-ends["order"]; !errors.As(err, &failed) || !errors.Is(err, ErrShuttingDown) {
-		t.Errorf("an order: %v", err)
+	if err := <-results["order"]; !errors.As(err, &failed) || !errors.Is(err, ErrShuttingDown) {
+		t.Errorf("request with a side effect: error %v, want a failure with ErrShuttingDown", err)
 	}
 	f.pieces <- "data: one\n\n"
 	close(f.pieces)
-	if piece, err := begun.Next(); string(piece) != "data: one\n\n" || err != nil {
-		t.Errorf("the answer that has begun: %q, %v", piece, err)
+	if piece, err := started.Next(); string(piece) != "data: one\n\n" || err != nil {
+		t.Errorf("started answer: piece %q, error %v", piece, err)
 	}
-	begun.Close()
-	if err := r.Close(); err != nil || f.holds() != 0 {
-		t.Errorf("%v, %d held", err, f.holds())
+	started.Close()
+	if err := r.Close(); err != nil || f.countHeld() != 0 {
+		t.Errorf("Close: error %v, %d holds left", err, f.countHeld())
 	}
 }
 
-// A router whose process ends tells engines no longer time than it has, takes nothing on from
-// one time on, and answers what waits by the other, whatever attempts are out.
-func TestEndBy_RefusesAndAnswersInTime(t *testing.T) {
-	f := newFleet()
-	f.writing = make(chan struct{})
-	c := clock.NewManual(10000)
-	r := start(t, f, Config{Known: boxes}, WithClock(c))
-	ended := make(chan error, 2)
-	ask := func(id string) {
+// After SetLifetime, engines are given no more time than the process has left, requests are
+// refused from the admission deadline on, and unanswered requests get their reply by the
+// answer deadline, even with attempts in flight.
+func TestSetLifetime_RefusesAndAnswersInTime(t *testing.T) {
+	f := newFakeFleet()
+	f.decodeGate = make(chan struct{})
+	manual := clock.NewManual(10000)
+	r := startRouter(t, f, Config{LastKnownEngines: testEngines}, WithClock(manual))
+	results := make(chan error, 2)
+	send := func(id string) {
 		go func() {
-			_, err := r.Do(context.Background(), request(id, "order"))
-			ended <- err
+			_, err := r.Do(context.Background(), newRequest(id, "order"))
+			results <- err
 		}()
-		until(t, f, "write")
+		waitForCalls(t, f, "decode")
 	}
-	ask("before")
-	r.EndBy(lifecycle.Told(c.Now(), 30000))
-	r.EndBy(lifecycle.Told(c.Now()+2000, 30000)) // told again
-	c.Advance(100)
-	ask("in time")
-	if told := f.told["in time"]; told > 2900 {
-		t.Errorf("an engine was told %v ms of the 2900 left", told)
+	send("before")
+	r.SetLifetime(lifecycle.Told(manual.Now(), 30000))
+	r.SetLifetime(lifecycle.Told(manual.Now()+2000, 30000)) // later, so without effect
+	manual.Advance(100)
+	send("in time")
+	if remaining := f.remaining["in time"]; remaining > 2900 {
+		t.Errorf("the engine was given %v ms, more than the 2900 left", remaining)
 	}
-	c.Advance(500)
+	manual.Advance(500)
 	var refused *RefusedError
-	late, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	lateCtx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	if _, err := r.Do(late, request("late", "order")); !errors.As(err, &refused) || !errors.Is(err, ErrShuttingDown) {
-		t.Errorf("a late request: %v", err)
+	if _, err := r.Do(lateCtx, newRequest("late", "order")); !errors.As(err, &refused) || !errors.Is(err, ErrShuttingDown) {
+		t.Errorf("request after the admission deadline: error %v", err)
 	}
 	for range 2 {
 		var failed *FailedError
-		if ms, err := advance(t, c, ended); !errors.As(err, &failed) || c.Now() > 10000+3200 { // they may run
-			t.Errorf("what waits, %v ms on: %v", ms, err)
+		if ms, err := advanceUntil(t, manual, results); !errors.As(err, &failed) || manual.Now() > 10000+3200 { // failed, as the attempts may run
+			t.Errorf("unanswered request after %v ms: error %v", ms, err)
 		}
 	}
 	closed := make(chan error, 1)
 	go func() { closed <- r.Close() }()
-	if advance(t, c, closed); f.sends["late"] > 0 || f.holds() != 0 {
-		t.Errorf("sent on %v, %d held", f.sends, f.holds())
+	if advanceUntil(t, manual, closed); f.decodeSends["late"] > 0 || f.countHeld() != 0 {
+		t.Errorf("sends %v, %d holds left", f.decodeSends, f.countHeld())
 	}
 }
 
-// advance moves a clock on until something has come, and tells by how much.
-func advance(t *testing.T, c *clock.Manual, what chan error) (ms float64, err error) {
+// advanceUntil advances the clock until a result arrives, and returns the time advanced in ms.
+func advanceUntil(t *testing.T, manual *clock.Manual, result chan error) (elapsed float64, err error) {
 	t.Helper()
-	for ; ms < 60000; ms += 50 {
+	for ; elapsed < 60000; elapsed += 50 {
 		select {
-		case err := <-what:
-			return ms, err
-		case <-time.After(time.Millisecond): // for who runs beside
-			c.Advance(50)
+		case err := <-result:
+			return elapsed, err
+		case <-time.After(time.Millisecond): // lets other goroutines run
+			manual.Advance(50)
 		}
 	}
-	t.Fatal("nothing has come in a minute of the clock")
-	return ms, nil
+	t.Fatal("no result within a minute of the manual clock")
+	return elapsed, nil
 }
--- a/router/harness_test.go
+++ b/router/harness_test.go
@@ -11,26 +11,26 @@
 	"ashwood.example/ashwood/gateway"
 )
 
-// fleet is a reader and a writer that do what a test says, without sockets.
-type fleet struct {
-	reading chan struct{} // a read is out; nil = it is answered at once
-	writing chan struct{} // the same of an answer's first piece
-	pieces  chan string   // of answers; closed = whole
-	letting chan struct{} // a release is out; nil = it is answered at once
-	reached chan string   // what has been asked of the fleet, in order
+// fakeFleet is a prefill and a decode engine that a test controls, without sockets.
+type fakeFleet struct {
+	prefillGate chan struct{} // prefills wait until it closes; nil = answered at once
+	decodeGate  chan struct{} // the same for the first piece of answers
+	pieces      chan string   // of answers; closed = the answers are complete
+	releaseGate chan struct{} // releases wait until it closes; nil = answered at once
+	calls       chan string   // the calls to the fleet, in order
 
-	mu     sync.Mutex
-	held   map[ashwood.RequestID]map[ashwood.ServerID]bool
-	closed bool
-	sends  map[ashwood.RequestID]int     // to the writer
-	told   map[ashwood.RequestID]float64 // ms that engines were told last
+	mu          sync.Mutex
+	held        map[ashwood.RequestID]map[ashwood.ServerID]bool
+	closed      bool
+	decodeSends map[ashwood.RequestID]int     // to the decode engine
+	remaining   map[ashwood.RequestID]float64 // the last remaining time in ms sent to an engine
 }
 
-func newFleet() *fleet {
-	return &fleet{pieces: make(chan string, 99), reached: make(chan string, 9999), held: map[ashwood.RequestID]map[ashwood.ServerID]bool{}, sends: map[ashwood.RequestID]int{}, told: map[ashwood.RequestID]float64{}}
+func newFakeFleet() *fakeFleet {
+	return &fakeFleet{pieces: make(chan string, 99), calls: make(chan string, 9999), held: map[ashwood.RequestID]map[ashwood.ServerID]bool{}, decodeSends: map[ashwood.RequestID]int{}, remaining: map[ashwood.RequestID]float64{}}
 }
 
-func (f *fleet) hold(id ashwood.RequestID, at ashwood.ServerID) {
+func (f *fakeFleet) hold(id ashwood.RequestID, at ashwood.ServerID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.held[id] == nil {
@@ -39,36 +39,36 @@
 	f.held[id][at] = true
 }
 
-func (f *fleet) holds() (n int) {
+func (f *fakeFleet) countHeld() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, at := range f.held {
-		n += len(at)
+	for _, holders := range f.held {
+		n += len(holders)
 	}
 	return n
 }
 
-func (f *fleet) Send(ctx context.Context, a gateway.Attempt) gateway.Answer {
+func (f *fakeFleet) Send(ctx context.Context, a gateway.Attempt) gateway.Answer {
 	if !a.Ready() {
 		return gateway.Answer{Result: ashwood.Result{Status: ashwood.NotSent}}
 	}
 	a.Sent()
 	f.mu.Lock()
-	f.told[a.ID] = a.Remaining
+	f.remaining[a.ID] = a.Remaining
 	f.mu.Unlock()
-	wait, what := f.writing, "write"
+	gate, call := f.decodeGate, "decode"
 	if a.Reads {
-		wait, what = f.reading, "read"
+		gate, call = f.prefillGate, "prefill"
 		f.hold(a.ID, a.Engine.ID)
 	} else {
 		f.mu.Lock()
-		f.sends[a.ID]++
+		f.decodeSends[a.ID]++
 		f.mu.Unlock()
 	}
-	f.reached <- what
-	if wait != nil {
+	f.calls <- call
+	if gate != nil {
 		select {
-		case <-wait:
+		case <-gate:
 		case <-ctx.Done():
 			return gateway.Answer{Result: ashwood.Result{Status: ashwood.ConnectionLost}, Err: context.Cause(ctx)}
 		}
@@ -77,54 +77,54 @@
 		return gateway.Answer{Result: ashwood.Result{Status: ashwood.Parsed}}
 	}
 	f.mu.Lock()
-	delete(f.held, a.ID) // the first token lets go of all
+	delete(f.held, a.ID) // the first token ends all holds
 	f.mu.Unlock()
-	return gateway.Answer{Result: ashwood.Result{Status: ashwood.Served}, Stream: &pieces{f.pieces, ctx}}
+	return gateway.Answer{Result: ashwood.Result{Status: ashwood.Served}, Stream: &scriptedStream{f.pieces, ctx}}
 }
 
-func (f *fleet) Reserve(_ context.Context, v ashwood.Server, id ashwood.RequestID, _ func() bool) gateway.Place {
-	f.hold(id, v.ID)
-	f.reached <- "place"
+func (f *fakeFleet) Reserve(_ context.Context, engine ashwood.Server, id ashwood.RequestID, _ func() bool) gateway.Place {
+	f.hold(id, engine.ID)
+	f.calls <- "reserve"
 	return gateway.PlaceHeld
 }
 
-func (f *fleet) Release(ctx context.Context, v ashwood.Server, id ashwood.RequestID, _ bool) error {
-	if f.letting != nil {
-		f.reached <- "release"
+func (f *fakeFleet) Release(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, _ bool) error {
+	if f.releaseGate != nil {
+		f.calls <- "release"
 		select {
-		case <-f.letting:
+		case <-f.releaseGate:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if delete(f.held[id], v.ID); len(f.held[id]) == 0 {
+	if delete(f.held[id], engine.ID); len(f.held[id]) == 0 {
 		delete(f.held, id)
 	}
 	return nil
 }
 
-func (f *fleet) Probe(context.Context, ashwood.Server) (ashwood.Status, ashwood.Report) {
+func (f *fakeFleet) Probe(context.Context, ashwood.Server) (ashwood.Status, ashwood.Report) {
 	return ashwood.Served, nil
 }
 
-func (f *fleet) Keep([]ashwood.Server) {}
+func (f *fakeFleet) RetainOnly([]ashwood.Server) {}
 
-func (f *fleet) Close() {
+func (f *fakeFleet) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closed = true
 }
 
-type pieces struct {
-	from chan string
-	ctx  context.Context
+type scriptedStream struct {
+	source chan string
+	ctx    context.Context
 }
 
-func (p *pieces) Next() ([]byte, error) {
+func (p *scriptedStream) Next() ([]byte, error) {
 	select {
-	case text, ok := <-p.from:
+	case text, ok := <-p.source:
 		if !ok {
 			return nil, io.EOF
 		}
@@ -134,15 +134,15 @@
 	}
 }
 
-func (p *pieces) Report() ashwood.Report { return nil }
-func (p *pieces) Close() error           { return nil }
+func (p *scriptedStream) Report() ashwood.Report { return nil }
+func (p *scriptedStream) Close() error           { return nil }
 
-var boxes = Static{
+var testEngines = Static{
 	{ID: "r", Kind: "prefill", Zone: "a", State: ashwood.StateOn, Weight: 1},
 	{ID: "w", Kind: "decode", Zone: "a", State: ashwood.StateOn, Weight: 1},
 }
 
-func settings() ashwood.Settings {
+func testSettings() ashwood.Settings {
 	return ashwood.Settings{
 		Nodes: 1, Zone: "a", Ahead: true,
 		Kinds: []ashwood.Kind{{Name: "prefill", Role: ashwood.RoleRead, MemoryTokens: 1e6}, {Name: "decode", Role: ashwood.RoleWrite, MemoryTokens: 1e6}},
@@ -155,9 +155,9 @@
 	}
 }
 
-func start(t *testing.T, f *fleet, cfg Config, opts ...Option) *Router {
+func startRouter(t *testing.T, f *fakeFleet, cfg Config, opts ...Option) *Router {
 	t.Helper()
-	cfg.Settings = settings()
+	cfg.Settings = testSettings()
 	r, err := New(cfg, append([]Option{WithTransport(func(ashwood.Settings, gateway.Clock) (Transport, error) { return f, nil })}, opts...)...)
 	if err != nil {
 		t.Fatal(err)
@@ -169,18 +169,18 @@
 	return r
 }
 
-func request(id, class string) *Request {
+func newRequest(id, class string) *Request {
 	return &Request{Call: ashwood.Call{ID: ashwood.RequestID(id), Class: class, Remaining: 20000, PromptTokens: 100, MaxOut: 50}}
 }
 
-func until(t *testing.T, f *fleet, what ...string) {
+func waitForCalls(t *testing.T, f *fakeFleet, calls ...string) {
 	t.Helper()
-	for _, want := range what {
+	for _, want := range calls {
 		for got := ""; got != want; {
 			select {
-			case got = <-f.reached:
+			case got = <-f.calls:
 			case <-time.After(20 * time.Second):
-				t.Fatalf("nothing has asked for a %s", want)
+				t.Fatalf("no %s call within 20 s", want)
 			}
 		}
 	}
--- a/router/metrics_test.go
+++ b/router/metrics_test.go
@@ -10,10 +10,10 @@
 	"ashwood.example/ashwood/limits"
 )
 
-func vars(t *testing.T, r *Router) map[string]string {
+func readMetrics(t *testing.T, r *Router) map[string]string {
 	t.Helper()
 	var b strings.Builder
-	if err := r.Vars(&b); err != nil {
+	if err := r.WriteMetrics(&b); err != nil {
 		t.Fatal(err)
 	}
 	values := map[string]string{}
@@ -24,9 +24,9 @@
 	return values
 }
 
-func wantVars(t *testing.T, r *Router, want map[string]string) {
+func checkMetrics(t *testing.T, r *Router, want map[string]string) {
 	t.Helper()
-	got := vars(t, r)
+	got := readMetrics(t, r)
 	for name, value := range want {
 		if got[name] != value {
 			t.Errorf("%s is %q, want %q", name, got[name], value)
@@ -34,28 +34,28 @@
 	}
 }
 
-// Each way in which a request can end is counted once, under its class, at the router that
-// it came to; what the fleet saw of attempts is what is shown.
-func TestFiguresCountEachEndOnce(t *testing.T) {
-	f, other := newFleet(), newFleet()
-	r := start(t, f, Config{Known: boxes, Limits: limits.Config{Classes: map[string]limits.Limit{"order": {InFlight: 1}}}})
-	idle := start(t, other, Config{Known: boxes})
+// Every way in which a request can end is counted once, under its class and only at the
+// router that received it. The attempts shown are those that the fleet received.
+func TestWriteMetrics_EachEndCountedOnce(t *testing.T) {
+	f, other := newFakeFleet(), newFakeFleet()
+	r := startRouter(t, f, Config{LastKnownEngines: testEngines, Limits: limits.Config{Classes: map[string]limits.Limit{"order": {InFlight: 1}}}})
+	idleRouter := startRouter(t, other, Config{LastKnownEngines: testEngines})
 	ctx := context.Background()
-	wantVars(t, r, map[string]string{
+	checkMetrics(t, r, map[string]string{
 		"app.fulfilled.chat": "0|c", "app.throttled.order": "0|c", "app.faulted.chat": "0|c",
 		"app.open_requests": "0|g", "app.registry_entries": "2|g", "app.out_of_rotation": "0|g",
 	})
 
-	// Served, by many at once, in pieces.
-	const many = 40
-	for range many {
+	// Served concurrently, in pieces.
+	const served = 40
+	for range served {
 		f.pieces <- "data: one\n\n"
 	}
 	close(f.pieces)
 	var all sync.WaitGroup
-	for i := range many {
+	for i := range served {
 		all.Go(func() {
-			a, err := r.Do(ctx, request("s"+string(rune('A'+i)), "chat"))
+			a, err := r.Do(ctx, newRequest("s"+string(rune('A'+i)), "chat"))
 			if err != nil {
 				t.Errorf("%v", err)
 				return
@@ -65,58 +65,58 @@
 					t.Error(err)
 				}
 			}
-			a.Close() // again: it is counted once
+			a.Close() // a second Close is not counted
 		})
 	}
 	all.Wait()
-	// Refused by the limits while an order is on its way, which then breaks.
-	f.writing = make(chan struct{})
+	// Refused by a limit while another request is in flight, whose answer then breaks off.
+	f.decodeGate = make(chan struct{})
 	f.pieces = make(chan string)
-	for len(f.reached) > 0 {
-		<-f.reached
+	for len(f.calls) > 0 {
+		<-f.calls
 	}
 	answer := make(chan *Answer)
 	go func() {
-		a, err := r.Do(ctx, request("o1", "order"))
+		a, err := r.Do(ctx, newRequest("o1", "order"))
 		if err != nil {
 			t.Error(err)
 		}
 		answer <- a
 	}()
-	until(t, f, "write")
-	wantVars(t, r, map[string]string{"app.open_requests": "1|g"})
+	waitForCalls(t, f, "decode")
+	checkMetrics(t, r, map[string]string{"app.open_requests": "1|g"})
 	var refused *RefusedError
-	if _, err := r.Do(ctx, request("o2", "order")); !errors.As(err, &refused) {
-		t.Errorf("a second order: %v", err)
+	if _, err := r.Do(ctx, newRequest("o2", "order")); !errors.As(err, &refused) {
+		t.Errorf("request over the class limit: error %v", err)
 	}
-	// The same id again fails, and a class that there is none of has no count.
-	if _, err := r.Do(ctx, request("o1", "chat")); !errors.Is(err, ErrDuplicate) {
-		t.Errorf("the id of a request on its way: %v", err)
+	// A duplicate id fails; an unknown class has no counters.
+	if _, err := r.Do(ctx, newRequest("o1", "chat")); !errors.Is(err, ErrDuplicate) {
+		t.Errorf("id of a request in flight: error %v", err)
 	}
-	if _, err := r.Do(ctx, request("u", "unheard-of")); !errors.Is(err, ErrUnknownClass) {
-		t.Errorf("an unknown class: %v", err)
+	if _, err := r.Do(ctx, newRequest("u", "nonexistent")); !errors.Is(err, ErrUnknownClass) {
+		t.Errorf("unknown class: error %v", err)
 	}
-	close(f.writing)
+	close(f.decodeGate)
 	a := <-answer
-	a.Close() // before its end
+	a.Close() // before the end of the answer
 	r.TurnAway("chat")
-	// A client that leaves before its answer counts nowhere.
-	f.writing = make(chan struct{})
-	gone, leave := context.WithCancel(ctx)
-	left := make(chan error)
+	// A client that disconnects before its answer is not counted.
+	f.decodeGate = make(chan struct{})
+	clientCtx, disconnect := context.WithCancel(ctx)
+	clientErr := make(chan error)
 	go func() {
-		_, err := r.Do(gone, request("g", "chat"))
-		left <- err
+		_, err := r.Do(clientCtx, newRequest("g", "chat"))
+		clientErr <- err
 	}()
-	until(t, f, "write")
-	leave()
-	if err := <-left; !errors.Is(err, ErrClientGone) {
-		t.Errorf("a client that left: %v", err)
+	waitForCalls(t, f, "decode")
+	disconnect()
+	if err := <-clientErr; !errors.Is(err, ErrClientGone) {
+		t.Errorf("disconnected client: error %v", err)
 	}
-	wantVars(t, r, map[string]string{
+	checkMetrics(t, r, map[string]string{
 		"app.fulfilled.chat": "40|c", "app.throttled.order": "1|c", "app.faulted.order": "1|c",
 		"app.throttled.chat": "1|c", "app.faulted.chat": "1|c", "app.open_requests": "0|g",
-		"app.relayed.order": "2|c", "app.relayed.chat": "82|c", // a read and a write each
+		"app.relayed.order": "2|c", "app.relayed.chat": "82|c", // a prefill and a decode attempt each
 	})
-	wantVars(t, idle, map[string]string{"app.fulfilled.chat": "0|c", "app.relayed.order": "0|c"})
+	checkMetrics(t, idleRouter, map[string]string{"app.fulfilled.chat": "0|c", "app.relayed.order": "0|c"})
 }
--- a/router/parts.go
+++ b/router/parts.go
@@ -14,98 +14,102 @@
 	"ashwood.example/ashwood/internal/xds"
 )
 
-// HTTPEngines is the transport to engines of the platform's HTTP/1.1 protocol,
-// with at most so many connections.
+// HTTPEngines returns a constructor, for WithTransport, of the transport to engines that speak
+// the platform's HTTP/1.1 protocol. It opens at most this number of connections.
 func HTTPEngines(connections int) func(ashwood.Settings, gateway.Clock) (Transport, error) {
-	return func(set ashwood.Settings, c gateway.Clock) (Transport, error) {
-		return platform.NewEngines(set, c, connections), nil
+	return func(settings ashwood.Settings, clock gateway.Clock) (Transport, error) {
+		return platform.NewEngines(settings, clock, connections), nil
 	}
 }
 
-// GRPCEngines is the transport to boxes of the gRPC Box service. Without
-// credentials, connections are in plain text.
+// GRPCEngines returns a constructor, for WithTransport, of the transport to engines that
+// serve the gRPC Box service. Without credentials, connections are in plain text.
 func GRPCEngines(creds credentials.TransportCredentials) func(ashwood.Settings, gateway.Clock) (Transport, error) {
 	if creds == nil {
 		creds = insecure.NewCredentials()
 	}
-	return func(set ashwood.Settings, c gateway.Clock) (Transport, error) {
-		return grpcfront.NewBoxes(set, creds, c), nil
+	return func(settings ashwood.Settings, clock gateway.Clock) (Transport, error) {
+		return grpcfront.NewBoxes(settings, creds, clock), nil
 	}
 }
 
-// Static is a list that stays as it is.
+// Static is a source whose membership never changes.
 type Static []ashwood.Server
 
-// Run tells of the list once.
+// Run reports the membership once, as a snapshot, and then waits for ctx to end.
 func (s Static) Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error {
 	update(ashwood.ListWhole, s)
 	<-ctx.Done()
 	return nil
 }
 
-// Platform is the platform's discovery. Move has it asked at another address.
-type Platform struct{ d *platform.Discovery }
+// Platform is the source that follows the platform's discovery service.
+type Platform struct{ discovery *platform.Discovery }
 
-// NewPlatform follows discovery at an address.
+// NewPlatform makes a source for the discovery service at an address. Of the options, it
+// uses the clock and the logger.
 func NewPlatform(addr string, opts ...Option) *Platform {
-	o := resolve(opts)
-	return &Platform{platform.NewDiscovery(addr, o.clock, o.log)}
+	o := resolveOptions(opts)
+	return &Platform{platform.NewDiscovery(addr, o.clock, o.logger)}
 }
 
-// Move has discovery asked at another address from now on; the list in hand stays.
-func (p *Platform) Move(addr string) { p.d.Move(addr) }
+// SetAddress changes the address of the discovery service. The current membership stays.
+func (p *Platform) SetAddress(addr string) { p.discovery.Move(addr) }
 
-// Known says which version of the list the Router's Known is, so that a watch
-// goes on from there. It is to be called before Start.
-func (p *Platform) Known(version int64) { p.d.Known(version) }
+// ResumeFrom sets the version of the membership that the Router begins with
+// (Config.LastKnownEngines), so that the first watch continues from there. It must be called
+// before Start.
+func (p *Platform) ResumeFrom(version int64) { p.discovery.Known(version) }
 
-// Fleet says how many gateways there are and how lists come, by a Router's settings: a
-// discovery that all ask is asked less often by each. The seed makes their waits
-// differ. It is to be called before Start.
-func (p *Platform) Fleet(set ashwood.Settings, seed int64) { p.d.Fleet(set, seed) }
+// Configure takes the number of gateways and the form of membership reports from a Router's
+// settings: where all gateways poll the discovery service, each polls it less often. The seed
+// makes their waits differ. It must be called before Start.
+func (p *Platform) Configure(settings ashwood.Settings, seed int64) {
+	p.discovery.Fleet(settings, seed)
+}
 
-// Share says how many processes ask in the place of one gateway while one takes the
-// other's place: at a discovery that all ask, each makes its part of the calls.
-func (p *Platform) Share(processes int) { p.d.Share(processes) }
+// SetProcesses sets how many processes run as this one gateway during a handover: where all
+// gateways poll the discovery service, each process makes its share of the calls.
+func (p *Platform) SetProcesses(processes int) { p.discovery.SetProcesses(processes) }
 
-// Run watches until ctx ends.
+// Run watches the membership until ctx ends.
 func (p *Platform) Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error {
-	p.d.Run(ctx, update)
+	p.discovery.Run(ctx, update)
 	return nil
 }
 
-// XDS is an Envoy management server whose clusters and endpoints are followed.
+// XDS is the source that follows the clusters and endpoints of an Envoy management server.
 type XDS struct {
 	Server      string   // host:port
 	Node        string   // id of this node
-	Clusters    []string // names; none = all that the server has
+	Clusters    []string // names; none = all clusters of the server
 	Credentials credentials.TransportCredentials
-	opts        []Option
+	options     []Option
 }
 
-// With has the source use a Router's options for clock and log.
+// With returns a copy of the source that takes its clock and its logger from opts.
 func (x XDS) With(opts ...Option) XDS {
-	x.opts = opts
+	x.options = opts
 	return x
 }
 
-// Run follows the server until ctx ends.
+// Run follows the management server until ctx ends.
 func (x XDS) Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error {
-	o := resolve(x.opts)
+	o := resolveOptions(x.options)
 	if x.Credentials == nil {
 		x.Credentials = insecure.NewCredentials()
 	}
 	cfg := xds.Config{Server: x.Server, Node: x.Node, Clusters: x.Clusters, Credentials: x.Credentials}
-	return xds.New(cfg, o.clock, o.log, update).Run(ctx)
+	return xds.New(cfg, o.clock, o.logger, update).Run(ctx)
 }
 
-// resolve gives options their defaults.
-func resolve(opts []Option) options {
-	o := options{clock: gateway.SystemClock(), log: slog.New(slog.DiscardHandler), transport: HTTPEngines(defaultConnections), drained: nothing, refused: nothing}
+// resolveOptions applies opts to the default options.
+func resolveOptions(opts []Option) options {
+	o := options{clock: gateway.SystemClock(), logger: slog.New(slog.DiscardHandler), transport: HTTPEngines(defaultConnections), onDrain: noop, onRefuse: noop}
 	for _, opt := range opts {
 		opt(&o)
 	}
 	return o
 }
 
-func nothing() {}
+func noop() {}
--- a/router/router.go
+++ b/router/router.go
@@ -1,10 +1,12 @@
-// Package router is ashwood as a library: an application makes a Router, starts
-// it, sends requests through it, and stops it. The daemon and the middleware are
-// built from it, so that embedded or not it behaves the same.
+// Package router is ashwood as a library: an application makes a Router, starts it, sends
+// requests through it, and stops it. The daemon and the middleware are built on it, so that
+// the gateway behaves the same embedded or standalone. Package router owns admission,
+// shutdown and the choice of transport and membership sources; the root package decides where
+// a request goes, and package gateway carries its attempts out.
 //
-// A Router reads no environment, catches no signal and keeps nothing global; two
-// of them share nothing. After Shutdown or Close has returned, none of its
-// goroutines, timers or connections is left, and nothing is held for it anywhere.
+// A Router reads no environment variables, handles no signals and has no global state; two
+// Routers share nothing. After Shutdown or Close has returned, none of its goroutines, timers
+// or connections is left, and no engine holds KV state or a reservation for it.
 package router
 
 import (
@@ -24,60 +26,60 @@
 	"ashwood.example/ashwood/limits"
 )
 
-// Config says how a Router decides.
+// Config configures a Router.
 type Config struct {
-	Settings ashwood.Settings
-	Seed     int64            // for random numbers
-	Limits   limits.Config    // of what is let in; the zero value lets all in
-	Known    []ashwood.Server // the list as it was last known, maybe out of date
-	// DrainMs is for how long requests are still taken once Shutdown has begun and
-	// clients are being sent elsewhere.
+	Settings         ashwood.Settings
+	Seed             int64            // of the random numbers
+	Limits           limits.Config    // admission limits; the zero value admits all requests
+	LastKnownEngines []ashwood.Server // initial membership, possibly stale
+	// DrainMs is how long requests are still admitted after Shutdown has begun, while clients
+	// are being directed to other gateways.
 	DrainMs float64
 }
 
-// Source tells of the fleet's engines.
+// Source reports the membership of the fleet.
 type Source interface {
-	// Run tells update of each change until ctx ends. An error says that it can't
-	// go on; the list in hand stays.
+	// Run passes each snapshot or delta to update until ctx ends. An error means that it
+	// can't continue; the current membership stays.
 	Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error
 }
 
 // Transport carries attempts to engines; see gateway.Transport.
 type Transport interface {
 	gateway.Transport
-	// Keep is told of each whole list, to forget engines that are not on it.
-	Keep(list []ashwood.Server)
-	// Close ends all connections and timers.
+	// RetainOnly gets each membership snapshot, to drop its state of all other engines.
+	RetainOnly(engines []ashwood.Server)
+	// Close closes all connections and stops all timers.
 	Close()
 }
 
-// Router routes requests.
+// Router routes requests to the engines of a fleet.
 type Router struct {
 	cfg       Config
-	gw        *gateway.Gateway
+	gateway   *gateway.Gateway
 	transport Transport
 	sources   []Source
 	clock     gateway.Clock
-	log       *slog.Logger
-	drained   func()
-	refused   func()
-
-	ctx     context.Context // of the sources and the gateway's timers
-	cancel  context.CancelFunc
-	running sync.WaitGroup
-
-	mu      sync.Mutex
-	life    *lifecycle.Machine
-	limit   *limits.Limiter
-	active  map[lifecycle.ID]*activeRequest
-	endings []func() bool // timers of EndBy
-	changed chan struct{} // something is to be looked at by the stop
-	once    sync.Once     // begins the stop
-	done    chan struct{} // closed when it is over
-	late    int           // requests refused because the process ends
-	gaveUp  int           // requests whose answer had not begun when the process's time was up
-	ended   int           // requests that the stop had to end
-	left    int           // of them, those that did not let go in time
+	logger    *slog.Logger
+	onDrain   func()
+	onRefuse  func()
+
+	ctx        context.Context // for the sources and the gateway's timers
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+
+	mu           sync.Mutex
+	machine      *lifecycle.Machine
+	limiter      *limits.Limiter
+	active       map[lifecycle.ID]*activeRequest
+	answerTimers []func() bool // stop functions of SetLifetime's timers
+	wakeStop     chan struct{} // wakes runStop to step the machine
+	stopOnce     sync.Once     // starts runStop
+	done         chan struct{} // closed when runStop returns
+	refusedLate  int           // requests refused because of the shutdown
+	givenUp      int           // requests without an answer at the answer deadline
+	endedByStop  int           // requests that the shutdown had to end
+	unreleased   int           // of them, those not released in time
 }
 
 // activeRequest is a request that has been admitted and has not ended.
@@ -86,255 +88,260 @@
 	cancel context.CancelCauseFunc
 }
 
-// options are what New may be told beside the Config.
+// options are the optional parameters of New and of the sources.
 type options struct {
 	clock     gateway.Clock
-	log       *slog.Logger
+	logger    *slog.Logger
 	transport func(ashwood.Settings, gateway.Clock) (Transport, error)
 	sources   []Source
-	drained   func()
-	refused   func()
+	onDrain   func()
+	onRefuse  func()
 }
 
-// Option changes what a Router is made from.
+// Option sets an optional parameter of New or of a source.
 type Option func(*options)
 
-// WithClock has a Router take its time from c, the machine's without it.
+// WithClock sets the clock; the default is the system clock.
 func WithClock(c gateway.Clock) Option { return func(o *options) { o.clock = c } }
 
-// WithLogger has a Router log; without it, it does not.
-func WithLogger(l *slog.Logger) Option { return func(o *options) { o.log = l } }
+// WithLogger sets the logger; by default nothing is logged.
+func WithLogger(l *slog.Logger) Option { return func(o *options) { o.logger = l } }
 
-// WithSource adds a source of membership; with none, Update is to be called.
+// WithSource adds a membership source; without one, the application must call Update.
 func WithSource(s Source) Option { return func(o *options) { o.sources = append(o.sources, s) } }
 
-// WithTransport has a Router reach engines over a transport that make makes with
-// the Router's own clock. Without it, they are reached over HTTP/1.1.
-func WithTransport(make func(ashwood.Settings, gateway.Clock) (Transport, error)) Option {
-	return func(o *options) { o.transport = make }
+// WithTransport sets the constructor of the transport to engines, which gets the Router's
+// settings and clock. The default is HTTPEngines.
+func WithTransport(newTransport func(ashwood.Settings, gateway.Clock) (Transport, error)) Option {
+	return func(o *options) { o.transport = newTransport }
 }
 
-// WithStopHooks has a stop tell the application's servers: drained when clients
-// are to be sent elsewhere, refused once nothing more is taken. Neither may block.
-func WithStopHooks(drained, refused func()) Option {
-	return func(o *options) { o.drained, o.refused = drained, refused }
+// WithStopHooks sets functions that a shutdown calls, for the application's servers: onDrain
+// when clients should be directed to other gateways, onRefuse once requests are refused.
+// Neither may block.
+func WithStopHooks(onDrain, onRefuse func()) Option {
+	return func(o *options) { o.onDrain, o.onRefuse = onDrain, onRefuse }
 }
 
-// defaultConnections bounds those to engines over HTTP/1.1.
+// defaultConnections limits the connections of the default transport.
 const defaultConnections = 256
 
-// New makes a router. It does nothing before Start.
+// New makes a Router. It does nothing until Start is called.
 func New(cfg Config, opts ...Option) (*Router, error) {
-	o := resolve(opts)
-	limit, err := limits.New(cfg.Limits)
+	o := resolveOptions(opts)
+	limiter, err := limits.New(cfg.Limits)
 	if err != nil {
 		return nil, fmt.Errorf("router: %w", err)
 	}
 	if !(cfg.DrainMs >= 0) || math.IsInf(cfg.DrainMs, 0) {
-		return nil, fmt.Errorf("router: DrainMs: %v is no time", cfg.DrainMs)
+		return nil, fmt.Errorf("router: DrainMs: %v is not a valid duration", cfg.DrainMs)
 	}
-	t, err := o.transport(cfg.Settings, o.clock)
+	transport, err := o.transport(cfg.Settings, o.clock)
 	if err != nil {
 		return nil, fmt.Errorf("router: %w", err)
 	}
-	if l, ok := t.(interface{ Log(*slog.Logger) }); ok {
-		l.Log(o.log)
+	if l, ok := transport.(interface{ Log(*slog.Logger) }); ok {
+		l.Log(o.logger)
 	}
-	gw, err := gateway.New(cfg.Settings, cfg.Seed, t, o.clock, o.log)
+	core, err := gateway.New(cfg.Settings, cfg.Seed, transport, o.clock, o.logger)
 	if err != nil {
-		t.Close()
+		transport.Close()
 		return nil, fmt.Errorf("router: settings: %w", err)
 	}
 	r := &Router{
-		cfg: cfg, gw: gw, transport: t, sources: o.sources, clock: o.clock, log: o.log, drained: o.drained, refused: o.refused,
-		life: lifecycle.NewMachine(), limit: limit, active: map[lifecycle.ID]*activeRequest{}, changed: make(chan struct{}, 1), done: make(chan struct{}),
+		cfg: cfg, gateway: core, transport: transport, sources: o.sources, clock: o.clock, logger: o.logger, onDrain: o.onDrain, onRefuse: o.onRefuse,
+		machine: lifecycle.NewMachine(), limiter: limiter, active: map[lifecycle.ID]*activeRequest{}, wakeStop: make(chan struct{}, 1), done: make(chan struct{}),
 	}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	return r, nil
 }
 
-// Start begins to follow the sources and to take requests. It does not wait for
-// a list: until one is there, requests wait for it or are refused.
+// Start starts the membership sources and begins to admit requests. It does not wait for the
+// first membership report: until that arrives, requests wait for it or are refused.
 func (r *Router) Start() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err := r.life.Start(); err != nil {
+	if err := r.machine.Start(); err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
-	r.gw.Update(ashwood.ListStale, r.cfg.Known)
-	r.running.Go(func() { r.gw.Run(r.ctx) })
+	r.gateway.Update(ashwood.ListStale, r.cfg.LastKnownEngines)
+	r.goroutines.Go(func() { r.gateway.Run(r.ctx) })
 	for _, s := range r.sources {
-		r.running.Go(func() {
+		r.goroutines.Go(func() {
 			if err := s.Run(r.ctx, r.Update); err != nil && r.ctx.Err() == nil {
-				r.log.Error("a source of membership has ended; the list in hand stays", "err", err)
+				r.logger.Error("membership source failed; keeping the current membership", "err", err)
 			}
 		})
 	}
 	return nil
 }
 
-// Update tells of news of the engines, as a Source does.
-func (r *Router) Update(form ashwood.ListForm, list []ashwood.Server) {
-	r.gw.Update(form, list)
+// Update applies a membership update, as from a Source.
+func (r *Router) Update(form ashwood.ListForm, engines []ashwood.Server) {
+	r.gateway.Update(form, engines)
 	if form == ashwood.ListWhole {
-		r.transport.Keep(list)
+		r.transport.RetainOnly(engines)
 	}
 }
 
-// Phase tells how far the router's life has come.
+// Phase returns the current phase of the router's lifecycle.
 func (r *Router) Phase() lifecycle.Phase {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.life.Phase()
+	return r.machine.Phase()
 }
 
-// Vars writes the router's counts since its start and its gauges, one name:value|kind a
-// line, for operators; see the package metrics for what counts when.
-func (r *Router) Vars(w io.Writer) error {
-	listed, avoided := r.gw.Engines()
-	holds, oldest := r.gw.Holds()
-	return r.gw.Metrics().Statsd(w, varsPrefix, metrics.Gauges{
+// WriteMetrics writes the router's counters since its start and its gauges in the statsd
+// format, one name:value|kind per line; see package metrics for what each counts.
+func (r *Router) WriteMetrics(w io.Writer) error {
+	listed, avoided := r.gateway.Engines()
+	holds, oldest := r.gateway.Holds()
+	return r.gateway.Metrics().Statsd(w, metricsPrefix, metrics.Gauges{
 		Open: r.InFlight(), Listed: listed, Avoided: avoided, Holds: holds, OldestHold: oldest,
 	})
 }
 
-const varsPrefix = "app" // of the names, as the operators' page has them
+const metricsPrefix = "app" // of all metric names; documented for operators
 
-// Share says how many processes, this one among them, count as one gateway to the rules
-// while one takes the other's place. Connections are shared out by the transport's own limit.
-func (r *Router) Share(processes int) {
-	r.gw.Share(processes)
-	if t, ok := r.transport.(interface{ Share(int) }); ok {
-		t.Share(processes)
+// SetProcesses sets how many processes, this one included, run as one gateway during a
+// handover. The scheduling rules count them as one, and each transport keeps to its share of
+// the connection limit.
+func (r *Router) SetProcesses(processes int) {
+	r.gateway.SetProcesses(processes)
+	if t, ok := r.transport.(interface{ SetProcesses(int) }); ok {
+		t.SetProcesses(processes)
 	}
 }
 
-// InFlight is the number of requests admitted and not ended.
+// InFlight returns the number of requests that are admitted and have not ended.
 func (r *Router) InFlight() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.life.Active()
+	return r.machine.Active()
 }
 
-// Pause is how long in ms a client is to stay away that a front refuses by
+// RetryAfter returns how many ms a client should wait whose request a front refuses by
 // itself; 0 = no advice.
-func (r *Router) Pause() float64 { return r.gw.Pause() }
+func (r *Router) RetryAfter() float64 { return r.gateway.Pause() }
 
-// TurnAway tells of a request that a front refuses by itself for want of room, and gives
-// how long in ms its client is to stay away, as Pause does.
-func (r *Router) TurnAway(class string) float64 { return r.gw.TurnAway(class) }
+// TurnAway counts a request that a front refuses by itself because it is overloaded, and
+// returns how many ms its client should wait, as RetryAfter does.
+func (r *Router) TurnAway(class string) float64 { return r.gateway.TurnAway(class) }
 
-// Serve takes a request to its final answer, or to the beginning of one, for
-// fronts: a request that a front turns away is refused like any other.
-// When ctx ends, the client has left. A served reply's stream is to be closed.
+// Serve carries a request to its final reply: refused, failed, or served with a stream that
+// has its first piece. It is for fronts; a request that limits turn away gets a refused reply
+// like any other. The end of ctx means that the client has disconnected. The caller must
+// close a served reply's stream.
 func (r *Router) Serve(ctx context.Context, req *gateway.Request) (gateway.Reply, error) {
 	reply, err := r.serve(ctx, req)
 	switch {
 	case err != nil || reply.Kind == gateway.Failed:
-		r.gw.Metrics().Ended(req.Class, metrics.Faulted)
+		r.gateway.Metrics().Ended(req.Class, metrics.Faulted)
 	case reply.Kind == gateway.Refused:
-		r.gw.Metrics().Ended(req.Class, metrics.Throttled)
+		r.gateway.Metrics().Ended(req.Class, metrics.Throttled)
 	}
 	return reply, err
 }
 
 func (r *Router) serve(ctx context.Context, req *gateway.Request) (gateway.Reply, error) {
-	id, v, err := r.enter(req)
+	id, entry, err := r.admit(req)
 	if err != nil {
-		reqlog.Write(r.log, change(req, reqlog.Refused, err.Error()))
+		reqlog.Write(r.logger, newLogEntry(req, reqlog.Refused, err.Error()))
 	} else {
-		reqlog.Write(r.log, change(req, reqlog.Admitted, ""))
+		reqlog.Write(r.logger, newLogEntry(req, reqlog.Admitted, ""))
 	}
 	var refusal *limits.Refusal
 	switch {
 	case errors.As(err, &refusal):
 		return gateway.Reply{Kind: gateway.Refused, RetryAfter: refusal.RetryAfter, Err: err}, nil
 	case errors.Is(err, lifecycle.ErrStopping):
-		r.count(&r.late)
-		return gateway.Reply{Kind: gateway.Refused, RetryAfter: r.gw.Pause(), Err: ErrShuttingDown}, nil
+		r.increment(&r.refusedLate)
+		return gateway.Reply{Kind: gateway.Refused, RetryAfter: r.gateway.Pause(), Err: ErrShuttingDown}, nil
 	case err != nil:
 		return gateway.Reply{}, fmt.Errorf("router: %w", err)
 	}
-	vctx, cancel := context.WithCancelCause(ctx)
+	requestCtx, cancel := context.WithCancelCause(ctx)
 	r.mu.Lock()
-	v.cancel = cancel
+	entry.cancel = cancel
 	r.mu.Unlock()
-	reply, err := r.gw.Serve(vctx, req)
+	reply, err := r.gateway.Serve(requestCtx, req)
 	if err == nil && reply.Kind == gateway.Served {
 		r.mu.Lock()
-		begun := r.life.Began(id)
+		mayStream := r.machine.Began(id)
 		r.mu.Unlock()
-		s := r.stream(vctx, id, req.Class, reply.Stream)
-		if begun {
-			reply.Stream = s
+		answer := r.newStream(requestCtx, id, req.Class, reply.Stream)
+		if mayStream {
+			reply.Stream = answer
 			return reply, nil
 		}
-		s.over = true // it is counted as failed
-		s.Close()
+		answer.counted = true // Serve counts it as failed
+		answer.Close()
 		return gateway.Reply{Kind: gateway.Failed, Err: ErrShuttingDown}, nil
 	}
-	ended := errors.Is(context.Cause(vctx), ErrShuttingDown)
-	if ended || reply.Why == ashwood.WhyEnding {
-		r.count(&r.gaveUp)
-		reqlog.Write(r.log, change(req, reqlog.Ended, "the process's time to answer is up"))
+	endedByStop := errors.Is(context.Cause(requestCtx), ErrShuttingDown)
+	if endedByStop || reply.Why == ashwood.WhyEnding {
+		r.increment(&r.givenUp)
+		reqlog.Write(r.logger, newLogEntry(req, reqlog.Ended, "the process's time to answer is up"))
 	}
-	r.leave(id)
-	if ended && reply.Kind == gateway.Gone {
-		reply = r.unanswered(req.Class)
+	r.release(id)
+	if endedByStop && reply.Kind == gateway.Gone {
+		reply = r.shutdownReply(req.Class)
 	}
 	return reply, err
 }
 
-// count adds one to a count of the router's.
-func (r *Router) count(n *int) {
+// increment adds one to a counter of r under its mutex.
+func (r *Router) increment(counter *int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	*n++
+	*counter++
 }
 
-// change is a record of what has become of a request.
-func change(req *gateway.Request, state reqlog.State, reason string) reqlog.Change {
+// newLogEntry makes the log entry of a request's new state.
+func newLogEntry(req *gateway.Request, state reqlog.State, reason string) reqlog.Change {
 	return reqlog.Change{ID: string(req.ID), Class: req.Class, State: state, Left: req.Remaining, Reason: reason}
 }
 
-// enter admits a request, or tells why not.
-func (r *Router) enter(req *gateway.Request) (lifecycle.ID, *activeRequest, error) {
+// admit admits a request, or returns the reason for refusing it.
+func (r *Router) admit(req *gateway.Request) (lifecycle.ID, *activeRequest, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id, err := r.life.Enter(r.clock.Now())
+	id, err := r.machine.Enter(r.clock.Now())
 	if err != nil {
 		return 0, nil, err
 	}
-	ticket, err := r.limit.Admit(r.clock.Now(), limits.Request{
+	ticket, err := r.limiter.Admit(r.clock.Now(), limits.Request{
 		Front: req.Front, Class: req.Class, Tenant: req.Tenant, Addr: req.Client, Tokens: req.PromptTokens + req.MaxOut,
 	})
 	if err != nil {
-		r.life.Leave(id)
+		r.machine.Leave(id)
 		return 0, nil, err
 	}
-	v := &activeRequest{ticket: ticket, cancel: func(error) {}}
-	r.active[id] = v
-	return id, v, nil
+	entry := &activeRequest{ticket: ticket, cancel: func(error) {}}
+	r.active[id] = entry
+	return id, entry, nil
 }
 
-// leave gives a request's place back. Again, it does nothing.
-func (r *Router) leave(id lifecycle.ID) {
+// release removes a request that has ended from the lifecycle machine and the limiter.
+// Calling it again has no effect.
+func (r *Router) release(id lifecycle.ID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := r.active[id]
-	if v == nil {
+	entry := r.active[id]
+	if entry == nil {
 		return
 	}
 	delete(r.active, id)
-	r.life.Leave(id)
-	r.limit.Leave(r.clock.Now(), &v.ticket)
-	v.cancel(nil)
-	r.signal()
+	r.machine.Leave(id)
+	r.limiter.Leave(r.clock.Now(), &entry.ticket)
+	entry.cancel(nil)
+	r.notifyStop()
 }
 
-func (r *Router) signal() {
+// notifyStop wakes runStop, if a shutdown is in progress.
+func (r *Router) notifyStop() {
 	select {
-	case r.changed <- struct{}{}:
+	case r.wakeStop <- struct{}{}:
 	default:
 	}
 }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -15,13 +15,13 @@
 	"ashwood.example/ashwood/limits"
 )
 
-func TestDoAnswers(t *testing.T) {
-	f := newFleet()
-	r := start(t, f, Config{}, WithSource(boxes))
+func TestDo_Served(t *testing.T) {
+	f := newFakeFleet()
+	r := startRouter(t, f, Config{}, WithSource(testEngines))
 	f.pieces <- "one "
 	f.pieces <- "two"
 	close(f.pieces)
-	a, err := r.Do(context.Background(), request("x", "order"))
+	a, err := r.Do(context.Background(), newRequest("x", "order"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,158 +33,158 @@
 		text += string(piece)
 	}
 	if text != "one two" || r.InFlight() != 0 {
-		t.Errorf("%q, %d in flight", text, r.InFlight())
+		t.Errorf("answer %q, %d in flight", text, r.InFlight())
 	}
-	if _, err := r.Do(context.Background(), request("y", "odd")); !errors.Is(err, ErrUnknownClass) {
-		t.Errorf("a class that is not there: %v", err)
+	if _, err := r.Do(context.Background(), newRequest("y", "odd")); !errors.Is(err, ErrUnknownClass) {
+		t.Errorf("unknown class: error %v", err)
 	}
 	if r.InFlight() != 0 {
 		t.Errorf("%d in flight after an error", r.InFlight())
 	}
 }
 
-func TestDoTellsErrorsApart(t *testing.T) {
-	f := newFleet()
-	f.writing = make(chan struct{})
-	r := start(t, f, Config{Limits: limits.Config{InFlight: 1}}, WithSource(boxes))
+func TestDo_Errors(t *testing.T) {
+	f := newFakeFleet()
+	f.decodeGate = make(chan struct{})
+	r := startRouter(t, f, Config{Limits: limits.Config{InFlight: 1}}, WithSource(testEngines))
 	ctx, cancel := context.WithCancel(context.Background())
 	first := make(chan error, 1)
 	go func() {
-		_, err := r.Do(ctx, request("x", "order"))
+		_, err := r.Do(ctx, newRequest("x", "order"))
 		first <- err
 	}()
-	until(t, f, "write")
-	_, err := r.Do(context.Background(), request("y", "chat"))
+	waitForCalls(t, f, "decode")
+	_, err := r.Do(context.Background(), newRequest("y", "chat"))
 	var refused *RefusedError
 	var limit *limits.Refusal
 	if !errors.As(err, &refused) || !errors.As(err, &limit) || limit.Reason != limits.House || refused.RetryAfter <= 0 {
-		t.Errorf("a full house: %v", err)
+		t.Errorf("at the total limit: error %v", err)
 	}
 	cancel()
 	if err := <-first; !errors.Is(err, ErrClientGone) {
-		t.Errorf("a caller that leaves: %v", err)
+		t.Errorf("cancelled caller: error %v", err)
 	}
-	short := request("z", "order")
+	short := newRequest("z", "order")
 	short.Remaining = 50
 	_, err = r.Do(context.Background(), short)
 	var failed *FailedError
 	if !errors.As(err, &failed) || !errors.Is(err, ErrDeadline) {
-		t.Errorf("no first token in time: %v", err)
+		t.Errorf("no first token before the deadline: error %v", err)
 	}
 }
 
-// A host stops while a request is in each of its states. Each gets its one
-// answer, nothing is held anywhere when Shutdown returns, and no order is sent
-// twice.
-func TestStopInEveryState(t *testing.T) {
+// Shutdown runs out of time while a request is in each of its states. Each request gets
+// exactly one answer, no engine holds anything when Shutdown returns, and no request with a
+// side effect is sent twice.
+func TestShutdown_EveryRequestState(t *testing.T) {
 	for _, c := range []struct {
-		state string
-		set   func(f *fleet)
-		reach []string
+		state   string
+		prepare func(f *fakeFleet)
+		calls   []string
 	}{
-		{"waiting for an engine", func(*fleet) {}, nil},
-		{"a read out", func(f *fleet) { f.reading = make(chan struct{}) }, []string{"read"}},
-		{"a place held", func(f *fleet) { f.reading = make(chan struct{}) }, []string{"place"}},
-		{"a write out", func(f *fleet) { f.writing = make(chan struct{}) }, []string{"write"}},
-		{"half streamed", func(f *fleet) { f.pieces <- "one" }, []string{"write"}},
+		{"waiting for an engine", func(*fakeFleet) {}, nil},
+		{"prefill in flight", func(f *fakeFleet) { f.prefillGate = make(chan struct{}) }, []string{"prefill"}},
+		{"reservation held", func(f *fakeFleet) { f.prefillGate = make(chan struct{}) }, []string{"reserve"}},
+		{"decode in flight", func(f *fakeFleet) { f.decodeGate = make(chan struct{}) }, []string{"decode"}},
+		{"partly streamed", func(f *fakeFleet) { f.pieces <- "one" }, []string{"decode"}},
 	} {
 		t.Run(c.state, func(t *testing.T) {
-			f := newFleet()
-			c.set(f)
-			f.letting = make(chan struct{})
+			f := newFakeFleet()
+			c.prepare(f)
+			f.releaseGate = make(chan struct{})
 			var opts []Option
-			if len(c.reach) > 0 {
-				opts = append(opts, WithSource(boxes))
+			if len(c.calls) > 0 {
+				opts = append(opts, WithSource(testEngines))
 			}
-			r := start(t, f, Config{}, opts...)
-			type end struct {
-				begun bool
-				err   error
+			r := startRouter(t, f, Config{}, opts...)
+			type result struct {
+				started bool
+				err     error
 			}
-			ended := make(chan end, 1)
-			begun := make(chan struct{})
+			results := make(chan result, 1)
+			started := make(chan struct{})
 			go func() {
-				a, err := r.Do(context.Background(), request("x", "order"))
+				a, err := r.Do(context.Background(), newRequest("x", "order"))
 				if err != nil {
-					ended <- end{false, err}
+					results <- result{false, err}
 					return
 				}
-				close(begun)
+				close(started)
 				var last error
 				for _, err := range a.Pieces() {
 					last = err
 				}
-				ended <- end{true, last}
+				results <- result{true, last}
 			}()
-			until(t, f, c.reach...)
-			if c.state == "half streamed" {
-				<-begun
+			waitForCalls(t, f, c.calls...)
+			if c.state == "partly streamed" {
+				<-started
 			}
-			for r.InFlight() == 0 && len(c.reach) == 0 && len(ended) == 0 {
+			for r.InFlight() == 0 && len(c.calls) == 0 && len(results) == 0 {
 				runtime.Gosched()
 			}
 			ctx, cancel := context.WithCancelCause(context.Background())
-			out := errors.New("out of patience")
+			errDeadline := errors.New("shutdown deadline")
 			stopped := make(chan error, 1)
 			go func() { stopped <- r.Shutdown(ctx) }()
 			for p := r.Phase(); p == lifecycle.Running; p = r.Phase() {
 				runtime.Gosched()
 			}
-			cancel(out)
-			if f.holds() > 0 { // it does not return while a release is out
-				until(t, f, "release")
+			cancel(errDeadline)
+			if f.countHeld() > 0 { // Shutdown must not return while a release is in flight
+				waitForCalls(t, f, "release")
 				for range 10000 {
 					runtime.Gosched()
 				}
 				if len(stopped) > 0 {
-					t.Error("Shutdown has returned while something is held")
+					t.Error("Shutdown returned while an engine has a hold")
 				}
 			}
-			close(f.letting)
+			close(f.releaseGate)
 			err := <-stopped
-			got := <-ended
+			got := <-results
 			var refused *RefusedError
 			switch {
-			case len(c.reach) == 0: // without engines it may have been refused before the stop
+			case len(c.calls) == 0: // without engines it may have been refused before the shutdown
 				if !errors.As(got.err, &refused) && !errors.Is(got.err, ErrShuttingDown) {
-					t.Errorf("its answer: %v", got.err)
+					t.Errorf("answer: error %v", got.err)
 				}
-			case !errors.Is(got.err, ErrShuttingDown) || got.begun != (c.state == "half streamed"):
-				t.Errorf("its answer: begun %v, %v", got.begun, got.err)
-			case !errors.Is(err, out) || !strings.Contains(err.Error(), "1 requests were ended"):
-				t.Errorf("Shutdown: %v", err)
+			case !errors.Is(got.err, ErrShuttingDown) || got.started != (c.state == "partly streamed"):
+				t.Errorf("answer: started %v, error %v", got.started, got.err)
+			case !errors.Is(err, errDeadline) || !strings.Contains(err.Error(), "1 requests were ended"):
+				t.Errorf("Shutdown: error %v", err)
 			}
-			if n := f.holds(); n != 0 {
-				t.Errorf("%d are held when Shutdown has returned", n)
+			if n := f.countHeld(); n != 0 {
+				t.Errorf("%d holds left after Shutdown", n)
 			}
-			if !f.closed || r.Phase() != lifecycle.Stopped || f.sends["x"] > 1 {
-				t.Errorf("closed %v, %s, %d sends", f.closed, r.Phase(), f.sends["x"])
+			if !f.closed || r.Phase() != lifecycle.Stopped || f.decodeSends["x"] > 1 {
+				t.Errorf("transport closed %v, phase %s, %d sends", f.closed, r.Phase(), f.decodeSends["x"])
 			}
-			if _, err := r.Do(context.Background(), request("late", "chat")); !errors.As(err, &refused) || !errors.Is(err, ErrShuttingDown) {
-				t.Errorf("after the stop: %v", err)
+			if _, err := r.Do(context.Background(), newRequest("late", "chat")); !errors.As(err, &refused) || !errors.Is(err, ErrShuttingDown) {
+				t.Errorf("request after the shutdown: error %v", err)
 			}
 		})
 	}
 }
 
-func TestShutdownLetsThoseInsideFinish(t *testing.T) {
-	f := newFleet()
+func TestShutdown_ActiveRequestsFinish(t *testing.T) {
+	f := newFakeFleet()
 	f.pieces <- "one"
-	told, shut := make(chan struct{}), make(chan struct{})
-	r := start(t, f, Config{DrainMs: 1}, WithSource(boxes), WithStopHooks(func() { close(told) }, func() { close(shut) }))
-	a, err := r.Do(context.Background(), request("x", "order"))
+	draining, refusing := make(chan struct{}), make(chan struct{})
+	r := startRouter(t, f, Config{DrainMs: 1}, WithSource(testEngines), WithStopHooks(func() { close(draining) }, func() { close(refusing) }))
+	a, err := r.Do(context.Background(), newRequest("x", "order"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	stopped := make(chan error, 2)
-	for range 2 { // the second one waits for the same stop
+	for range 2 { // the second call waits for the same shutdown
 		go func() { stopped <- r.Shutdown(context.Background()) }()
 	}
-	<-told
-	<-shut
+	<-draining
+	<-refusing
 	var refused *RefusedError
-	if _, err := r.Do(context.Background(), request("y", "chat")); !errors.As(err, &refused) || !errors.Is(err, ErrShuttingDown) || refused.RetryAfter <= 0 {
-		t.Errorf("after the stop began: %v", err)
+	if _, err := r.Do(context.Background(), newRequest("y", "chat")); !errors.As(err, &refused) || !errors.Is(err, ErrShuttingDown) || refused.RetryAfter <= 0 {
+		t.Errorf("request while the router stops: error %v", err)
 	}
 	close(f.pieces)
 	for _, err := range a.Pieces() {
@@ -199,61 +199,61 @@
 	}
 }
 
-// silent is discovery that never answers, and takes its time to end.
-type silent struct {
-	asked chan struct{}
-	ended chan struct{}
+// blockedSource is a source that never reports a membership and returns late.
+type blockedSource struct {
+	started  chan struct{}
+	returned chan struct{}
 }
 
-func (s silent) Run(ctx context.Context, _ func(ashwood.ListForm, []ashwood.Server)) error {
-	close(s.asked)
+func (s blockedSource) Run(ctx context.Context, _ func(ashwood.ListForm, []ashwood.Server)) error {
+	close(s.started)
 	<-ctx.Done()
 	for range 10000 {
 		runtime.Gosched()
 	}
-	close(s.ended)
+	close(s.returned)
 	return ctx.Err()
 }
 
-func TestShutdownDuringTheFirstDiscovery(t *testing.T) {
-	s := silent{make(chan struct{}), make(chan struct{})}
-	r := start(t, newFleet(), Config{}, WithSource(s))
-	<-s.asked
+func TestShutdown_DuringFirstDiscovery(t *testing.T) {
+	source := blockedSource{make(chan struct{}), make(chan struct{})}
+	r := startRouter(t, newFakeFleet(), Config{}, WithSource(source))
+	<-source.started
 	if err := r.Shutdown(context.Background()); err != nil {
 		t.Error(err)
 	}
 	select {
-	case <-s.ended:
+	case <-source.returned:
 	default:
-		t.Error("Shutdown has returned before its source had ended")
+		t.Error("Shutdown returned before its source")
 	}
 	if err := r.Start(); !errors.Is(err, lifecycle.ErrStopping) {
-		t.Errorf("a second start: %v", err)
+		t.Errorf("Start after Shutdown: error %v", err)
 	}
 }
 
-// Two routers in one process: one is stopped in mid-load, the other does not notice.
-func TestTwoRoutersShareNothing(t *testing.T) {
-	fa, fb := newFleet(), newFleet()
+// Two routers run in one process: stopping one under load does not affect the other.
+func TestTwoRouters_OneStops(t *testing.T) {
+	fa, fb := newFakeFleet(), newFakeFleet()
 	close(fa.pieces)
 	close(fb.pieces)
-	a := start(t, fa, Config{Limits: limits.Config{InFlight: 8}}, WithSource(boxes))
-	b := start(t, fb, Config{}, WithSource(boxes))
+	a := startRouter(t, fa, Config{Limits: limits.Config{InFlight: 8}}, WithSource(testEngines))
+	b := startRouter(t, fb, Config{}, WithSource(testEngines))
 	const n = 300
 	counts := func(r *Router) (served, refused, other int) {
 		var mu sync.Mutex
 		var all sync.WaitGroup
 		for i := range n {
 			all.Go(func() {
-				ans, err := r.Do(context.Background(), request(fmt.Sprint(i), "order")) // the same ids in both
-				var no *RefusedError
+				answer, err := r.Do(context.Background(), newRequest(fmt.Sprint(i), "order")) // both routers get the same ids
+				var refusal *RefusedError
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
 				case err == nil:
 					served++
-					ans.Close()
-				case errors.As(err, &no):
+					answer.Close()
+				case errors.As(err, &refusal):
 					refused++
 				default:
 					other++
@@ -266,37 +266,37 @@
 	var all sync.WaitGroup
 	all.Go(func() {
 		if s, r, o := counts(a); s+r != n || o != 0 {
-			t.Errorf("the one that stops: %d served, %d refused, %d others", s, r, o)
+			t.Errorf("stopped router: %d served, %d refused, %d others", s, r, o)
 		}
 	})
 	all.Go(func() {
 		if s, r, o := counts(b); s != n || r != 0 || o != 0 {
-			t.Errorf("the one that goes on: %d served, %d refused, %d others", s, r, o)
+			t.Errorf("running router: %d served, %d refused, %d others", s, r, o)
 		}
 	})
 	all.Go(func() {
-		until(t, fa, "read")
+		waitForCalls(t, fa, "prefill")
 		if err := a.Shutdown(context.Background()); err != nil {
 			t.Error(err)
 		}
 	})
 	all.Wait()
 	if fb.closed {
-		t.Error("the other router's connections were closed")
+		t.Error("the running router's transport was closed")
 	}
 }
 
-// A thousand starts and stops leave no goroutine behind.
-func TestStartsAndStopsLeaveNothing(t *testing.T) {
+// A thousand starts and shutdowns leak no goroutine.
+func TestStartStop_NoGoroutineLeak(t *testing.T) {
 	cycles := 1000
 	if testing.Short() {
 		cycles = 100
 	}
 	before := runtime.NumGoroutine()
 	for i := range cycles {
-		f := newFleet()
+		f := newFakeFleet()
 		close(f.pieces)
-		r, err := New(Config{Settings: settings()}, WithSource(boxes),
+		r, err := New(Config{Settings: testSettings()}, WithSource(testEngines),
 			WithTransport(func(ashwood.Settings, gateway.Clock) (Transport, error) { return f, nil }))
 		if err != nil {
 			t.Fatal(err)
@@ -305,7 +305,7 @@
 			t.Fatal(err)
 		}
 		if i%10 == 0 {
-			if a, err := r.Do(context.Background(), request("x", "chat")); err != nil {
+			if a, err := r.Do(context.Background(), newRequest("x", "chat")); err != nil {
 				t.Fatal(err)
 			} else {
 				a.Close()
@@ -315,7 +315,7 @@
 			t.Fatal(err)
 		}
 	}
-	// A goroutine that has done its last counts until it is off its processor.
+	// A goroutine that has returned is counted until the runtime has descheduled it.
 	for i := 0; runtime.NumGoroutine() > before && i < 1e6; i++ {
 		runtime.Gosched()
 	}
@@ -325,17 +325,17 @@
 	}
 }
 
-func TestFaultyConfigurations(t *testing.T) {
+func TestNew_InvalidConfig(t *testing.T) {
 	for _, c := range []struct {
 		cfg  Config
 		want string
 	}{
-		{Config{Settings: settings(), DrainMs: -1}, "router: DrainMs: -1"},
-		{Config{Settings: settings(), Limits: limits.Config{InFlight: -1}}, "router: limits: faulty: in_flight: -1"},
+		{Config{Settings: testSettings(), DrainMs: -1}, "router: DrainMs: -1"},
+		{Config{Settings: testSettings(), Limits: limits.Config{InFlight: -1}}, "router: limits: faulty: in_flight: -1"},
 		{Config{}, "router: settings: "},
 	} {
 		if _, err := New(c.cfg); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%v, want %s", err, c.want)
+			t.Errorf("error %v, want it to contain %q", err, c.want)
 		}
 	}
 }
--- a/router/stop.go
+++ b/router/stop.go
@@ -10,133 +10,135 @@
 	"ashwood.example/ashwood/lifecycle"
 )
 
-// settleMs is how long requests that were ended may take to let go of what they
-// hold; releases are repeated for two seconds.
-const settleMs = 2500.0
+// releaseTimeoutMs is how long requests that the shutdown ended may take until the KV state
+// and reservations held for them are released; releases are repeated for two seconds.
+const releaseTimeoutMs = 2500.0
 
-// Shutdown stops the router: for DrainMs requests are still taken, then new ones
-// are refused with a time to return, and active ones finish. When ctx ends
-// first, they are ended: streams break, requests without an answer fail. What is
-// held for them is let go of at every engine before Shutdown returns. The error
-// tells that requests had to be ended, with the cause of ctx.
+// Shutdown stops the router: it admits requests for DrainMs longer, then refuses new ones with
+// a retry time and lets active ones finish. If ctx ends first, it ends them: streams break
+// off, requests without an answer fail. Before Shutdown returns, every engine has released
+// what it holds for them. The error says how many requests had to be ended, and wraps the
+// cause of ctx.
 //
-// It may be called again, and at the same time; each call's ctx can only make
-// the stop shorter.
+// It may be called more than once, also concurrently; each call's ctx can only shorten the
+// shutdown.
 func (r *Router) Shutdown(ctx context.Context) error {
-	if at, ok := ctx.Deadline(); ok { // no attempt is made, and no engine is told a time, beyond it
-		r.gw.EndBy(r.clock.Now() + clock.Millis(time.Until(at)))
+	if deadline, ok := ctx.Deadline(); ok { // no attempt, and no remaining time sent to an engine, goes beyond it
+		r.gateway.EndBy(r.clock.Now() + clock.Millis(time.Until(deadline)))
 	}
-	r.stop(lifecycle.Times{Drain: r.cfg.DrainMs, Grace: math.Inf(1), Settle: settleMs})
+	r.stop(lifecycle.Times{Drain: r.cfg.DrainMs, Grace: math.Inf(1), Settle: releaseTimeoutMs})
 	select {
 	case <-r.done:
 	case <-ctx.Done():
-		r.stop(lifecycle.Times{Settle: settleMs})
+		r.stop(lifecycle.Times{Settle: releaseTimeoutMs})
 		<-r.done
 	}
-	return r.verdict(context.Cause(ctx))
+	return r.stopError(context.Cause(ctx))
 }
 
-// Close stops the router at once: active requests are ended.
+// Close stops the router at once and ends the active requests.
 func (r *Router) Close() error {
-	r.stop(lifecycle.Times{Settle: settleMs})
+	r.stop(lifecycle.Times{Settle: releaseTimeoutMs})
 	<-r.done
-	return r.verdict(ErrShuttingDown)
+	return r.stopError(ErrShuttingDown)
 }
 
-// EndBy tells what the process has left to live, before a Shutdown: from the one time on,
-// requests are refused, and by the other, all that have no answer get one, refused where that
-// is harmless. No attempt is begun for longer. Answers that have begun go on. Told again, only
-// what is sooner counts.
-func (r *Router) EndBy(l lifecycle.Lifetime) {
+// SetLifetime announces a Shutdown to come: from l.AdmitUntil on, requests are refused, and by
+// l.AnswerBy, each request without an answer gets its reply: refused where a retry is safe,
+// else failed. No attempt lasts longer than that. Answers that have started continue. Of
+// several calls, the earliest times apply.
+func (r *Router) SetLifetime(lifetime lifecycle.Lifetime) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.life.Expect(l)
-	r.gw.EndBy(l.AnswerBy)
-	r.endings = append(r.endings, r.clock.AfterFunc(l.AnswerBy+endAnyway-r.clock.Now(), r.EndWaiting))
+	r.machine.Expect(lifetime)
+	r.gateway.EndBy(lifetime.AnswerBy)
+	r.answerTimers = append(r.answerTimers, r.clock.AfterFunc(lifetime.AnswerBy+endUnansweredAfter-r.clock.Now(), r.EndUnanswered))
 }
 
-func (r *Router) verdict(cause error) error {
+// stopError returns the error of Shutdown and Close: nil unless requests had to be ended.
+func (r *Router) stopError(cause error) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case r.left > 0:
-		return fmt.Errorf("router: %d requests were ended, %d of them did not let go in time: %w", r.ended, r.left, cause)
-	case r.ended > 0:
-		return fmt.Errorf("router: %d requests were ended: %w", r.ended, cause)
+	case r.unreleased > 0:
+		return fmt.Errorf("router: %d requests were ended, %d of them not released in time: %w", r.endedByStop, r.unreleased, cause)
+	case r.endedByStop > 0:
+		return fmt.Errorf("router: %d requests were ended: %w", r.endedByStop, cause)
 	}
 	return nil
 }
 
-// endAnyway is how many ms behind its time a request without an answer is ended that the
-// decisions have not ended: those of an engine's attempts that can't be called off.
-const endAnyway = 100.0
+// endUnansweredAfter is how many ms after the answer deadline the router itself ends a request
+// without an answer: the decision module leaves those whose attempt can't be cancelled.
+const endUnansweredAfter = 100.0
 
-// logCounts logs what a shutdown has done to requests so far.
+// logCounts logs how many requests the shutdown has refused and ended so far, and how many
+// are still active.
 func (r *Router) logCounts(message string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.log.Info(message, "refused_late", r.late, "given_up", r.gaveUp, "active", r.life.Active())
+	r.logger.Info(message, "refused_late", r.refusedLate, "given_up", r.givenUp, "active", r.machine.Active())
 }
 
-// stop begins a stop, or makes one shorter that goes on.
-func (r *Router) stop(t lifecycle.Times) {
+// stop starts the shutdown, or shortens the one in progress.
+func (r *Router) stop(timeouts lifecycle.Times) {
 	r.mu.Lock()
-	r.life.Stop(r.clock.Now(), t)
+	r.machine.Stop(r.clock.Now(), timeouts)
 	r.mu.Unlock()
-	r.once.Do(func() { go r.carryOut() })
-	r.signal()
+	r.stopOnce.Do(func() { go r.runStop() })
+	r.notifyStop()
 }
 
-// carryOut does what the router's life says until it is over, and then ends all
-// that the router has begun.
-func (r *Router) carryOut() {
+// runStop carries out the actions of the lifecycle machine until it has stopped. Then it ends
+// the router's goroutines, timers and connections.
+func (r *Router) runStop() {
 	defer close(r.done)
-	told := false
+	drainNotified := false
 	for {
 		r.mu.Lock()
-		do := r.life.Step(r.clock.Now())
-		var end []context.CancelCauseFunc
-		for _, id := range do.End {
-			end = append(end, r.active[id].cancel)
+		actions := r.machine.Step(r.clock.Now())
+		var cancels []context.CancelCauseFunc
+		for _, id := range actions.End {
+			cancels = append(cancels, r.active[id].cancel)
 		}
-		r.ended += len(end)
+		r.endedByStop += len(cancels)
 		r.mu.Unlock()
-		if do.Tell && !told {
-			told = true
-			r.drained()
+		if actions.Tell && !drainNotified {
+			drainNotified = true
+			r.onDrain()
 		}
-		if do.Refuse {
-			r.refused()
+		if actions.Refuse {
+			r.onRefuse()
 		}
-		for _, cancel := range end {
+		for _, cancel := range cancels {
 			cancel(ErrShuttingDown)
 		}
-		if do.Finished {
+		if actions.Finished {
 			r.mu.Lock()
-			r.left = do.Left
+			r.unreleased = actions.Left
 			r.mu.Unlock()
-			r.logCounts("shutdown: the router is empty")
+			r.logCounts("shutdown: router stopped")
 			break
 		}
-		due := make(chan struct{})
+		timer := make(chan struct{})
 		stop := func() bool { return true }
-		if !math.IsInf(do.Next, 1) {
-			stop = r.clock.AfterFunc(max(0, do.Next-r.clock.Now()), func() { close(due) })
+		if !math.IsInf(actions.Next, 1) {
+			stop = r.clock.AfterFunc(max(0, actions.Next-r.clock.Now()), func() { close(timer) })
 		}
 		select {
-		case <-r.changed:
-		case <-due:
+		case <-r.wakeStop:
+		case <-timer:
 		}
 		stop()
 	}
 	r.mu.Lock()
-	for _, stop := range r.endings {
+	for _, stop := range r.answerTimers {
 		stop()
 	}
 	r.mu.Unlock()
-	r.gw.Wait() // releases go on until they are answered, for two seconds at most
+	r.gateway.Wait() // releases are repeated until they are answered, for two seconds at most
 	r.cancel()
-	r.running.Wait()
-	r.gw.Wait() // probes that the last timers began
+	r.goroutines.Wait()
+	r.gateway.Wait() // probes that the last timers started
 	r.transport.Close()
 }
