--- a/lifecycle/lifecycle.go
+++ b/lifecycle/lifecycle.go
@@ -1,9 +1,9 @@
-// Package lifecycle decides how a router starts, stops and who is in it
-// meanwhile: whether a request may enter, when the wait for the active ones is over,
-// and what is to be done with those who are still there then.
+// Package lifecycle is the state machine of a router's start and shutdown. It decides whether a
+// request is admitted, how long a shutdown waits for the active requests, and which of them it
+// then cancels. It doesn't carry that out: the router does.
 //
-// It is pure: events and the time go in, and what to do comes out. It has no
-// goroutine, lock, timer or clock.
+// It is pure: events and the time go in, actions come out. It has no goroutine, lock, timer
+// or clock.
 package lifecycle
 
 import (
@@ -12,20 +12,20 @@
 	"math"
 )
 
-// Phase is a router's state.
+// Phase is a phase of a router's lifecycle.
 type Phase int
 
-// The phases, in the order in which they come; none comes twice.
+// The phases, in order; none is entered twice.
 const (
-	New      Phase = iota + 1 // made, not started
-	Running                   // takes requests
-	Draining                  // still takes them, and sends clients elsewhere
-	Stopping                  // takes none; active ones may finish
-	Ending                    // active ones are being ended
-	Stopped                   // none is active
+	New      Phase = iota + 1 // not started
+	Running                   // admits requests
+	Draining                  // still admits requests, but directs clients to other gateways
+	Stopping                  // refuses requests; active ones may finish
+	Ending                    // active requests are cancelled and release their holds
+	Stopped                   // over: no request is active, or the time for releases has expired
 )
 
-// String names a phase.
+// String returns the name of the phase.
 func (p Phase) String() string {
 	names := [...]string{"", "new", "running", "draining", "stopping", "ending", "stopped"}
 	if p < New || p > Stopped {
@@ -34,66 +34,66 @@
 	return names[p]
 }
 
-// Errors of entering and of starting.
+// Errors of Admit, Adopt and Start.
 var (
 	ErrNotStarted = errors.New("lifecycle: not started")
 	ErrStopping   = errors.New("lifecycle: shutting down")
-	ErrStarted    = errors.New("lifecycle: started already")
+	ErrStarted    = errors.New("lifecycle: already started")
 )
 
-// Stage is how far a request has come.
-type Stage int
+// RequestState is the state of an active request.
+type RequestState int
 
-// The stages of a request.
+// The states of a request.
 const (
-	Waiting Stage = iota + 1 // for an engine, or with an attempt or a place out: no answer yet
-	Begun                    // the client has had the first piece of its answer
+	AwaitingAnswer RequestState = iota + 1 // no answer yet: it waits for an engine, an attempt or a reservation
+	Streaming                              // the client has received the first piece of the answer
 )
 
-// Times of a stop, in ms.
-type Times struct {
-	Drain  float64 // how long requests are still taken once clients are sent elsewhere
-	Grace  float64 // how long active requests may take after that; Inf = until they have ended
-	Settle float64 // how long those that were ended may take to let go of what they hold
+// Timeouts are the timeouts of a shutdown, in ms.
+type Timeouts struct {
+	Drain   float64 // how long requests are still admitted while clients are directed to other gateways
+	Grace   float64 // how long active requests may take after that; +Inf = until they end
+	Release float64 // how long cancelled requests may take to release their holds
 }
 
-// Do is what the shell is to do next.
-type Do struct {
-	Tell     bool    // send clients elsewhere (once, when draining begins)
-	Refuse   bool    // admit nobody any more (once, when stopping begins)
-	End      []ID    // end these requests: their streams break, the others fail
-	Finished bool    // no request is active any more, or the time to settle is over
-	Left     int     // with Finished: requests that did not let go in time
-	Next     float64 // time at which to ask again, +Inf for not before something happens
+// Actions are what the router must do next.
+type Actions struct {
+	NotifyDrain bool    // direct clients to other gateways; set in each step while draining
+	RefuseNew   bool    // refuse new requests; set once, when stopping begins
+	Cancel      []ID    // cancel these requests: answers break off, requests without an answer fail
+	Finished    bool    // no request is active, or the time for releases has expired
+	Unreleased  int     // with Finished: number of requests not released in time
+	NextStepAt  float64 // when to call Step again at the latest; +Inf = at the next event
 }
 
-// ID names an active request.
+// ID identifies an active request.
 type ID uint64
 
-// Machine is one router's life. It is used by one goroutine at a time.
+// Machine is the state machine of one router. It must not be used by two goroutines at once.
 type Machine struct {
-	phase  Phase
-	times  Times
-	until  float64 // the end of the phase that has one
-	life   Lifetime
-	next   ID
-	active map[ID]Stage
-	order  []ID // of the active ones, as they came; may hold some that have left
-	ended  map[ID]bool
+	phase     Phase
+	timeouts  Timeouts
+	phaseEnd  float64 // when the current phase times out; +Inf = never
+	lifetime  Lifetime
+	lastID    ID
+	active    map[ID]RequestState
+	admitted  []ID // in order of admission; may contain removed ones
+	cancelled map[ID]bool
 }
 
-// NewMachine makes a router's life, in phase New.
+// NewMachine makes a Machine in phase New.
 func NewMachine() *Machine {
-	return &Machine{phase: New, until: math.Inf(1), life: Unlimited(), active: map[ID]Stage{}, ended: map[ID]bool{}}
+	return &Machine{phase: New, phaseEnd: math.Inf(1), lifetime: Unlimited(), active: map[ID]RequestState{}, cancelled: map[ID]bool{}}
 }
 
-// Phase is the present one.
+// Phase returns the current phase.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// Active is the number of requests that have entered and not left.
+// Active returns the number of requests that are admitted and not removed.
 func (m *Machine) Active() int { return len(m.active) }
 
-// Start begins to take requests.
+// Start begins to admit requests.
 func (m *Machine) Start() error {
 	switch m.phase {
 	case New:
@@ -105,117 +105,119 @@
 	return ErrStopping
 }
 
-// Expect tells what the process has left to live. Told again, only what is sooner counts.
-func (m *Machine) Expect(l Lifetime) { m.life = m.life.Sooner(l) }
+// SetLifetime limits the remaining lifetime of the process. Of several calls, the earliest
+// times apply.
+func (m *Machine) SetLifetime(lifetime Lifetime) { m.lifetime = m.lifetime.Earliest(lifetime) }
 
-// Enter takes a request in that has been read now, or tells why not.
-func (m *Machine) Enter(now float64) (ID, error) {
-	if !m.life.Takes(now) && m.phase != New {
+// Admit admits a request that was read at time now, or returns the reason for refusing it.
+func (m *Machine) Admit(now float64) (ID, error) {
+	if !m.lifetime.Admits(now) && m.phase != New {
 		return 0, ErrStopping
 	}
-	return m.enter(Waiting)
+	return m.add(AwaitingAnswer)
 }
 
-// Adopt takes a request in whose answer another process of the same gateway has begun.
-func (m *Machine) Adopt() (ID, error) { return m.enter(Begun) }
+// Adopt admits a request whose answer another process of the same gateway has started.
+func (m *Machine) Adopt() (ID, error) { return m.add(Streaming) }
 
-func (m *Machine) enter(stage Stage) (ID, error) {
+func (m *Machine) add(state RequestState) (ID, error) {
 	switch m.phase {
 	case New:
 		return 0, ErrNotStarted
 	case Running, Draining:
-		m.next++
-		m.active[m.next] = stage
-		m.order = append(m.order, m.next)
-		return m.next, nil
+		m.lastID++
+		m.active[m.lastID] = state
+		m.admitted = append(m.admitted, m.lastID)
+		return m.lastID, nil
 	}
 	return 0, ErrStopping
 }
 
-// Began tells that a request's answer has begun. false means that it has been
-// ended, and nothing of it may be passed on any more.
-func (m *Machine) Began(id ID) bool {
-	if _, ok := m.active[id]; !ok || m.ended[id] {
+// AnswerStarted records that a request's answer has started. It returns false if the request
+// was cancelled or removed; then no part of the answer may be passed on.
+func (m *Machine) AnswerStarted(id ID) bool {
+	if _, ok := m.active[id]; !ok || m.cancelled[id] {
 		return false
 	}
-	m.active[id] = Begun
+	m.active[id] = Streaming
 	return true
 }
 
-// EndWaiting ends the active requests whose answer has not begun, and gives them as they came.
-func (m *Machine) EndWaiting() (end []ID) {
-	for _, id := range m.order {
-		if stage, ok := m.active[id]; ok && stage == Waiting && !m.ended[id] {
-			m.ended[id] = true
-			end = append(end, id)
+// EndUnanswered marks the active requests without an answer as cancelled and returns them in
+// order of admission.
+func (m *Machine) EndUnanswered() (cancelled []ID) {
+	for _, id := range m.admitted {
+		if state, ok := m.active[id]; ok && state == AwaitingAnswer && !m.cancelled[id] {
+			m.cancelled[id] = true
+			cancelled = append(cancelled, id)
 		}
 	}
-	return end
+	return cancelled
 }
 
-// Leave tells that a request is over and holds nothing. Again, it does nothing.
-func (m *Machine) Leave(id ID) {
+// Remove removes a request that has ended and holds nothing. Calling it again has no effect.
+func (m *Machine) Remove(id ID) {
 	delete(m.active, id)
-	delete(m.ended, id)
-	if len(m.order) > 2*len(m.active)+16 {
-		rest := m.order[:0]
-		for _, id := range m.order {
+	delete(m.cancelled, id)
+	if len(m.admitted) > 2*len(m.active)+16 {
+		remaining := m.admitted[:0]
+		for _, id := range m.admitted {
 			if _, ok := m.active[id]; ok {
-				rest = append(rest, id)
+				remaining = append(remaining, id)
 			}
 		}
-		m.order = rest
+		m.admitted = remaining
 	}
 }
 
-// Stop begins to stop. While a stop goes on, a further one can make it shorter
-// and never longer.
-func (m *Machine) Stop(now float64, t Times) {
+// Stop begins the shutdown. A further call can shorten a shutdown in progress, but never
+// extend it.
+func (m *Machine) Stop(now float64, timeouts Timeouts) {
 	switch m.phase {
 	case New:
 		m.phase = Stopped
 	case Running:
-		m.phase, m.times, m.until = Draining, t, now+t.Drain
+		m.phase, m.timeouts, m.phaseEnd = Draining, timeouts, now+timeouts.Drain
 	case Draining:
-		m.until = min(m.until, now+t.Drain)
-		m.times.Grace, m.times.Settle = min(m.times.Grace, t.Grace), min(m.times.Settle, t.Settle)
+		m.phaseEnd = min(m.phaseEnd, now+timeouts.Drain)
+		m.timeouts.Grace, m.timeouts.Release = min(m.timeouts.Grace, timeouts.Grace), min(m.timeouts.Release, timeouts.Release)
 	case Stopping:
-		m.until = min(m.until, now+t.Drain+t.Grace)
-		m.times.Settle = min(m.times.Settle, t.Settle)
+		m.phaseEnd = min(m.phaseEnd, now+timeouts.Drain+timeouts.Grace)
+		m.timeouts.Release = min(m.timeouts.Release, timeouts.Release)
 	case Ending:
-		m.until = min(m.until, now+t.Drain+t.Grace+t.Settle)
+		m.phaseEnd = min(m.phaseEnd, now+timeouts.Drain+timeouts.Grace+timeouts.Release)
 	}
 }
 
-// Step tells what to do at a time. The shell calls it after each event of a stop
-// and at the time that it names.
-func (m *Machine) Step(now float64) (do Do) {
-	do.Next = math.Inf(1)
+// Step advances the shutdown to time now and returns the actions to take. The router calls it
+// after each event of a shutdown and at Actions.NextStepAt.
+func (m *Machine) Step(now float64) (actions Actions) {
+	actions.NextStepAt = math.Inf(1)
 	if m.phase == Draining {
-		do.Tell = true // it costs nothing to be told again
-		if now >= m.until {
-			m.phase, m.until = Stopping, m.until+m.times.Grace
-			do.Refuse = true
+		actions.NotifyDrain = true // the router ignores repeats
+		if now >= m.phaseEnd {
+			m.phase, m.phaseEnd = Stopping, m.phaseEnd+m.timeouts.Grace
+			actions.RefuseNew = true
 		}
 	}
-	if m.phase == Stopping && (now >= m.until || len(m.active) == 0) {
-		m.phase, m.until = Ending, now+m.times.Settle
-		for _, id := range m.order {
+	if m.phase == Stopping && (now >= m.phaseEnd || len(m.active) == 0) {
+		m.phase, m.phaseEnd = Ending, now+m.timeouts.Release
+		for _, id := range m.admitted {
 			if _, ok := m.active[id]; ok {
-				m.ended[id] = true
-				do.End = append(do.End, id)
+				m.cancelled[id] = true
+				actions.Cancel = append(actions.Cancel, id)
 			}
 		}
 	}
-	if m.phase == Ending && (now >= m.until || len(m.active) == 0) {
+	if m.phase == Ending && (now >= m.phaseEnd || len(m.active) == 0) {
 		m.phase = Stopped
-		do.Left = len(m.active)
+		actions.Unreleased = len(m.active)
 	}
 	switch m.phase {
 	case Draining, Stopping, Ending:
-		do.Next = m.until
+		actions.NextStepAt = m.phaseEnd
 	case Stopped:
-		do.Finished = true
+		actions.Finished = true
 	}
-	return do
+	return actions
 }
--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-func running(t *testing.T) *Machine {
+func newRunning(t *testing.T) *Machine {
 	t.Helper()
 	m := NewMachine()
-	if _, err := m.Enter(0); !errors.Is(err, ErrNotStarted) {
-		t.Fatalf("before the start: %v", err)
+	if _, err := m.Admit(0); !errors.Is(err, ErrNotStarted) {
+		t.Fatalf("Admit before Start: %v", err)
 	}
 	if err := m.Start(); err != nil {
 		t.Fatal(err)
@@ -20,68 +20,68 @@
 	return m
 }
 
-func enter(t *testing.T, m *Machine) ID {
+func admit(t *testing.T, m *Machine) ID {
 	t.Helper()
-	id, err := m.Enter(0)
+	id, err := m.Admit(0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return id
 }
 
-func TestAStopLetsThoseInsideFinish(t *testing.T) {
-	m := running(t)
-	a, b := enter(t, m), enter(t, m)
-	m.Stop(1000, Times{Drain: 500, Grace: 3000, Settle: 200})
-	if do := m.Step(1000); !do.Tell || do.Refuse || do.Next != 1500 {
-		t.Fatalf("at once: %+v", do)
-	}
-	late := enter(t, m) // clients still come for a while
-	if do := m.Step(1500); !do.Refuse || do.Finished || do.Next != 4500 {
-		t.Fatalf("the stop: %+v", do)
-	}
-	if _, err := m.Enter(0); !errors.Is(err, ErrStopping) {
-		t.Fatalf("after the stop began: %v", err)
-	}
-	m.Leave(a)
-	m.Leave(a)
-	m.Leave(late)
+func TestStop_ActiveRequestsFinish(t *testing.T) {
+	m := newRunning(t)
+	a, b := admit(t, m), admit(t, m)
+	m.Stop(1000, Timeouts{Drain: 500, Grace: 3000, Release: 200})
+	if do := m.Step(1000); !do.NotifyDrain || do.RefuseNew || do.NextStepAt != 1500 {
+		t.Fatalf("step at the start of the drain: %+v", do)
+	}
+	late := admit(t, m) // still admitted while draining
+	if do := m.Step(1500); !do.RefuseNew || do.Finished || do.NextStepAt != 4500 {
+		t.Fatalf("step at the end of the drain: %+v", do)
+	}
+	if _, err := m.Admit(0); !errors.Is(err, ErrStopping) {
+		t.Fatalf("Admit while stopping: %v", err)
+	}
+	m.Remove(a)
+	m.Remove(a)
+	m.Remove(late)
 	if do := m.Step(2000); do.Finished || m.Active() != 1 {
-		t.Fatalf("one is inside: %+v", do)
+		t.Fatalf("step with one active request: %+v", do)
 	}
-	m.Leave(b)
-	if do := m.Step(2100); !do.Finished || do.Left != 0 || len(do.End) != 0 || m.Phase() != Stopped {
-		t.Fatalf("all have left: %+v", do)
+	m.Remove(b)
+	if do := m.Step(2100); !do.Finished || do.Unreleased != 0 || len(do.Cancel) != 0 || m.Phase() != Stopped {
+		t.Fatalf("step after the last request ended: %+v", do)
 	}
 }
 
-func TestWhoIsInsideWhenTheTimeIsOverIsEnded(t *testing.T) {
-	m := running(t)
-	a, b, c := enter(t, m), enter(t, m), enter(t, m)
-	if !m.Began(b) {
-		t.Fatal("an answer may not begin")
-	}
-	m.Leave(a)
-	m.Stop(0, Times{Grace: 1000, Settle: 200})
+func TestStop_GraceExpires(t *testing.T) {
+	m := newRunning(t)
+	a, b, c := admit(t, m), admit(t, m), admit(t, m)
+	if !m.AnswerStarted(b) {
+		t.Fatal("AnswerStarted of an active request: false")
+	}
+	m.Remove(a)
+	m.Stop(0, Timeouts{Grace: 1000, Release: 200})
 	m.Step(0)
 	do := m.Step(1000)
-	if !slices.Equal(do.End, []ID{b, c}) || do.Finished || do.Next != 1200 {
-		t.Fatalf("%+v", do)
+	if !slices.Equal(do.Cancel, []ID{b, c}) || do.Finished || do.NextStepAt != 1200 {
+		t.Fatalf("step at the end of the grace time: %+v", do)
 	}
-	if m.Began(c) {
-		t.Fatal("an answer began after it was ended")
+	if m.AnswerStarted(c) {
+		t.Fatal("AnswerStarted of a cancelled request: true")
 	}
-	m.Leave(b)
-	if do := m.Step(1200); !do.Finished || do.Left != 1 {
-		t.Fatalf("one did not let go: %+v", do)
+	m.Remove(b)
+	if do := m.Step(1200); !do.Finished || do.Unreleased != 1 {
+		t.Fatalf("step after the release timeout with one request left: %+v", do)
 	}
 }
 
-func TestASecondStopOnlyMakesItShorter(t *testing.T) {
-	for _, second := range []Times{{Drain: 9000, Grace: math.Inf(1), Settle: 9000}, {}} {
-		m := running(t)
-		enter(t, m)
-		m.Stop(0, Times{Drain: 500, Grace: 1000, Settle: 100})
+func TestStop_SecondCallOnlyShortens(t *testing.T) {
+	for _, second := range []Timeouts{{Drain: 9000, Grace: math.Inf(1), Release: 9000}, {}} {
+		m := newRunning(t)
+		admit(t, m)
+		m.Stop(0, Timeouts{Drain: 500, Grace: 1000, Release: 100})
 		m.Step(0)
 		m.Stop(100, second)
 		end := 0.0
@@ -91,77 +91,77 @@
 				end = now
 				break
 			}
-			if math.IsInf(do.Next, 1) {
-				t.Fatal("it never ends")
+			if math.IsInf(do.NextStepAt, 1) {
+				t.Fatal("the shutdown never ends")
 			}
-			now = do.Next
+			now = do.NextStepAt
 		}
 		if want := map[bool]float64{true: 1600, false: 100}[second.Drain > 0]; end != want {
-			t.Errorf("a second stop of %+v: over at %v, want %v", second, end, want)
+			t.Errorf("second Stop with %+v: finished at %v, want %v", second, end, want)
 		}
 	}
 }
 
-func TestStopBeforeStartAndStartAfterStop(t *testing.T) {
+func TestStartStop_OutOfOrder(t *testing.T) {
 	m := NewMachine()
-	m.Stop(0, Times{Grace: math.Inf(1)})
+	m.Stop(0, Timeouts{Grace: math.Inf(1)})
 	if do := m.Step(0); !do.Finished {
-		t.Fatalf("%+v", do)
+		t.Fatalf("step after Stop in phase New: %+v", do)
 	}
 	if err := m.Start(); !errors.Is(err, ErrStopping) {
 		t.Fatal(err)
 	}
-	m = running(t)
+	m = newRunning(t)
 	if err := m.Start(); !errors.Is(err, ErrStarted) {
 		t.Fatal(err)
 	}
 }
 
-// In any order of events: phases only go forward, nobody enters after the stop began,
-// each is ended at most once, and a stop with finite times ends.
-func TestAnyOrder(t *testing.T) {
+// In any order of events: phases only advance, no request is admitted once the machine is
+// stopping, each is cancelled at most once, and a shutdown with finite timeouts ends.
+func TestMachine_RandomEvents(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		m, now, phase := NewMachine(), 0.0, New
-		var inside []ID
-		ended := map[ID]bool{}
+		m, now, lastPhase := NewMachine(), 0.0, New
+		var active []ID
+		cancelled := map[ID]bool{}
 		stopped := false
 		for range 400 {
 			now += r.ExpFloat64() * 50
-			switch v := r.Float64(); {
-			case v < 0.05:
-				_ = m.Start() // the phase tells
-			case v < 0.45:
-				id, err := m.Enter(0)
+			switch event := r.Float64(); {
+			case event < 0.05:
+				_ = m.Start() // Phase shows whether it took effect
+			case event < 0.45:
+				id, err := m.Admit(0)
 				if (err == nil) != (m.Phase() == Running || m.Phase() == Draining) {
-					t.Fatalf("seed %d: %v in phase %s", seed, err, m.Phase())
+					t.Fatalf("seed %d: Admit returned %v in phase %s", seed, err, m.Phase())
 				}
 				if err == nil {
-					inside = append(inside, id)
+					active = append(active, id)
 				}
-			case v < 0.75 && len(inside) > 0:
-				i := r.IntN(len(inside))
-				m.Leave(inside[i])
-				inside = slices.Delete(inside, i, i+1)
-			case v < 0.77:
-				m.Stop(now, Times{r.Float64() * 500, r.Float64() * 500, r.Float64() * 500})
+			case event < 0.75 && len(active) > 0:
+				i := r.IntN(len(active))
+				m.Remove(active[i])
+				active = slices.Delete(active, i, i+1)
+			case event < 0.77:
+				m.Stop(now, Timeouts{r.Float64() * 500, r.Float64() * 500, r.Float64() * 500})
 				stopped = true
 			default:
 				do := m.Step(now)
-				for _, id := range do.End {
-					if ended[id] || !slices.Contains(inside, id) {
-						t.Fatalf("seed %d: %d is ended, inside %v", seed, id, inside)
+				for _, id := range do.Cancel {
+					if cancelled[id] || !slices.Contains(active, id) {
+						t.Fatalf("seed %d: request %d cancelled, active %v", seed, id, active)
 					}
-					ended[id] = true
+					cancelled[id] = true
 				}
-				if do.Finished && do.Left != 0 && do.Left != len(inside) {
-					t.Fatalf("seed %d: %d left of %d", seed, do.Left, len(inside))
+				if do.Finished && do.Unreleased != 0 && do.Unreleased != len(active) {
+					t.Fatalf("seed %d: %d unreleased, %d active", seed, do.Unreleased, len(active))
 				}
 			}
-			if m.Phase() < phase || m.Active() != len(inside) {
-				t.Fatalf("seed %d: %s after %s, %d inside of %d", seed, m.Phase(), phase, m.Active(), len(inside))
+			if m.Phase() < lastPhase || m.Active() != len(active) {
+				t.Fatalf("seed %d: phase %s after %s, %d active, want %d", seed, m.Phase(), lastPhase, m.Active(), len(active))
 			}
-			phase = m.Phase()
+			lastPhase = m.Phase()
 		}
 		if stopped {
 			for range 4 {
@@ -169,7 +169,7 @@
 				m.Step(now)
 			}
 			if m.Phase() != Stopped {
-				t.Fatalf("seed %d: it is %s", seed, m.Phase())
+				t.Fatalf("seed %d: phase %s, want stopped", seed, m.Phase())
 			}
 		}
 	}
--- a/lifecycle/lifetime.go
+++ b/lifecycle/lifetime.go
@@ -2,47 +2,48 @@
 
 import "math"
 
-// Times of a planned restart, in ms from the moment at which the process is told to end.
+// Timing of a planned restart, in ms after the signal that ends the process.
 const (
-	// Clients come for 200 to 400 ms more, and what was read in the first 700 ms is not held
-	// against a process that is killed: between them, with 150 ms by which a process may be
-	// held up behind its clock.
-	takeFor = 500.0
-	// Clients open new connections for no longer than this behind the signal.
+	// Clients keep sending for 200 to 400 ms, and requests read in the first 700 ms are not
+	// counted against a killed process. The value lies between the two and leaves 150 ms for a
+	// process that runs late.
+	admitFor = 500.0
+	// Clients stop opening new connections at most this long after the signal.
 	acceptFor = 400.0
-	// The platform leaves a process the longest deadline, counted as 3 s where it is longer,
-	// and 700 ms more, which are left for releases of what is held and for delays.
-	longestCounted = 3000.0
+	// The platform gives a process the longest deadline of its classes, but at most 3 s, plus
+	// 700 ms. The 700 ms are left for releases of KV state and reservations and for delays.
+	maxCountedDeadline = 3000.0
 )
 
-// Lifetime is what a process has left to live. All that it takes on follows from it: nothing
-// new is taken from TakeUntil on, and nothing that was taken waits for its answer longer than
-// AnswerBy. Times are ms of the clock that the process uses for deadlines.
+// Lifetime is the remaining lifetime of a process: from AdmitUntil on, it admits no request,
+// and no admitted request waits for its answer beyond AnswerBy. Times are ms of the clock
+// that the process uses for deadlines.
 type Lifetime struct {
-	TakeUntil float64
-	AnswerBy  float64
+	AdmitUntil float64
+	AnswerBy   float64
 }
 
-// Unlimited is the lifetime of a process that has not been told to end.
+// Unlimited returns the lifetime of a process that has got no signal to end.
 func Unlimited() Lifetime {
-	return Lifetime{TakeUntil: math.Inf(1), AnswerBy: math.Inf(1)}
+	return Lifetime{AdmitUntil: math.Inf(1), AnswerBy: math.Inf(1)}
 }
 
-// Told is the lifetime of a process that was told to end at a time, by the longest deadline
-// of its classes of requests.
-func Told(at, longestDeadline float64) Lifetime {
-	answerBy := at + min(longestDeadline, longestCounted)
-	return Lifetime{TakeUntil: min(at+takeFor, answerBy), AnswerBy: answerBy}
+// AfterSignal returns the lifetime of a process that got the signal to end at a time, given
+// the longest deadline of its request classes.
+func AfterSignal(signalledAt, longestDeadline float64) Lifetime {
+	answerBy := signalledAt + min(longestDeadline, maxCountedDeadline)
+	return Lifetime{AdmitUntil: min(signalledAt+admitFor, answerBy), AnswerBy: answerBy}
 }
 
-// AcceptUntil is until when new connections are accepted, by when the process has noticed that it was told: the signal was
-// sent then at the latest. A listener that is open for longer takes connections that a stopped process never reads.
-func (l Lifetime) AcceptUntil(noticed float64) float64 { return min(noticed+acceptFor, l.TakeUntil) }
+// AcceptUntil returns until when new connections are accepted by a process that noticed the
+// signal at a time; the signal was sent no later. A listener that stays open longer accepts
+// connections that the stopped process never reads.
+func (l Lifetime) AcceptUntil(noticed float64) float64 { return min(noticed+acceptFor, l.AdmitUntil) }
 
-// Takes tells whether a request that has been read may be taken on at a time.
-func (l Lifetime) Takes(now float64) bool { return now < l.TakeUntil }
+// Admits reports whether a request that was read at time now may be admitted.
+func (l Lifetime) Admits(now float64) bool { return now < l.AdmitUntil }
 
-// Sooner is the shorter of two lifetimes: a process that is told again does not live longer.
-func (l Lifetime) Sooner(other Lifetime) Lifetime {
-	return Lifetime{TakeUntil: min(l.TakeUntil, other.TakeUntil), AnswerBy: min(l.AnswerBy, other.AnswerBy)}
+// Earliest returns the earlier times of two lifetimes: a repeated signal doesn't extend them.
+func (l Lifetime) Earliest(other Lifetime) Lifetime {
+	return Lifetime{AdmitUntil: min(l.AdmitUntil, other.AdmitUntil), AnswerBy: min(l.AnswerBy, other.AnswerBy)}
 }
--- a/lifecycle/lifetime_test.go
+++ b/lifecycle/lifetime_test.go
@@ -5,53 +5,53 @@
 	"testing"
 )
 
-func TestLifetime_Told(t *testing.T) {
+func TestAfterSignal(t *testing.T) {
 	for _, tt := range []struct {
 		name              string
 		longest           float64
 		takeUntil, answer float64
 	}{
-		{"deadlines counted as 3 s", 15000, 10500, 13000},
-		{"deadlines shorter than that", 1200, 10500, 11200},
-		{"deadlines shorter than the time in which clients come", 300, 10300, 10300},
+		{"deadline counted as 3 s", 15000, 10500, 13000},
+		{"deadline below 3 s", 1200, 10500, 11200},
+		{"deadline below the admission time", 300, 10300, 10300},
 	} {
-		l := Told(10000, tt.longest)
-		if l.TakeUntil != tt.takeUntil || l.AnswerBy != tt.answer {
-			t.Errorf("%s: %+v", tt.name, l)
+		l := AfterSignal(10000, tt.longest)
+		if l.AdmitUntil != tt.takeUntil || l.AnswerBy != tt.answer {
+			t.Errorf("%s: lifetime %+v", tt.name, l)
 		}
-		for _, noticed := range []float64{10000, 10050, 13000} { // the signal was sent then at the latest
+		for _, noticed := range []float64{10000, 10050, 13000} {
 			if got, want := l.AcceptUntil(noticed), min(noticed+400, tt.takeUntil); got != want {
-				t.Errorf("%s, noticed at %v: accepts until %v, want %v", tt.name, noticed, got, want)
+				t.Errorf("%s, signal noticed at %v: accepts until %v, want %v", tt.name, noticed, got, want)
 			}
 		}
-		if !l.Takes(10000) || !l.Takes(tt.takeUntil-1) || l.Takes(tt.takeUntil) {
-			t.Errorf("%s: takes requests at the wrong times", tt.name)
+		if !l.Admits(10000) || !l.Admits(tt.takeUntil-1) || l.Admits(tt.takeUntil) {
+			t.Errorf("%s: admits requests at the wrong times", tt.name)
 		}
-		for _, other := range []Lifetime{Told(12000, tt.longest), Unlimited()} { // told twice; not told
-			if got := l.Sooner(other); got != l {
-				t.Errorf("%s: told again later it is %+v", tt.name, got)
+		for _, other := range []Lifetime{AfterSignal(12000, tt.longest), Unlimited()} { // a later signal; no signal
+			if got := l.Earliest(other); got != l {
+				t.Errorf("%s: combined with a later lifetime: %+v", tt.name, got)
 			}
-			if got := other.Sooner(l); got != l {
-				t.Errorf("%s: told again earlier it is %+v", tt.name, got)
+			if got := other.Earliest(l); got != l {
+				t.Errorf("%s: combined with an earlier lifetime: %+v", tt.name, got)
 			}
 		}
 	}
 }
 
-func TestMachine_TakesNothingBeyondItsLifetime(t *testing.T) {
-	m := running(t)
-	m.Expect(Told(1000, 5000))
-	if _, err := m.Enter(1499); err != nil {
-		t.Errorf("in time: %v", err)
+func TestMachine_RefusesAfterLifetime(t *testing.T) {
+	m := newRunning(t)
+	m.SetLifetime(AfterSignal(1000, 5000))
+	if _, err := m.Admit(1499); err != nil {
+		t.Errorf("Admit before AdmitUntil: %v", err)
 	}
-	if _, err := m.Enter(1500); !errors.Is(err, ErrStopping) {
-		t.Errorf("late: %v", err)
+	if _, err := m.Admit(1500); !errors.Is(err, ErrStopping) {
+		t.Errorf("Admit at AdmitUntil: %v", err)
 	}
-	if id, err := m.Adopt(); err != nil || !m.Began(id) { // its client has had a part of it
-		t.Errorf("an answer that has begun elsewhere: %v", err)
+	if id, err := m.Adopt(); err != nil || !m.AnswerStarted(id) { // its client already has a part of the answer
+		t.Errorf("Adopt after AdmitUntil: %v", err)
 	}
-	m.Expect(Told(90000, 5000))
-	if _, err := m.Enter(1500); !errors.Is(err, ErrStopping) {
-		t.Errorf("told again: %v", err)
+	m.SetLifetime(AfterSignal(90000, 5000))
+	if _, err := m.Admit(1500); !errors.Is(err, ErrStopping) {
+		t.Errorf("Admit after a later signal: %v", err)
 	}
 }
--- a/router/answer.go
+++ b/router/answer.go
@@ -97,7 +97,7 @@
 func (r *Router) EndUnanswered() {
 	r.mu.Lock()
 	var cancels []context.CancelCauseFunc
-	for _, id := range r.machine.EndWaiting() {
+	for _, id := range r.machine.EndUnanswered() {
 		cancels = append(cancels, r.active[id].cancel)
 	}
 	r.mu.Unlock()
--- a/router/ending_test.go
+++ b/router/ending_test.go
@@ -70,8 +70,8 @@
 		waitForCalls(t, f, "decode")
 	}
 	send("before")
-	r.SetLifetime(lifecycle.Told(manual.Now(), 30000))
-	r.SetLifetime(lifecycle.Told(manual.Now()+2000, 30000)) // later, so without effect
+	r.SetLifetime(lifecycle.AfterSignal(manual.Now(), 30000))
+	r.SetLifetime(lifecycle.AfterSignal(manual.Now()+2000, 30000)) // later, so without effect
 	manual.Advance(100)
 	send("in time")
 	if remaining := f.remaining["in time"]; remaining > 2900 {
--- a/router/router.go
+++ b/router/router.go
@@ -267,7 +267,7 @@
 	reply, err := r.gateway.Serve(requestCtx, req)
 	if err == nil && reply.Kind == gateway.Served {
 		r.mu.Lock()
-		mayStream := r.machine.Began(id)
+		mayStream := r.machine.AnswerStarted(id)
 		r.mu.Unlock()
 		answer := r.newStream(requestCtx, id, req.Class, reply.Stream)
 		if mayStream {
@@ -306,7 +306,7 @@
 func (r *Router) admit(req *gateway.Request) (lifecycle.ID, *activeRequest, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id, err := r.machine.Enter(r.clock.Now())
+	id, err := r.machine.Admit(r.clock.Now())
 	if err != nil {
 		return 0, nil, err
 	}
@@ -314,7 +314,7 @@
 		Front: req.Front, Class: req.Class, Tenant: req.Tenant, Addr: req.Client, Tokens: req.PromptTokens + req.MaxOut,
 	})
 	if err != nil {
-		r.machine.Leave(id)
+		r.machine.Remove(id)
 		return 0, nil, err
 	}
 	entry := &activeRequest{ticket: ticket, cancel: func(error) {}}
@@ -332,7 +332,7 @@
 		return
 	}
 	delete(r.active, id)
-	r.machine.Leave(id)
+	r.machine.Remove(id)
 	r.limiter.Leave(r.clock.Now(), &entry.ticket)
 	entry.cancel(nil)
 	r.notifyStop()
--- a/router/stop.go
+++ b/router/stop.go
@@ -26,11 +26,11 @@
 	if deadline, ok := ctx.Deadline(); ok { // no attempt, and no remaining time sent to an engine, goes beyond it
 		r.gateway.EndBy(r.clock.Now() + clock.Millis(time.Until(deadline)))
 	}
-	r.stop(lifecycle.Times{Drain: r.cfg.DrainMs, Grace: math.Inf(1), Settle: releaseTimeoutMs})
+	r.stop(lifecycle.Timeouts{Drain: r.cfg.DrainMs, Grace: math.Inf(1), Release: releaseTimeoutMs})
 	select {
 	case <-r.done:
 	case <-ctx.Done():
-		r.stop(lifecycle.Times{Settle: releaseTimeoutMs})
+		r.stop(lifecycle.Timeouts{Release: releaseTimeoutMs})
 		<-r.done
 	}
 	return r.stopError(context.Cause(ctx))
@@ -38,7 +38,7 @@
 
 // Close stops the router at once and ends the active requests.
 func (r *Router) Close() error {
-	r.stop(lifecycle.Times{Settle: releaseTimeoutMs})
+	r.stop(lifecycle.Timeouts{Release: releaseTimeoutMs})
 	<-r.done
 	return r.stopError(ErrShuttingDown)
 }
@@ -50,7 +50,7 @@
 func (r *Router) SetLifetime(lifetime lifecycle.Lifetime) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.machine.Expect(lifetime)
+	r.machine.SetLifetime(lifetime)
 	r.gateway.EndBy(lifetime.AnswerBy)
 	r.answerTimers = append(r.answerTimers, r.clock.AfterFunc(lifetime.AnswerBy+endUnansweredAfter-r.clock.Now(), r.EndUnanswered))
 }
@@ -81,7 +81,7 @@
 }
 
 // stop starts the shutdown, or shortens the one in progress.
-func (r *Router) stop(timeouts lifecycle.Times) {
+func (r *Router) stop(timeouts lifecycle.Timeouts) {
 	r.mu.Lock()
 	r.machine.Stop(r.clock.Now(), timeouts)
 	r.mu.Unlock()
@@ -98,16 +98,16 @@
 		r.mu.Lock()
 		actions := r.machine.Step(r.clock.Now())
 		var cancels []context.CancelCauseFunc
-		for _, id := range actions.End {
+		for _, id := range actions.Cancel {
 			cancels = append(cancels, r.active[id].cancel)
 		}
 		r.endedByStop += len(cancels)
 		r.mu.Unlock()
-		if actions.Tell && !drainNotified {
+		if actions.NotifyDrain && !drainNotified {
 			drainNotified = true
 			r.onDrain()
 		}
-		if actions.Refuse {
+		if actions.RefuseNew {
 			r.onRefuse()
 		}
 		for _, cancel := range cancels {
@@ -115,15 +115,15 @@
 		}
 		if actions.Finished {
 			r.mu.Lock()
-			r.unreleased = actions.Left
+			r.unreleased = actions.Unreleased
 			r.mu.Unlock()
 			r.logCounts("shutdown: router stopped")
 			break
 		}
 		timer := make(chan struct{})
 		stop := func() bool { return true }
-		if !math.IsInf(actions.Next, 1) {
-			stop = r.clock.AfterFunc(max(0, actions.Next-r.clock.Now()), func() { close(timer) })
+		if !math.IsInf(actions.NextStepAt, 1) {
+			stop = r.clock.AfterFunc(max(0, actions.NextStepAt-r.clock.Now()), func() { close(timer) })
 		}
 		select {
 		case <-r.wakeStop:
