--- a/limits/config.go
+++ b/limits/config.go
@@ -9,66 +9,66 @@
 	"go4.org/netipx"
 )
 
-// Limit bounds what belongs together. Zero values bound nothing.
+// Limit limits a group of requests. Zero values set no limit.
 type Limit struct {
-	InFlight   int     `toml:"in_flight"`    // requests under way
-	TokensPerS float64 `toml:"tokens_per_s"` // prompt and most answer tokens asked for
-	Burst      float64 `toml:"burst"`        // tokens that may be asked for at once; 0 = those of a second
+	InFlight   int     `toml:"in_flight"`    // requests in flight
+	TokensPerS float64 `toml:"tokens_per_s"` // prompt tokens and maximum output tokens
+	Burst      float64 `toml:"burst"`        // token bucket size; 0 = the tokens of one second
 }
 
-// Tenant is a tenant's limit, and its part when the house is full.
+// Tenant is a tenant's limit, and its share when the gateway is nearly full.
 type Tenant struct {
 	Limit
-	Share float64 `toml:"share"` // against the other tenants' shares; 0 = 1
+	Share float64 `toml:"share"` // relative to the other tenants' shares; 0 = 1
 }
 
-// Range bounds clients by their addresses.
+// Range limits the clients of an address range.
 type Range struct {
 	CIDR       []string `toml:"cidr"`        // prefixes, such as 10.0.0.0/8
-	PerAddress bool     `toml:"per_address"` // the limit is each address's own, not that of all together
+	PerAddress bool     `toml:"per_address"` // each address has the limit for itself; otherwise the range shares it
 	Limit
 }
 
-// Config sets limits up. The zero value lets everything in.
+// Config configures a Limiter. The zero value admits all requests.
 type Config struct {
-	InFlight int               `toml:"in_flight"` // requests under way in all
+	InFlight int               `toml:"in_flight"` // all requests in flight
 	Fronts   map[string]Limit  `toml:"fronts"`
 	Classes  map[string]Limit  `toml:"classes"`
 	Tenants  map[string]Tenant `toml:"tenants"`
-	// OtherTenants is the limit of each tenant that Tenants does not name.
+	// OtherTenants is the limit of each tenant that is not in Tenants.
 	OtherTenants Tenant  `toml:"other_tenants"`
 	Addresses    []Range `toml:"addresses"`
-	// Fair keeps tenants to their shares of InFlight once the house is nearly full.
+	// Fair limits each tenant to its share of InFlight once the gateway is nearly full.
 	Fair          bool    `toml:"fair"`
 	MaxRetryAfter float64 `toml:"max_retry_after_ms"` // 0 = 500
 }
 
-// ErrConfig is the error of limits that can't be; its text names the key.
-var ErrConfig = errors.New("limits: faulty")
+// ErrConfig is the error of an invalid configuration. Errors that wrap it name the key.
+var ErrConfig = errors.New("limits: invalid configuration")
 
 func (c Config) tenant(name string) Tenant {
-	t, ok := c.Tenants[name]
+	tenant, ok := c.Tenants[name]
 	if !ok {
-		t = c.OtherTenants
+		tenant = c.OtherTenants
 	}
-	if t.Share == 0 {
-		t.Share = 1
+	if tenant.Share == 0 {
+		tenant.Share = 1
 	}
-	return t
+	return tenant
 }
 
 func (c Config) validate() error {
-	check := func(key string, l Limit) error {
-		bad := func(v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) || v < 0 }
+	checkLimit := func(key string, l Limit) error {
+		invalid := func(v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) || v < 0 }
 		switch {
 		case l.InFlight < 0:
 			return fmt.Errorf("%w: %s.in_flight: %d is below zero", ErrConfig, key, l.InFlight)
-		case bad(l.TokensPerS):
-			return fmt.Errorf("%w: %s.tokens_per_s: %v is no rate", ErrConfig, key, l.TokensPerS)
-		case bad(l.Burst):
-			return fmt.Errorf("%w: %s.burst: %v is no number of tokens", ErrConfig, key, l.Burst)
+		case invalid(l.TokensPerS):
+			return fmt.Errorf("%w: %s.tokens_per_s: %v is not a valid rate", ErrConfig, key, l.TokensPerS)
+		case invalid(l.Burst):
+			return fmt.Errorf("%w: %s.burst: %v is not a valid number of tokens", ErrConfig, key, l.Burst)
 		case l.Burst > 0 && l.TokensPerS == 0:
-			return fmt.Errorf("%w: %s.burst: there is no tokens_per_s", ErrConfig, key)
+			return fmt.Errorf("%w: %s.burst: tokens_per_s is not set", ErrConfig, key)
 		}
 		return nil
 	}
@@ -77,30 +77,30 @@
 		errs = append(errs, fmt.Errorf("%w: in_flight: %d is below zero", ErrConfig, c.InFlight))
 	}
 	if c.Fair && c.InFlight == 0 {
-		errs = append(errs, fmt.Errorf("%w: fair: there is no in_flight to share", ErrConfig))
+		errs = append(errs, fmt.Errorf("%w: fair: in_flight is not set", ErrConfig))
 	}
 	if !(c.MaxRetryAfter >= 0) || math.IsInf(c.MaxRetryAfter, 0) {
-		errs = append(errs, fmt.Errorf("%w: max_retry_after_ms: %v is no time", ErrConfig, c.MaxRetryAfter))
+		errs = append(errs, fmt.Errorf("%w: max_retry_after_ms: %v is not a valid duration", ErrConfig, c.MaxRetryAfter))
 	}
 	for name, l := range c.Fronts {
-		errs = append(errs, check("fronts."+name, l))
+		errs = append(errs, checkLimit("fronts."+name, l))
 	}
 	for name, l := range c.Classes {
-		errs = append(errs, check("classes."+name, l))
+		errs = append(errs, checkLimit("classes."+name, l))
 	}
 	tenants := map[string]Tenant{"other_tenants": c.OtherTenants}
 	for name, t := range c.Tenants {
 		tenants["tenants."+name] = t
 	}
 	for key, t := range tenants {
-		errs = append(errs, check(key, t.Limit))
+		errs = append(errs, checkLimit(key, t.Limit))
 		if !(t.Share >= 0) || math.IsInf(t.Share, 0) {
-			errs = append(errs, fmt.Errorf("%w: %s.share: %v is no share", ErrConfig, key, t.Share))
+			errs = append(errs, fmt.Errorf("%w: %s.share: %v is not a valid share", ErrConfig, key, t.Share))
 		}
 	}
 	for i, r := range c.Addresses {
 		key := fmt.Sprintf("addresses[%d]", i)
-		errs = append(errs, check(key, r.Limit))
+		errs = append(errs, checkLimit(key, r.Limit))
 		if len(r.CIDR) == 0 {
 			errs = append(errs, fmt.Errorf("%w: %s.cidr is missing", ErrConfig, key))
 		}
@@ -108,14 +108,14 @@
 	return errors.Join(errs...)
 }
 
-func (r Range) set() (*netipx.IPSet, error) {
-	var b netipx.IPSetBuilder
+func (r Range) ipSet() (*netipx.IPSet, error) {
+	var builder netipx.IPSetBuilder
 	for i, text := range r.CIDR {
-		p, err := netip.ParsePrefix(text)
+		prefix, err := netip.ParsePrefix(text)
 		if err != nil {
 			return nil, fmt.Errorf("cidr[%d]: %w", i, err)
 		}
-		b.AddPrefix(p.Masked())
+		builder.AddPrefix(prefix.Masked())
 	}
-	return b.IPSet()
+	return builder.IPSet()
 }
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -1,12 +1,10 @@
-// Package limits decides what is let into the house: how many requests may be
-// under way, in all and by front, class, tenant and client address, and how many
-// tokens a second they may ask for. It picks no engine and repeats nothing; that
-// is the decision module's.
+// Package limits is the gateway's admission control: it limits the requests in flight, in total
+// and by front, class, tenant and client address, and the tokens per second that they may ask
+// for. It doesn't choose engines or retry requests; the decision module does.
 //
-// It is pure: a request and the time go in, a decision comes out. It has no
-// goroutine, lock or clock, and what it keeps is bounded whatever clients send.
-// Each call costs O(1) beside the address ranges, of which each is looked up in
-// O(log n) of its prefixes.
+// It is pure: a request and the time go in, a decision comes out. It has no goroutine, lock or
+// clock, and its memory is bounded whatever clients send. A call costs O(1) plus, for each
+// address range, O(log n) in the number of its prefixes.
 package limits
 
 import (
@@ -20,123 +18,126 @@
 	"golang.org/x/time/rate"
 )
 
-// Request is what limits look at.
+// Request holds the properties of a request that limits depend on.
 type Request struct {
 	Front  string
 	Class  string
 	Tenant string
-	Addr   netip.Addr // of the client; the zero value belongs to no range
-	Tokens float64    // of the prompt and, at most, of the answer
+	Addr   netip.Addr // of the client; the zero value is in no range
+	Tokens float64    // prompt tokens plus maximum output tokens
 }
 
-// Reason tells which bound a request met.
+// Reason says which limit refused a request.
 type Reason string
 
-// The reasons for turning a request away.
+// The reasons of refusals.
 const (
-	House   Reason = "house"   // too many are under way in all
-	Front   Reason = "front"   // by this front
-	Class   Reason = "class"   // of this class
-	TenantR Reason = "tenant"  // of this tenant
-	Address Reason = "address" // from this address or range
-	Share   Reason = "share"   // the house is nearly full, and the tenant has its share
-	Rate    Reason = "rate"    // too many tokens were asked for
+	ReasonTotal   Reason = "house"   // too many requests in flight in total
+	ReasonFront   Reason = "front"   // too many of this front
+	ReasonClass   Reason = "class"   // too many of this class
+	ReasonTenant  Reason = "tenant"  // too many of this tenant
+	ReasonAddress Reason = "address" // too many from this address or range
+	ReasonShare   Reason = "share"   // the gateway is nearly full and the tenant uses its share
+	ReasonRate    Reason = "rate"    // too many tokens per second
 )
 
-// Refusal is the error of a request that was turned away. It has touched no engine.
+// Refusal is the error of a request that a limit refused. It was sent to no engine.
 type Refusal struct {
 	Reason     Reason
 	RetryAfter float64 // ms
 }
 
 func (r *Refusal) Error() string {
-	return fmt.Sprintf("limits: turned away: %s; again in %.0f ms", r.Reason, r.RetryAfter)
+	return fmt.Sprintf("limits: refused by the %s limit; retry after %.0f ms", r.Reason, r.RetryAfter)
 }
 
-// Bounds of what is kept, and of advice.
+// Bounds of the state that is kept, and of retry times.
 const (
-	keptKeys        = 4096 // tenants, or addresses of a range, whose rates or shares are kept
-	activeFor       = 10e3 // ms that a tenant counts for shares after it last asked
-	nearlyFull      = 0.8  // of InFlight, from where on shares bind
-	defaultMaxRetry = 500.0
-	minRetry        = 20.0
-	holdFirst       = 1000.0 // ms that a request is thought to stay before any has left
-	holdWeight      = 0.05   // of the newest stay in the running mean
+	maxKeys              = 4096 // tenants, or addresses of a range, whose token buckets or shares are kept
+	activeTenantWindow   = 10e3 // ms after its last request in which a tenant counts for shares
+	fairnessThreshold    = 0.8  // fraction of Config.InFlight from which shares apply
+	defaultMaxRetryAfter = 500.0
+	minRetryAfter        = 20.0
+	initialDuration      = 1000.0 // ms, the assumed duration of a request before any has ended
+	durationWeight       = 0.05   // of the latest duration in the moving average
 )
 
-// Limiter holds what is under way. It is used by one goroutine at a time.
+// Limiter admits requests and counts those in flight. It must not be used by two goroutines at
+// once.
 type Limiter struct {
-	cfg     Config
-	house   group
-	fronts  map[string]*group
-	classes map[string]*group
-	tenants keyed
-	ranges  []addressRange
-	active  *simplelru.LRU[string, *activity] // tenants by when they last asked
-	shares  float64                           // sum over active
-	hold    float64                           // running mean of stays in ms
+	cfg           Config
+	total         limitedGroup
+	fronts        map[string]*limitedGroup
+	classes       map[string]*limitedGroup
+	tenants       keyedGroups
+	addressRanges []addressRange
+	activeTenants *simplelru.LRU[string, *activity] // tenants in order of their last request
+	activeShares  float64                           // sum of the shares in activeTenants
+	meanDuration  float64                           // moving average of requests' durations in ms
 }
 
-type activity struct{ at, share float64 }
+// activity is the last request and the share of an active tenant.
+type activity struct{ lastRequestAt, share float64 }
 
-// group is what one limit bounds.
-type group struct {
-	limit Limit
-	in    int
-	rate  *rate.Limiter // nil = none
+// limitedGroup is a group of requests with a limit of its own.
+type limitedGroup struct {
+	limit    Limit
+	inFlight int
+	bucket   *rate.Limiter // nil = none
 }
 
-// keyed are groups that come and go with their keys.
-type keyed struct {
-	limit func(key string) Limit
-	in    map[string]int // only those with requests under way
-	rates *simplelru.LRU[string, *rate.Limiter]
+// keyedGroups are groups by tenant or address. They exist only while they are used.
+type keyedGroups struct {
+	limitOf  func(key string) Limit
+	inFlight map[string]int // only keys with requests in flight
+	buckets  *simplelru.LRU[string, *rate.Limiter]
 }
 
+// addressRange is a Range with its requests in flight.
 type addressRange struct {
-	set   *netipx.IPSet
-	per   bool
-	whole group
-	each  keyed
+	prefixes   *netipx.IPSet
+	perAddress bool
+	total      limitedGroup
+	byAddress  keyedGroups
 }
 
-// New makes a limiter with nothing under way.
+// New makes a Limiter with no request in flight.
 func New(cfg Config) (*Limiter, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
 	if cfg.MaxRetryAfter == 0 {
-		cfg.MaxRetryAfter = defaultMaxRetry
+		cfg.MaxRetryAfter = defaultMaxRetryAfter
 	}
 	l := &Limiter{
-		cfg: cfg, house: group{limit: Limit{InFlight: cfg.InFlight}}, fronts: groups(cfg.Fronts), classes: groups(cfg.Classes), hold: holdFirst,
-		tenants: newKeyed(func(name string) Limit { return cfg.tenant(name).Limit }),
+		cfg: cfg, total: limitedGroup{limit: Limit{InFlight: cfg.InFlight}}, fronts: newGroups(cfg.Fronts), classes: newGroups(cfg.Classes), meanDuration: initialDuration,
+		tenants: newKeyedGroups(func(name string) Limit { return cfg.tenant(name).Limit }),
 	}
-	l.active = newLRU(func(_ string, a *activity) { l.shares -= a.share })
-	for i, r := range cfg.Addresses {
-		set, err := r.set()
+	l.activeTenants = newLRU(func(_ string, a *activity) { l.activeShares -= a.share })
+	for i, configured := range cfg.Addresses {
+		prefixes, err := configured.ipSet()
 		if err != nil {
 			return nil, fmt.Errorf("%w: addresses[%d].%w", ErrConfig, i, err)
 		}
-		l.ranges = append(l.ranges, addressRange{
-			set: set, per: r.PerAddress, whole: newGroup(r.Limit), each: newKeyed(func(string) Limit { return r.Limit }),
+		l.addressRanges = append(l.addressRanges, addressRange{
+			prefixes: prefixes, perAddress: configured.PerAddress, total: newGroup(configured.Limit), byAddress: newKeyedGroups(func(string) Limit { return configured.Limit }),
 		})
 	}
 	return l, nil
 }
 
-func groups(in map[string]Limit) map[string]*group {
-	out := map[string]*group{}
-	for name, l := range in {
+func newGroups(limits map[string]Limit) map[string]*limitedGroup {
+	groups := map[string]*limitedGroup{}
+	for name, l := range limits {
 		g := newGroup(l)
-		out[name] = &g
+		groups[name] = &g
 	}
-	return out
+	return groups
 }
 
-func newGroup(l Limit) group { return group{limit: l, rate: newRate(l)} }
+func newGroup(l Limit) limitedGroup { return limitedGroup{limit: l, bucket: newBucket(l)} }
 
-func newRate(l Limit) *rate.Limiter {
+func newBucket(l Limit) *rate.Limiter {
 	if l.TokensPerS <= 0 {
 		return nil
 	}
@@ -147,200 +148,201 @@
 	return rate.NewLimiter(rate.Limit(l.TokensPerS), max(1, int(math.Ceil(burst))))
 }
 
-func newKeyed(limit func(string) Limit) keyed {
-	return keyed{limit: limit, in: map[string]int{}, rates: newLRU[*rate.Limiter](nil)}
+func newKeyedGroups(limit func(string) Limit) keyedGroups {
+	return keyedGroups{limitOf: limit, inFlight: map[string]int{}, buckets: newLRU[*rate.Limiter](nil)}
 }
 
-func newLRU[V any](gone func(string, V)) *simplelru.LRU[string, V] {
-	l, err := simplelru.NewLRU(keptKeys, simplelru.EvictCallback[string, V](gone))
+func newLRU[V any](onEvict func(string, V)) *simplelru.LRU[string, V] {
+	l, err := simplelru.NewLRU(maxKeys, simplelru.EvictCallback[string, V](onEvict))
 	if err != nil {
-		panic(err) // only for a size below one
+		panic(err) // the only error is a size below one
 	}
 	return l
 }
 
-// bucket is a key's rate, nil for none. A bucket that was let go of for want of
-// room begins full again.
-func (k *keyed) bucket(key string) *rate.Limiter {
-	if b, ok := k.rates.Get(key); ok {
+// bucketOf returns the token bucket of a key; nil = no limit. A bucket that was evicted starts
+// full again.
+func (k *keyedGroups) bucketOf(key string) *rate.Limiter {
+	if b, ok := k.buckets.Get(key); ok {
 		return b
 	}
-	b := newRate(k.limit(key))
+	b := newBucket(k.limitOf(key))
 	if b != nil {
-		k.rates.Add(key, b)
+		k.buckets.Add(key, b)
 	}
 	return b
 }
 
-// Ticket is a request's place in the house, to be given back once.
+// Ticket is the admission of a request. It must be released when the request ends.
 type Ticket struct {
-	r      Request
-	at     float64
-	inside bool
+	request    Request
+	admittedAt float64
+	inFlight   bool
 }
 
-// Admit lets a request in, at a time in ms, or turns it away. What is turned away
-// has used up nothing. The error is a *Refusal.
-func (l *Limiter) Admit(now float64, r Request) (Ticket, error) {
-	r.Addr = r.Addr.Unmap()
-	l.asks(now, r.Tenant)
-	if reason, limit := l.full(r); reason != "" {
-		return Ticket{}, &Refusal{reason, l.advice(limit)}
-	}
-	if wait := l.take(now, r); wait > 0 {
-		return Ticket{}, &Refusal{Rate, min(max(wait, minRetry), l.cfg.MaxRetryAfter)}
-	}
-	l.count(r, 1)
-	return Ticket{r, now, true}, nil
+// Admit admits a request at time now, in ms, or refuses it with a *Refusal. A refused request
+// takes no tokens.
+func (l *Limiter) Admit(now float64, request Request) (Ticket, error) {
+	request.Addr = request.Addr.Unmap()
+	l.markActive(now, request.Tenant)
+	if reason, limit := l.reachedLimit(request); reason != "" {
+		return Ticket{}, &Refusal{reason, l.retryAfter(limit)}
+	}
+	if wait := l.takeTokens(now, request); wait > 0 {
+		return Ticket{}, &Refusal{ReasonRate, min(max(wait, minRetryAfter), l.cfg.MaxRetryAfter)}
+	}
+	l.countInFlight(request, 1)
+	return Ticket{request, now, true}, nil
 }
 
-// Leave gives a place back. A second time it does nothing.
-func (l *Limiter) Leave(now float64, t *Ticket) {
-	if !t.inside {
+// Release ends the admission of a request. Calling it again has no effect.
+func (l *Limiter) Release(now float64, t *Ticket) {
+	if !t.inFlight {
 		return
 	}
-	t.inside = false
-	l.hold += holdWeight * (max(0, now-t.at) - l.hold)
-	l.count(t.r, -1)
+	t.inFlight = false
+	l.meanDuration += durationWeight * (max(0, now-t.admittedAt) - l.meanDuration)
+	l.countInFlight(t.request, -1)
 }
 
-// InFlight is the number of requests in the house.
-func (l *Limiter) InFlight() int { return l.house.in }
+// InFlight returns the number of requests in flight.
+func (l *Limiter) InFlight() int { return l.total.inFlight }
 
-// asks notes that a tenant asks, which makes it count for shares for a while.
-func (l *Limiter) asks(now float64, tenant string) {
+// markActive records a request of a tenant, which counts for shares for activeTenantWindow.
+func (l *Limiter) markActive(now float64, tenant string) {
 	if !l.cfg.Fair {
 		return
 	}
 	for {
-		name, a, ok := l.active.GetOldest()
-		if !ok || now-a.at < activeFor || l.tenants.in[name] > 0 && name != tenant {
+		name, a, ok := l.activeTenants.GetOldest()
+		if !ok || now-a.lastRequestAt < activeTenantWindow || l.tenants.inFlight[name] > 0 && name != tenant {
 			break
 		}
-		l.active.Remove(name)
+		l.activeTenants.Remove(name)
 	}
-	a, ok := l.active.Get(tenant)
+	a, ok := l.activeTenants.Get(tenant)
 	if !ok {
 		a = &activity{share: l.cfg.tenant(tenant).Share}
-		l.active.Add(tenant, a)
-		l.shares += a.share
+		l.activeTenants.Add(tenant, a)
+		l.activeShares += a.share
 	}
-	a.at = now
+	a.lastRequestAt = now
 }
 
-// full gives the bound that a request meets, and its size.
-func (l *Limiter) full(r Request) (Reason, int) {
-	over := func(limit, in int) bool { return limit > 0 && in >= limit }
-	if over(l.house.limit.InFlight, l.house.in) {
-		return House, l.house.limit.InFlight
+// reachedLimit returns the first limit of requests in flight that a request has reached, and
+// its size.
+func (l *Limiter) reachedLimit(request Request) (Reason, int) {
+	reached := func(limit, inFlight int) bool { return limit > 0 && inFlight >= limit }
+	if reached(l.total.limit.InFlight, l.total.inFlight) {
+		return ReasonTotal, l.total.limit.InFlight
 	}
-	if g := l.fronts[r.Front]; g != nil && over(g.limit.InFlight, g.in) {
-		return Front, g.limit.InFlight
+	if g := l.fronts[request.Front]; g != nil && reached(g.limit.InFlight, g.inFlight) {
+		return ReasonFront, g.limit.InFlight
 	}
-	if g := l.classes[r.Class]; g != nil && over(g.limit.InFlight, g.in) {
-		return Class, g.limit.InFlight
+	if g := l.classes[request.Class]; g != nil && reached(g.limit.InFlight, g.inFlight) {
+		return ReasonClass, g.limit.InFlight
 	}
-	if limit := l.tenants.limit(r.Tenant).InFlight; over(limit, l.tenants.in[r.Tenant]) {
-		return TenantR, limit
+	if limit := l.tenants.limitOf(request.Tenant).InFlight; reached(limit, l.tenants.inFlight[request.Tenant]) {
+		return ReasonTenant, limit
 	}
-	for i := range l.ranges {
-		g := &l.ranges[i]
-		if !g.set.Contains(r.Addr) {
+	for i := range l.addressRanges {
+		g := &l.addressRanges[i]
+		if !g.prefixes.Contains(request.Addr) {
 			continue
 		}
-		in := g.whole.in
-		if g.per {
-			in = g.each.in[r.Addr.String()]
+		inFlight := g.total.inFlight
+		if g.perAddress {
+			inFlight = g.byAddress.inFlight[request.Addr.String()]
 		}
-		if limit := g.whole.limit.InFlight; over(limit, in) {
-			return Address, limit
+		if limit := g.total.limit.InFlight; reached(limit, inFlight) {
+			return ReasonAddress, limit
 		}
 	}
-	if l.cfg.Fair && float64(l.house.in) >= nearlyFull*float64(l.cfg.InFlight) {
-		part := l.cfg.tenant(r.Tenant).Share / max(l.shares, 1e-9) * float64(l.cfg.InFlight)
-		if in := l.tenants.in[r.Tenant]; float64(in) >= max(1, part) {
-			return Share, max(1, int(part))
+	if l.cfg.Fair && float64(l.total.inFlight) >= fairnessThreshold*float64(l.cfg.InFlight) {
+		share := l.cfg.tenant(request.Tenant).Share / max(l.activeShares, 1e-9) * float64(l.cfg.InFlight)
+		if inFlight := l.tenants.inFlight[request.Tenant]; float64(inFlight) >= max(1, share) {
+			return ReasonShare, max(1, int(share))
 		}
 	}
 	return "", 0
 }
 
-// take draws a request's tokens from all rates that bind it, or from none. It
-// gives how long in ms the request would have to wait.
-func (l *Limiter) take(now float64, r Request) (wait float64) {
+// takeTokens takes a request's tokens from all of its token buckets, or from none if the
+// request would have to wait. It returns that wait in ms.
+func (l *Limiter) takeTokens(now float64, request Request) (wait float64) {
 	var buckets []*rate.Limiter
-	add := func(b *rate.Limiter) {
-		if b != nil {
-			buckets = append(buckets, b)
+	add := func(bucket *rate.Limiter) {
+		if bucket != nil {
+			buckets = append(buckets, bucket)
 		}
 	}
-	if g := l.fronts[r.Front]; g != nil {
-		add(g.rate)
+	if g := l.fronts[request.Front]; g != nil {
+		add(g.bucket)
 	}
-	if g := l.classes[r.Class]; g != nil {
-		add(g.rate)
+	if g := l.classes[request.Class]; g != nil {
+		add(g.bucket)
 	}
-	add(l.tenants.bucket(r.Tenant))
-	for i := range l.ranges {
-		g := &l.ranges[i]
+	add(l.tenants.bucketOf(request.Tenant))
+	for i := range l.addressRanges {
+		g := &l.addressRanges[i]
 		switch {
-		case !g.set.Contains(r.Addr):
-		case g.per:
-			add(g.each.bucket(r.Addr.String()))
+		case !g.prefixes.Contains(request.Addr):
+		case g.perAddress:
+			add(g.byAddress.bucketOf(request.Addr.String()))
 		default:
-			add(g.whole.rate)
+			add(g.total.bucket)
 		}
 	}
 	if len(buckets) == 0 {
 		return 0
 	}
-	at := instant(now)
-	held := make([]*rate.Reservation, 0, len(buckets))
-	for _, b := range buckets {
-		// What asks for more than a burst waits for a full one.
-		res := b.ReserveN(at, min(b.Burst(), max(1, int(math.Ceil(r.Tokens)))))
-		held = append(held, res)
-		wait = max(wait, float64(res.DelayFrom(at))/float64(time.Millisecond))
+	at := bucketTime(now)
+	reservations := make([]*rate.Reservation, 0, len(buckets))
+	for _, bucket := range buckets {
+		// A request for more tokens than the bucket holds waits for a full bucket.
+		reservation := bucket.ReserveN(at, min(bucket.Burst(), max(1, int(math.Ceil(request.Tokens)))))
+		reservations = append(reservations, reservation)
+		wait = max(wait, float64(reservation.DelayFrom(at))/float64(time.Millisecond))
 	}
 	if wait > 0 {
-		for _, res := range held {
-			res.CancelAt(at)
+		for _, reservation := range reservations {
+			reservation.CancelAt(at)
 		}
 	}
 	return wait
 }
 
-// instant is a time in ms as the rates' library wants it.
-func instant(ms float64) time.Time { return time.UnixMicro(int64(ms * 1000)) }
+// bucketTime converts a time in ms for the token buckets.
+func bucketTime(ms float64) time.Time { return time.UnixMicro(int64(ms * 1000)) }
 
-func (l *Limiter) count(r Request, by int) {
-	l.house.in += by
-	if g := l.fronts[r.Front]; g != nil {
-		g.in += by
-	}
-	if g := l.classes[r.Class]; g != nil {
-		g.in += by
-	}
-	l.tenants.count(r.Tenant, by)
-	for i := range l.ranges {
-		g := &l.ranges[i]
-		if !g.set.Contains(r.Addr) {
+func (l *Limiter) countInFlight(request Request, delta int) {
+	l.total.inFlight += delta
+	if g := l.fronts[request.Front]; g != nil {
+		g.inFlight += delta
+	}
+	if g := l.classes[request.Class]; g != nil {
+		g.inFlight += delta
+	}
+	l.tenants.countInFlight(request.Tenant, delta)
+	for i := range l.addressRanges {
+		g := &l.addressRanges[i]
+		if !g.prefixes.Contains(request.Addr) {
 			continue
 		}
-		if g.whole.in += by; g.per {
-			g.each.count(r.Addr.String(), by)
+		if g.total.inFlight += delta; g.perAddress {
+			g.byAddress.countInFlight(request.Addr.String(), delta)
 		}
 	}
 }
 
-func (k *keyed) count(key string, by int) {
-	if k.in[key] += by; k.in[key] == 0 {
-		delete(k.in, key)
+func (k *keyedGroups) countInFlight(key string, delta int) {
+	if k.inFlight[key] += delta; k.inFlight[key] == 0 {
+		delete(k.inFlight, key)
 	}
 }
 
-// advice is when a place should be free: with so many places, one is given back
-// in a stay's time divided by their number.
-func (l *Limiter) advice(places int) float64 {
-	return min(max(l.hold/float64(max(1, places)), minRetry), l.cfg.MaxRetryAfter)
+// retryAfter estimates when the next of limit requests in flight ends: their mean duration
+// divided by their number.
+func (l *Limiter) retryAfter(limit int) float64 {
+	return min(max(l.meanDuration/float64(max(1, limit)), minRetryAfter), l.cfg.MaxRetryAfter)
 }
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func limiter(t testing.TB, cfg Config) *Limiter {
+func newLimiter(t testing.TB, cfg Config) *Limiter {
 	t.Helper()
 	l, err := New(cfg)
 	if err != nil {
@@ -18,7 +18,7 @@
 	return l
 }
 
-func reason(err error) Reason {
+func refusalReason(err error) Reason {
 	var r *Refusal
 	if errors.As(err, &r) {
 		return r.Reason
@@ -26,26 +26,26 @@
 	return ""
 }
 
-func TestEachBoundTurnsAway(t *testing.T) {
-	in := func(n int) Limit { return Limit{InFlight: n} }
+func TestAdmit_EachLimitRefuses(t *testing.T) {
+	inFlight := func(n int) Limit { return Limit{InFlight: n} }
 	req := Request{Front: "http", Class: "chat", Tenant: "a", Addr: netip.MustParseAddr("::ffff:10.1.2.3"), Tokens: 100}
 	for _, c := range []struct {
-		cfg  Config
-		then func(*Request) // what a request differs in that is let in all the same
-		want Reason
+		cfg    Config
+		differ func(*Request) // makes a request that is still admitted
+		want   Reason
 	}{
-		{Config{InFlight: 2}, nil, House},
-		{Config{Fronts: map[string]Limit{"http": in(2)}}, func(r *Request) { r.Front = "grpc" }, Front},
-		{Config{Classes: map[string]Limit{"chat": in(2)}}, func(r *Request) { r.Class = "order" }, Class},
-		{Config{Tenants: map[string]Tenant{"a": {Limit: in(2)}}}, func(r *Request) { r.Tenant = "b" }, TenantR},
-		{Config{OtherTenants: Tenant{Limit: in(2)}}, func(r *Request) { r.Tenant = "b" }, TenantR},
-		{Config{Addresses: []Range{{CIDR: []string{"10.0.0.0/8"}, Limit: in(2)}}}, func(r *Request) { r.Addr = netip.MustParseAddr("11.1.2.3") }, Address},
-		{Config{Addresses: []Range{{CIDR: []string{"10.0.0.0/8"}, PerAddress: true, Limit: in(2)}}}, func(r *Request) { r.Addr = netip.MustParseAddr("10.9.9.9") }, Address},
-		{Config{Classes: map[string]Limit{"chat": {TokensPerS: 200}}}, func(r *Request) { r.Class = "order" }, Rate},
+		{Config{InFlight: 2}, nil, ReasonTotal},
+		{Config{Fronts: map[string]Limit{"http": inFlight(2)}}, func(r *Request) { r.Front = "grpc" }, ReasonFront},
+		{Config{Classes: map[string]Limit{"chat": inFlight(2)}}, func(r *Request) { r.Class = "order" }, ReasonClass},
+		{Config{Tenants: map[string]Tenant{"a": {Limit: inFlight(2)}}}, func(r *Request) { r.Tenant = "b" }, ReasonTenant},
+		{Config{OtherTenants: Tenant{Limit: inFlight(2)}}, func(r *Request) { r.Tenant = "b" }, ReasonTenant},
+		{Config{Addresses: []Range{{CIDR: []string{"10.0.0.0/8"}, Limit: inFlight(2)}}}, func(r *Request) { r.Addr = netip.MustParseAddr("11.1.2.3") }, ReasonAddress},
+		{Config{Addresses: []Range{{CIDR: []string{"10.0.0.0/8"}, PerAddress: true, Limit: inFlight(2)}}}, func(r *Request) { r.Addr = netip.MustParseAddr("10.9.9.9") }, ReasonAddress},
+		{Config{Classes: map[string]Limit{"chat": {TokensPerS: 200}}}, func(r *Request) { r.Class = "order" }, ReasonRate},
 		{Config{Addresses: []Range{{CIDR: []string{"10.0.0.0/8"}, PerAddress: true, Limit: Limit{TokensPerS: 100, Burst: 200}}}},
-			func(r *Request) { r.Addr = netip.MustParseAddr("10.9.9.9") }, Rate},
+			func(r *Request) { r.Addr = netip.MustParseAddr("10.9.9.9") }, ReasonRate},
 	} {
-		l := limiter(t, c.cfg)
+		l := newLimiter(t, c.cfg)
 		var tickets []Ticket
 		for range 2 {
 			tk, err := l.Admit(0, req)
@@ -55,41 +55,41 @@
 			tickets = append(tickets, tk)
 		}
 		_, err := l.Admit(0, req)
-		if got := reason(err); got != c.want {
-			t.Errorf("%v, want %s", err, c.want)
+		if got := refusalReason(err); got != c.want {
+			t.Errorf("third request: error %v, want reason %s", err, c.want)
 		}
 		var refusal *Refusal
-		if errors.As(err, &refusal) && (refusal.RetryAfter < minRetry || refusal.RetryAfter > defaultMaxRetry) {
-			t.Errorf("%s: to return in %v ms", c.want, refusal.RetryAfter)
+		if errors.As(err, &refusal) && (refusal.RetryAfter < minRetryAfter || refusal.RetryAfter > defaultMaxRetryAfter) {
+			t.Errorf("%s: RetryAfter %v ms is out of range", c.want, refusal.RetryAfter)
 		}
-		if c.then != nil {
+		if c.differ != nil {
 			other := req
-			c.then(&other)
+			c.differ(&other)
 			tk, err := l.Admit(0, other)
 			if err != nil {
-				t.Errorf("%s: another one: %v", c.want, err)
+				t.Errorf("%s: request outside the limit: %v", c.want, err)
 			}
-			l.Leave(1, &tk)
+			l.Release(1, &tk)
 		}
-		l.Leave(10, &tickets[0])
-		l.Leave(10, &tickets[0]) // again, which does nothing
+		l.Release(10, &tickets[0])
+		l.Release(10, &tickets[0]) // the second call has no effect
 		if l.InFlight() != 1 {
-			t.Errorf("%s: %d are in the house", c.want, l.InFlight())
+			t.Errorf("%s: %d in flight, want 1", c.want, l.InFlight())
 		}
 		if tk, err := l.Admit(2000, req); err != nil {
-			t.Errorf("%s: after one has left: %v", c.want, err)
+			t.Errorf("%s: after a release: %v", c.want, err)
 		} else {
-			l.Leave(2001, &tk)
+			l.Release(2001, &tk)
 		}
-		l.Leave(2002, &tickets[1])
-		if l.InFlight() != 0 || len(l.tenants.in) != 0 {
-			t.Errorf("%s: something is left", c.want)
+		l.Release(2002, &tickets[1])
+		if l.InFlight() != 0 || len(l.tenants.inFlight) != 0 {
+			t.Errorf("%s: requests left in flight after all were released", c.want)
 		}
 	}
 }
 
-func TestWithoutLimitsAllComeIn(t *testing.T) {
-	l := limiter(t, Config{})
+func TestAdmit_NoLimits(t *testing.T) {
+	l := newLimiter(t, Config{})
 	for i := range 10000 {
 		if _, err := l.Admit(0, Request{Front: "http", Tenant: fmt.Sprint(i), Tokens: 1e6}); err != nil {
 			t.Fatal(err)
@@ -97,8 +97,8 @@
 	}
 }
 
-func TestRatesCountTokensAndTellWhen(t *testing.T) {
-	l := limiter(t, Config{MaxRetryAfter: 60000, Tenants: map[string]Tenant{"a": {Limit: Limit{TokensPerS: 1000, Burst: 3000}}}})
+func TestAdmit_TokenRate(t *testing.T) {
+	l := newLimiter(t, Config{MaxRetryAfter: 60000, Tenants: map[string]Tenant{"a": {Limit: Limit{TokensPerS: 1000, Burst: 3000}}}})
 	admitted := 0.0
 	for now := 0.0; now < 60000; now += 10 {
 		r := Request{Tenant: "a", Tokens: 400}
@@ -106,35 +106,35 @@
 		if err != nil {
 			var refusal *Refusal
 			errors.As(err, &refusal)
-			if tk, err := l.Admit(now+refusal.RetryAfter+0.01, r); err == nil { // at the time that was told
-				l.Leave(now, &tk)
+			if tk, err := l.Admit(now+refusal.RetryAfter+0.01, r); err == nil { // at the time given in RetryAfter
+				l.Release(now, &tk)
 				admitted += r.Tokens
 			} else {
-				t.Fatalf("at %v it was told to come in %v ms: %v", now, refusal.RetryAfter, err)
+				t.Fatalf("refused at %v with RetryAfter %v ms, and refused again then: %v", now, refusal.RetryAfter, err)
 			}
 			now += refusal.RetryAfter
 			continue
 		}
 		admitted += r.Tokens
-		l.Leave(now, &tk)
+		l.Release(now, &tk)
 	}
 	if admitted < 62000 || admitted > 64000 {
-		t.Errorf("%v tokens in a minute, 60,000 and a burst of 3,000 are wanted", admitted)
+		t.Errorf("%v tokens in a minute, want 60,000 plus a burst of 3,000", admitted)
 	}
-	// One that asks for more than a burst waits for a full one, and is not shut out.
+	// A request for more tokens than the burst waits for a full bucket; it is not refused forever.
 	if _, err := l.Admit(70000, Request{Tenant: "a", Tokens: 1e6}); err != nil {
 		t.Error(err)
 	}
 }
 
-// Refusals use up nothing: a class's bucket is as full as before.
-func TestWhatIsTurnedAwayUsesUpNothing(t *testing.T) {
-	l := limiter(t, Config{
+// A refused request takes no tokens: the bucket of its class is as full as before.
+func TestAdmit_RefusalTakesNoTokens(t *testing.T) {
+	l := newLimiter(t, Config{
 		Classes: map[string]Limit{"chat": {TokensPerS: 100}}, Tenants: map[string]Tenant{"poor": {Limit: Limit{TokensPerS: 1}}},
 	})
 	for range 100 {
 		if _, err := l.Admit(0, Request{Class: "chat", Tenant: "poor", Tokens: 50}); err == nil {
-			continue // its one burst
+			continue // the one burst of the tenant
 		}
 	}
 	if _, err := l.Admit(0, Request{Class: "chat", Tenant: "rich", Tokens: 50}); err != nil {
@@ -142,22 +142,23 @@
 	}
 }
 
-// serve plays two tenants in virtual time against a house of 40, one asking ten
-// times as much as the other, and gives what share of its requests each got in.
-func serve(t testing.TB, fair bool) (greedy, modest float64) {
-	l := limiter(t, Config{InFlight: 40, Fair: fair})
+// admittedShares simulates two tenants at a limit of 40 requests in flight, one of them with
+// ten times as many requests as the other, and returns the share of each one's requests that
+// was admitted.
+func admittedShares(t testing.TB, fair bool) (greedy, modest float64) {
+	l := newLimiter(t, Config{InFlight: 40, Fair: fair})
 	r := rand.New(rand.NewPCG(1, 2))
-	type stay struct {
+	type active struct {
 		until float64
 		tk    Ticket
 	}
-	var inside []stay
-	asked, let := map[string]float64{}, map[string]float64{}
+	var inFlight []active
+	requested, admitted := map[string]float64{}, map[string]float64{}
 	for now := 0.0; now < 120e3; now += 5 {
-		for i := 0; i < len(inside); i++ {
-			if inside[i].until <= now {
-				l.Leave(now, &inside[i].tk)
-				inside = append(inside[:i], inside[i+1:]...)
+		for i := 0; i < len(inFlight); i++ {
+			if inFlight[i].until <= now {
+				l.Release(now, &inFlight[i].tk)
+				inFlight = append(inFlight[:i], inFlight[i+1:]...)
 				i--
 			}
 		}
@@ -165,34 +166,34 @@
 			if r.Float64() > perS*0.005 {
 				continue
 			}
-			asked[tenant]++
+			requested[tenant]++
 			if tk, err := l.Admit(now, Request{Tenant: tenant}); err == nil {
-				let[tenant]++
-				inside = append(inside, stay{now + r.ExpFloat64()*1000, tk})
+				admitted[tenant]++
+				inFlight = append(inFlight, active{now + r.ExpFloat64()*1000, tk})
 			}
 		}
 	}
-	return let["greedy"] / asked["greedy"], let["modest"] / asked["modest"]
+	return admitted["greedy"] / requested["greedy"], admitted["modest"] / requested["modest"]
 }
 
-func TestATenantTenTimesOverLeavesTheOtherItsShare(t *testing.T) {
-	greedy, modest := serve(t, true)
-	t.Logf("fair: the greedy tenant got %.3f of its requests in, the modest one %.3f", greedy, modest)
+func TestAdmit_FairShares(t *testing.T) {
+	greedy, modest := admittedShares(t, true)
+	t.Logf("fair: %.3f of the greedy tenant's requests admitted, %.3f of the modest one's", greedy, modest)
 	if modest < 0.97 {
-		t.Errorf("the modest tenant got %.3f in", modest)
+		t.Errorf("fair: only %.3f of the modest tenant's requests admitted", modest)
 	}
 	if greedy < 0.1 {
-		t.Errorf("the house stands empty: the greedy one got %.3f in", greedy)
+		t.Errorf("fair: capacity unused: only %.3f of the greedy tenant's requests admitted", greedy)
 	}
-	g, m := serve(t, false)
-	t.Logf("without shares: %.3f and %.3f", g, m)
+	g, m := admittedShares(t, false)
+	t.Logf("not fair: %.3f of the greedy tenant's requests admitted, %.3f of the modest one's", g, m)
 	if m > 0.6 {
-		t.Errorf("without shares the modest tenant got %.3f in: the test shows nothing", m)
+		t.Errorf("not fair: %.3f of the modest tenant's requests admitted: the load is too low for this test", m)
 	}
 }
 
-// Whatever comes, no bound is passed, and nothing is left when all have left.
-func TestBoundsHoldUnderAnyOrder(t *testing.T) {
+// In any order of requests, no limit is exceeded, and nothing is left when all were released.
+func TestLimiter_RandomOrder(t *testing.T) {
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 3))
 		cfg := Config{
@@ -200,13 +201,13 @@
 			Tenants: map[string]Tenant{"t0": {Limit: Limit{InFlight: 5}, Share: 2}}, OtherTenants: Tenant{Limit: Limit{InFlight: 8}},
 			Addresses: []Range{{CIDR: []string{"10.0.0.0/30"}, Limit: Limit{InFlight: 4}}},
 		}
-		l := limiter(t, cfg)
-		var inside []Ticket
+		l := newLimiter(t, cfg)
+		var tickets []Ticket
 		for range 5000 {
-			if r.Float64() < 0.4 && len(inside) > 0 {
-				i := r.IntN(len(inside))
-				l.Leave(0, &inside[i])
-				inside = append(inside[:i], inside[i+1:]...)
+			if r.Float64() < 0.4 && len(tickets) > 0 {
+				i := r.IntN(len(tickets))
+				l.Release(0, &tickets[i])
+				tickets = append(tickets[:i], tickets[i+1:]...)
 				continue
 			}
 			tk, err := l.Admit(0, Request{
@@ -214,33 +215,33 @@
 				Addr: netip.AddrFrom4([4]byte{10, 0, 0, byte(r.IntN(8))}),
 			})
 			if err == nil {
-				inside = append(inside, tk)
+				tickets = append(tickets, tk)
 			}
-			in := map[string]int{}
-			for _, tk := range inside {
-				in[tk.r.Front]++
-				in[tk.r.Class]++
-				in[tk.r.Tenant]++
-				if netip.MustParsePrefix("10.0.0.0/30").Contains(tk.r.Addr) {
-					in["range"]++
+			inFlight := map[string]int{}
+			for _, tk := range tickets {
+				inFlight[tk.request.Front]++
+				inFlight[tk.request.Class]++
+				inFlight[tk.request.Tenant]++
+				if netip.MustParsePrefix("10.0.0.0/30").Contains(tk.request.Addr) {
+					inFlight["range"]++
 				}
 			}
-			if len(inside) > 30 || in["f0"] > 9 || in["c0"] > 7 || in["t0"] > 5 || in["t1"] > 8 || in["range"] > 4 || l.InFlight() != len(inside) {
-				t.Fatalf("seed %d: %d inside, %v, counted %d", seed, len(inside), in, l.InFlight())
+			if len(tickets) > 30 || inFlight["f0"] > 9 || inFlight["c0"] > 7 || inFlight["t0"] > 5 || inFlight["t1"] > 8 || inFlight["range"] > 4 || l.InFlight() != len(tickets) {
+				t.Fatalf("seed %d: %d admitted, by group %v, InFlight %d", seed, len(tickets), inFlight, l.InFlight())
 			}
 		}
-		for i := range inside {
-			l.Leave(0, &inside[i])
+		for i := range tickets {
+			l.Release(0, &tickets[i])
 		}
-		if l.InFlight() != 0 || len(l.tenants.in) != 0 || l.ranges[0].whole.in != 0 {
-			t.Fatalf("seed %d: something is left", seed)
+		if l.InFlight() != 0 || len(l.tenants.inFlight) != 0 || l.addressRanges[0].total.inFlight != 0 {
+			t.Fatalf("seed %d: requests left in flight after all were released", seed)
 		}
 	}
 }
 
-// A million tenants and addresses leave no more than the caps behind.
-func TestWhatIsKeptIsBounded(t *testing.T) {
-	l := limiter(t, Config{
+// With 50,000 tenants and addresses, no more than maxKeys of each are kept.
+func TestLimiter_BoundedState(t *testing.T) {
+	l := newLimiter(t, Config{
 		InFlight: 10, Fair: true, OtherTenants: Tenant{Limit: Limit{TokensPerS: 10}},
 		Addresses: []Range{{CIDR: []string{"::/0"}, PerAddress: true, Limit: Limit{TokensPerS: 10}}},
 	})
@@ -248,32 +249,32 @@
 		addr := netip.AddrFrom16([16]byte{byte(i >> 16), byte(i >> 8), byte(i)})
 		tk, err := l.Admit(float64(i), Request{Tenant: fmt.Sprint(i), Addr: addr, Tokens: 1})
 		if err == nil {
-			l.Leave(float64(i), &tk)
+			l.Release(float64(i), &tk)
 		}
 	}
-	if a, b, c := l.active.Len(), l.tenants.rates.Len(), l.ranges[0].each.rates.Len(); a > keptKeys || b > keptKeys || c > keptKeys {
-		t.Errorf("%d, %d, %d are kept", a, b, c)
+	if a, b, c := l.activeTenants.Len(), l.tenants.buckets.Len(), l.addressRanges[0].byAddress.buckets.Len(); a > maxKeys || b > maxKeys || c > maxKeys {
+		t.Errorf("kept: %d active tenants, %d tenant buckets, %d address buckets", a, b, c)
 	}
-	if len(l.tenants.in)+len(l.ranges[0].each.in) != 0 || l.shares > float64(keptKeys)+0.5 {
-		t.Errorf("%d tenants in, shares %v", len(l.tenants.in), l.shares)
+	if len(l.tenants.inFlight)+len(l.addressRanges[0].byAddress.inFlight) != 0 || l.activeShares > float64(maxKeys)+0.5 {
+		t.Errorf("%d keys in flight, sum of shares %v", len(l.tenants.inFlight), l.activeShares)
 	}
 }
 
-func TestFaultyLimitsNameTheKey(t *testing.T) {
+func TestNew_InvalidConfig(t *testing.T) {
 	for _, c := range []struct {
 		cfg  Config
 		want string
 	}{
 		{Config{InFlight: -1}, "in_flight: -1"},
-		{Config{Fair: true}, "fair: there is no in_flight"},
+		{Config{Fair: true}, "fair: in_flight is not set"},
 		{Config{Classes: map[string]Limit{"chat": {TokensPerS: -2}}}, "classes.chat.tokens_per_s: -2"},
-		{Config{Tenants: map[string]Tenant{"a": {Limit: Limit{Burst: 5}}}}, "tenants.a.burst: there is no tokens_per_s"},
+		{Config{Tenants: map[string]Tenant{"a": {Limit: Limit{Burst: 5}}}}, "tenants.a.burst: tokens_per_s is not set"},
 		{Config{OtherTenants: Tenant{Share: -1}}, "other_tenants.share: -1"},
 		{Config{Addresses: []Range{{}}}, "addresses[0].cidr is missing"},
 		{Config{Addresses: []Range{{CIDR: []string{"10.0.0.0/8", "x"}}}}, "addresses[0].cidr[1]"},
 	} {
 		if _, err := New(c.cfg); !errors.Is(err, ErrConfig) || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%v, want %s", err, c.want)
+			t.Errorf("error %v, want it to contain %q", err, c.want)
 		}
 	}
 }
@@ -288,7 +289,7 @@
 		},
 	} {
 		b.Run(name, func(b *testing.B) {
-			l := limiter(b, cfg)
+			l := newLimiter(b, cfg)
 			r := Request{Front: "http", Class: "chat", Tenant: "a", Addr: netip.MustParseAddr("10.1.2.3"), Tokens: 1000}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
@@ -296,7 +297,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				l.Leave(float64(i)+0.5, &tk)
+				l.Release(float64(i)+0.5, &tk)
 			}
 		})
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -333,7 +333,7 @@
 	}
 	delete(r.active, id)
 	r.machine.Remove(id)
-	r.limiter.Leave(r.clock.Now(), &entry.ticket)
+	r.limiter.Release(r.clock.Now(), &entry.ticket)
 	entry.cancel(nil)
 	r.notifyStop()
 }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -57,7 +57,7 @@
 	_, err := r.Do(context.Background(), newRequest("y", "chat"))
 	var refused *RefusedError
 	var limit *limits.Refusal
-	if !errors.As(err, &refused) || !errors.As(err, &limit) || limit.Reason != limits.House || refused.RetryAfter <= 0 {
+	if !errors.As(err, &refused) || !errors.As(err, &limit) || limit.Reason != limits.ReasonTotal || refused.RetryAfter <= 0 {
 		t.Errorf("at the total limit: error %v", err)
 	}
 	cancel()
@@ -331,7 +331,7 @@
 		want string
 	}{
 		{Config{Settings: testSettings(), DrainMs: -1}, "router: DrainMs: -1"},
-		{Config{Settings: testSettings(), Limits: limits.Config{InFlight: -1}}, "router: limits: faulty: in_flight: -1"},
+		{Config{Settings: testSettings(), Limits: limits.Config{InFlight: -1}}, "router: limits: invalid configuration: in_flight: -1"},
 		{Config{}, "router: settings: "},
 	} {
 		if _, err := New(c.cfg); err == nil || !strings.Contains(err.Error(), c.want) {
