--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -1,7 +1,7 @@
-// Package middleware puts a router into a host's server: Fiber, net/http or gRPC.
-// Requests are in the platform's form, or over gRPC of the Inference service; what
-// clients see is what they see of the daemon. Each is thin over the same core; the
-// host starts and stops the router.
+// Package middleware connects a router to a server of the host application: Fiber, net/http or
+// gRPC. Requests have the platform's HTTP format or, over gRPC, are calls of the Inference
+// service; clients get the same answers as from the daemon. The package only translates: the
+// router decides, and the host starts and stops the router.
 package middleware
 
 import (
@@ -18,18 +18,17 @@
 	"ashwood.example/ashwood/internal/platform"
 )
 
-// Handler takes requests to their answers; *router.Router is one.
+// Handler answers requests; *router.Router implements it.
 type Handler = platform.Handler
 
-// Names of the fronts to limits.
+// Names of the fronts, for limits.
 const (
 	FrontFiber = "fiber"
 	FrontHTTP  = "nethttp"
 	FrontGRPC  = "grpc"
 )
 
-// Fiber is a handler for a Fiber application. It answers every request that it is
-// given.
+// Fiber returns a handler for a Fiber application. It answers every request that it gets.
 func Fiber(h Handler) fiber.Handler {
 	return func(c fiber.Ctx) error {
 		platform.Answer(c.RequestCtx(), h, FrontFiber)
@@ -37,17 +36,17 @@
 	}
 }
 
-// Listener wraps the one that a Fiber application listens on, for app.Listener.
-// Without it, a client that leaves before its first token is not noticed, and
-// one that never sends a whole request is waited for. A connection's first
-// request has two seconds; the application's ReadTimeout bounds later ones.
+// Listener wraps the listener of a Fiber application, for app.Listener. Without it, a client
+// that disconnects before its first token is not noticed, and one that never sends a complete
+// request is waited for. The first request of a connection must arrive within two seconds; the
+// application's ReadTimeout limits later ones.
 func Listener(l net.Listener) net.Listener { return platform.Listener(l) }
 
-// HTTP is a handler for net/http. It answers every request that it is given. The
-// log is for what goes wrong beside the answers; nil for none.
+// HTTP returns a handler for net/http. It answers every request that it gets. The log gets
+// faults that no answer shows; nil logs nothing.
 //
-// net/http itself settles a request that has both Content-Length and
-// Transfer-Encoding; the body that it read goes on with a length alone.
+// net/http itself resolves a request with both Content-Length and Transfer-Encoding; the body
+// that it read is sent on with a Content-Length only.
 func HTTP(h Handler, log *slog.Logger) http.Handler {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
@@ -55,8 +54,8 @@
 	return &platform.NetHTTP{Handler: h, Front: FrontHTTP, Log: log}
 }
 
-// Wrap is middleware for net/http: requests that match are routed, the others go
-// to the next handler.
+// Wrap returns middleware for net/http: requests that match are routed, all others go to the
+// next handler.
 func Wrap(h Handler, log *slog.Logger, match func(*http.Request) bool) func(http.Handler) http.Handler {
 	route := HTTP(h, log)
 	return func(next http.Handler) http.Handler {
@@ -70,11 +69,11 @@
 	}
 }
 
-// GRPC has a host's gRPC server answer Inference calls. The settings are the
-// router's; log may be nil.
-func GRPC(host grpc.ServiceRegistrar, h Handler, set ashwood.Settings, log *slog.Logger) {
+// GRPC registers the Inference service on the host's gRPC server. The settings are those of the
+// router; log may be nil.
+func GRPC(host grpc.ServiceRegistrar, h Handler, settings ashwood.Settings, log *slog.Logger) {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	grpcfront.Register(host, h, set, gateway.SystemClock(), log)
+	grpcfront.Register(host, h, settings, gateway.SystemClock(), log)
 }
