--- a/contract/contract_test.go
+++ b/contract/contract_test.go
@@ -222,7 +222,7 @@
 			all.Wait()
 			target.Client.Close()
 			if got[rules.Served]+got[rules.Refused] != n || got[rules.Served] < n/2 {
-				t.Errorf("answers %v, want %d served or refused, at least half of them served", got, n)
+				t.Errorf("answers %v, want 40 served or refused, at least 20 of them served", got)
 			}
 			for _, b := range em.Rules().Breaks() {
 				t.Errorf("rule %s: %s %v", b.Rule, b.Text, b.History)
--- a/contract/silent_test.go
+++ b/contract/silent_test.go
@@ -168,13 +168,13 @@
 			t.Parallel()
 			decode := &decodeProxies{t: t}
 			target, em, plan := openWithReleaseLimit(t, name, releaseMs, decode)
-			order := slices.IndexFunc(plan.Load.Classes, func(c scenario.Class) bool { return c.Effect == "side_effect" })
-			if got := sendRequest(target, em, plan, order, "0000000000000001", 20000); got != rules.Served {
+			sideEffect := slices.IndexFunc(plan.Load.Classes, func(c scenario.Class) bool { return c.Effect == "side_effect" })
+			if got := sendRequest(target, em, plan, sideEffect, "0000000000000001", 20000); got != rules.Served {
 				t.Errorf("before the stall: %s", got)
 			}
 			decode.stall()
 			sentAt := time.Now()
-			if got := sendRequest(target, em, plan, order, "0000000000000002", deadlineMs); got != rules.Error {
+			if got := sendRequest(target, em, plan, sideEffect, "0000000000000002", deadlineMs); got != rules.Error {
 				t.Errorf("request with a side effect at a stalled engine: %s", got)
 			}
 			if waited := time.Since(sentAt); waited < releaseMs*time.Millisecond {
--- a/router/stop.go
+++ b/router/stop.go
@@ -43,10 +43,10 @@
 	return r.stopError(ErrShuttingDown)
 }
 
-// SetLifetime announces a Shutdown to come: from l.AdmitUntil on, requests are refused, and by
-// l.AnswerBy, each request without an answer gets its reply: refused where a retry is safe,
-// else failed. No attempt lasts longer than that. Answers that have started continue. Of
-// several calls, the earliest times apply.
+// SetLifetime announces a coming Shutdown: from lifetime.AdmitUntil on, requests are refused,
+// and by lifetime.AnswerBy, each request without an answer gets its reply: refused where a
+// retry is safe, else failed. No attempt lasts longer than that. Answers that have started
+// continue. Of several calls, the earliest times apply.
 func (r *Router) SetLifetime(lifetime lifecycle.Lifetime) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
