--- a/cmd/ashwood/fronts.go
+++ b/cmd/ashwood/fronts.go
@@ -30,10 +30,10 @@
 	stopAccepting func()       // close the listener once what waits there is accepted; shutdown waits for it
 	shutdown      func() error // take nothing more, finish what was taken
 	reload        func(config.Config)
-	vars          func(io.Writer) error // its metrics
-	share         func(processes int)   // keep to one's part of what the machine allows
-	yield         func(bool)            // while a newer process serves, clients are to go there
-	give          func(platform.Give)   // hand begun answers to another process
+	vars          func(io.Writer) error       // its metrics
+	share         func(processes int)         // keep to one's part of what the machine allows
+	yield         func(bool)                  // while a newer process serves, clients are to go there
+	give          func(platform.HandoverFunc) // hand begun answers to another process
 	take          func([]byte, net.Conn, net.Conn) error
 	endBy         func(lifecycle.Lifetime)
 }
@@ -86,10 +86,10 @@
 			s.SetProcesses(processes)
 			d.SetProcesses(processes)
 		},
-		yield: s.Yield, give: s.Give, take: s.Adopt,
+		yield: s.DisableKeepAlives, give: s.SetHandover, take: s.Adopt,
 		endBy: func(l lifecycle.Lifetime) {
 			r.SetLifetime(l)
-			s.EndBy(clock.Duration(l.AnswerBy - c.Now()))
+			s.ExpireReadsAfter(clock.Duration(l.AnswerBy - c.Now()))
 		},
 	}, nil
 }
@@ -123,7 +123,7 @@
 			return r.Shutdown(context.Background())
 		},
 		reload: func(config.Config) {}, // its boxes have a list of their own
-		vars:   r.WriteMetrics, share: r.SetProcesses, yield: func(bool) {}, give: func(platform.Give) {},
+		vars:   r.WriteMetrics, share: r.SetProcesses, yield: func(bool) {}, give: func(platform.HandoverFunc) {},
 		endBy: r.SetLifetime,
 	}, nil
 }
--- a/contract/contract_test.go
+++ b/contract/contract_test.go
@@ -69,7 +69,7 @@
 
 func openTarget(t *testing.T, name, text string) (*Target, *emulator.Emulator, *scenario.Plan) {
 	t.Helper()
-	return openTargetVia(t, name, text, rules.Patient(), func(_, addr string) string { return addr })
+	return openTargetVia(t, name, text, rules.RelaxedLimits(), func(_, addr string) string { return addr })
 }
 
 // openTargetVia opens a target that reaches its engines at the addresses that via returns.
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	em, err := emulator.New(emulator.Config{Plan: plan, GRPC: name == "grpc", Unlisted: true, Rules: limits})
+	em, err := emulator.New(emulator.Config{Plan: plan, GRPC: name == "grpc", StaticMembership: true, Rules: limits})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := em.Begin(); err != nil {
+	if err := em.Start(); err != nil {
 		t.Fatal(err)
 	}
 	return target, em, plan
@@ -110,13 +110,13 @@
 		Request: &load.Request{Class: class, Session: id, PromptTokens: 200, MaxOut: 30}, ID: id, Class: requestClass, Remaining: remaining, Grace: 10000,
 	}
 	check := em.Rules()
-	outcome := target.Client.Do(context.Background(), try, func() { check.Asked(0, id, requestClass.Name, requestClass.Effect == "side_effect", 0) })
-	check.Answered(outcome.End, id, outcome.Answer)
+	outcome := target.Client.Do(context.Background(), try, func() { check.RequestSent(0, id, requestClass.Name, requestClass.Effect == "side_effect", 0) })
+	check.RequestAnswered(outcome.End, id, outcome.Answer)
 	if outcome.Spoilt != "" {
-		check.Spoilt(outcome.End, id, outcome.Spoilt)
+		check.AnswerCorrupted(outcome.End, id, outcome.Spoilt)
 	}
 	if outcome.Answer == rules.Timeout {
-		return rules.Error
+		return rules.Failure
 	}
 	return outcome.Answer
 }
@@ -135,13 +135,13 @@
 	{"decode engines reject all requests", faultTOML("turned-away", "decode-a", 1), rules.Refused, rules.Refused, 1500},
 	{"prefill engines reject all requests", faultTOML("turned-away", "prefill", 1), rules.Refused, rules.Refused, 1500},
 	{"decode engines drain", faultTOML("drain", "decode-a", 1), rules.Refused, rules.Refused, 1500},
-	{"decode engines fail", faultTOML("errors", "decode-a", 1), rules.Refused, rules.Error, 20000},
+	{"decode engines fail", faultTOML("errors", "decode-a", 1), rules.Refused, rules.Failure, 20000},
 	{"answers break off after the first token", faultTOML("break", "decode-a", 1), rules.Broken, rules.Broken, 20000},
-	{"first piece of answers malformed", faultTOML("spoil-head", "decode-a", 1), rules.Refused, rules.Error, 20000},
+	{"first piece of answers malformed", faultTOML("spoil-head", "decode-a", 1), rules.Refused, rules.Failure, 20000},
 	{"later piece of answers malformed", faultTOML("spoil-chunk", "decode-a", 1), rules.Broken, rules.Broken, 20000},
 	{"prefill engines crashed", faultTOML("crash", "prefill", 1), rules.Refused, rules.Refused, 1500},
 	{"decode engines crashed", faultTOML("crash", "decode-a", 1), rules.Refused, rules.Refused, 1500},
-	{"decode engines accept requests and never answer", faultTOML("hang", "decode-a", 1), rules.Refused, rules.Error, 700},
+	{"decode engines accept requests and never answer", faultTOML("hang", "decode-a", 1), rules.Refused, rules.Failure, 700},
 }
 
 // All targets give the same answers in the same scenario. No request with a side effect runs
@@ -178,10 +178,10 @@
 				if n := em.Rules().Counts().Doubles; n != 0 {
 					t.Errorf("%d requests with a side effect ran twice", n)
 				}
-				for _, b := range em.Rules().Breaks() {
+				for _, b := range em.Rules().Violations() {
 					t.Errorf("rule %s: %s %v", b.Rule, b.Text, b.History)
 				}
-				if n := em.Held(); n != 0 && tc.fault == "" {
+				if n := em.HoldCount(); n != 0 && tc.fault == "" {
 					t.Errorf("%d holds left", n)
 				}
 			})
@@ -224,11 +224,11 @@
 			if got[rules.Served]+got[rules.Refused] != n || got[rules.Served] < n/2 {
 				t.Errorf("answers %v, want 40 served or refused, at least 20 of them served", got)
 			}
-			for _, b := range em.Rules().Breaks() {
+			for _, b := range em.Rules().Violations() {
 				t.Errorf("rule %s: %s %v", b.Rule, b.Text, b.History)
 			}
-			if em.Held() != 0 {
-				t.Errorf("%d holds left", em.Held())
+			if em.HoldCount() != 0 {
+				t.Errorf("%d holds left", em.HoldCount())
 			}
 		})
 	}
--- a/contract/silent_test.go
+++ b/contract/silent_test.go
@@ -107,15 +107,15 @@
 // requires that KV state is released within releaseMs.
 func openWithReleaseLimit(t *testing.T, name string, releaseMs float64, decode *decodeProxies) (*Target, *emulator.Emulator, *scenario.Plan) {
 	t.Helper()
-	limits := rules.Patient()
-	limits.Release = releaseMs
+	limits := rules.RelaxedLimits()
+	limits.ReleaseWithin = releaseMs
 	return openTargetVia(t, name, fleetScenario, limits, decode.via)
 }
 
 // checkRulesAndClose checks that no rule was broken and closes the target.
 func checkRulesAndClose(t *testing.T, target *Target, em *emulator.Emulator) {
 	t.Helper()
-	for _, b := range em.Rules().Breaks() {
+	for _, b := range em.Rules().Violations() {
 		t.Errorf("rule %s: %s %v", b.Rule, b.Text, b.History)
 	}
 	target.Client.Close()
@@ -174,7 +174,7 @@
 			}
 			decode.stall()
 			sentAt := time.Now()
-			if got := sendRequest(target, em, plan, sideEffect, "0000000000000002", deadlineMs); got != rules.Error {
+			if got := sendRequest(target, em, plan, sideEffect, "0000000000000002", deadlineMs); got != rules.Failure {
 				t.Errorf("request with a side effect at a stalled engine: %s", got)
 			}
 			if waited := time.Since(sentAt); waited < releaseMs*time.Millisecond {
--- a/contract/targets.go
+++ b/contract/targets.go
@@ -78,13 +78,13 @@
 
 // staticMembership returns the emulator's engines as a membership source.
 func staticMembership(em *emulator.Emulator, grpc bool, via func(kind, addr string) string) (engines router.Static) {
-	for _, engine := range em.Boxes(0) {
+	for _, engine := range em.Engines(0) {
 		addr := engine.HTTP
 		if grpc {
 			addr = engine.GRPC
 		}
 		engines = append(engines, ashwood.Server{
-			ID: ashwood.ServerID(engine.ID), Kind: engine.Kind, Zone: engine.Zone, Cell: engine.Cell, State: ashwood.StateOn, Weight: 1, Address: via(engine.Kind, addr),
+			ID: ashwood.ServerID(engine.ID), Kind: engine.Kind, Zone: engine.Zone, Cell: engine.Cell, State: ashwood.StateActive, Weight: 1, Address: via(engine.Kind, addr),
 		})
 	}
 	return engines
@@ -171,9 +171,9 @@
 	onSend()
 	answer, err := d.router.Do(ctx, &router.Request{
 		Method: http.MethodPost, Target: "/v1/chat/completions", Body: d.bodies.Body(try),
-		Call: ashwood.Call{
-			ID: ashwood.RequestID(try.ID), Class: try.Class.Name, Session: gateway.Key(try.Session), Prefix: gateway.Key(try.Shared),
-			PromptTokens: float64(try.PromptTokens), PrefixTokens: float64(try.SharedTokens), MaxOut: float64(try.MaxOut), Remaining: try.Remaining,
+		RequestInfo: ashwood.RequestInfo{
+			ID: ashwood.RequestID(try.ID), Class: try.Class.Name, Session: gateway.AffinityKey(try.Session), Prefix: gateway.AffinityKey(try.Shared),
+			PromptTokens: float64(try.PromptTokens), PrefixTokens: float64(try.SharedTokens), MaxOutputTokens: float64(try.MaxOut), Remaining: try.Remaining,
 		},
 	})
 	var refused *router.RefusedError
@@ -181,9 +181,9 @@
 	case errors.As(err, &refused):
 		return load.Outcome{Answer: rules.Refused, End: d.clock.Now(), RetryAfter: refused.RetryAfter}
 	case errors.Is(err, router.ErrClientGone):
-		return load.Outcome{Answer: rules.Left, End: d.clock.Now()}
+		return load.Outcome{Answer: rules.ClientLeft, End: d.clock.Now()}
 	case err != nil:
-		return load.Outcome{Answer: rules.Error, End: d.clock.Now()}
+		return load.Outcome{Answer: rules.Failure, End: d.clock.Now()}
 	}
 	outcome = load.Outcome{Answer: rules.Served, First: d.clock.Now()}
 	var text bytes.Buffer
@@ -211,13 +211,13 @@
 		return nil, err
 	}
 	var engines []map[string]any
-	for _, engine := range em.Boxes(0) {
+	for _, engine := range em.Engines(0) {
 		engines = append(engines, map[string]any{
 			"instanceId": engine.ID, "hostPort": engine.HTTP, "zone": engine.Zone, "machineType": engine.Kind, "cell": engine.Cell, "lifecycle": "up", "weight": 1, "startedAtMs": 0,
 		})
 	}
 	raw, err := json.Marshal(map[string]any{
-		"name": "n0", "listen": "127.0.0.1:0", "discovery": em.Discovery(0), "seed": "1", "settings": plan.Settings(0),
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": em.DiscoveryAddr(0), "seed": "1", "settings": plan.Settings(0),
 		"known": map[string]any{"generation": 1, "reset": true, "instances": engines},
 	})
 	if err != nil {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -110,7 +110,7 @@
 		}
 		g.Boxes = append(g.Boxes, ashwood.Server{
 			ID: ashwood.ServerID(b.ID), Address: b.Address, Kind: b.Kind, Zone: b.Zone, Cell: b.Cell,
-			Weight: b.Weight, State: ashwood.StateOn,
+			Weight: b.Weight, State: ashwood.StateActive,
 		})
 	}
 	if x := in.GRPC.XDS; x != nil {
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -31,7 +31,7 @@
 // Fiber returns a handler for a Fiber application. It answers every request that it gets.
 func Fiber(h Handler) fiber.Handler {
 	return func(c fiber.Ctx) error {
-		platform.Answer(c.RequestCtx(), h, FrontFiber)
+		platform.HandleFastHTTP(c.RequestCtx(), h, FrontFiber)
 		return nil
 	}
 }
@@ -40,7 +40,7 @@
 // that disconnects before its first token is not noticed, and one that never sends a complete
 // request is waited for. The first request of a connection must arrive within two seconds; the
 // application's ReadTimeout limits later ones.
-func Listener(l net.Listener) net.Listener { return platform.Listener(l) }
+func Listener(l net.Listener) net.Listener { return platform.WrapListener(l) }
 
 // HTTP returns a handler for net/http. It answers every request that it gets. The log gets
 // faults that no answer shows; nil logs nothing.
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -27,7 +27,7 @@
 func startEngine(t *testing.T, kind string, h http.HandlerFunc) ashwood.Server {
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
-	return ashwood.Server{ID: ashwood.ServerID(kind), Kind: kind, State: ashwood.StateOn, Address: strings.TrimPrefix(s.URL, "http://")}
+	return ashwood.Server{ID: ashwood.ServerID(kind), Kind: kind, State: ashwood.StateActive, Address: strings.TrimPrefix(s.URL, "http://")}
 }
 
 func startRouter(t *testing.T, engines []ashwood.Server) *router.Router {
--- a/router/answer.go
+++ b/router/answer.go
@@ -44,12 +44,12 @@
 }
 
 // Move hands the answer over to another process, which then counts its end.
-func (s *stream) Move(transfer func(gateway.Live) error) error {
-	movable, ok := s.Stream.(gateway.Movable)
+func (s *stream) HandOver(transfer func(gateway.HandoverState) error) error {
+	movable, ok := s.Stream.(gateway.HandoverStream)
 	if !ok {
 		return fmt.Errorf("router: a stream of type %T does not support handover", s.Stream)
 	}
-	err := movable.Move(transfer)
+	err := movable.HandOver(transfer)
 	s.counted = s.counted || err == nil
 	return err
 }
@@ -71,7 +71,7 @@
 
 // Adopt continues an answer that another process of this gateway has started; see
 // gateway.Gateway. From now on it counts as a request of this router. Limits don't apply to it.
-func (r *Router) Adopt(ctx context.Context, live gateway.Live, newStream func(context.Context, gateway.Transport) (gateway.Stream, error)) (gateway.Stream, error) {
+func (r *Router) Adopt(ctx context.Context, live gateway.HandoverState, newStream func(context.Context, gateway.Transport) (gateway.Stream, error)) (gateway.Stream, error) {
 	requestCtx, cancel := context.WithCancelCause(ctx)
 	entry := &activeRequest{cancel: cancel}
 	r.mu.Lock()
@@ -112,7 +112,7 @@
 func (r *Router) shutdownReply(class string) gateway.Reply {
 	for _, candidate := range r.cfg.Settings.Classes {
 		if candidate.Name == class && candidate.Effect == ashwood.Pure {
-			return gateway.Reply{Kind: gateway.Refused, RetryAfter: r.gateway.Pause(), Err: ErrShuttingDown}
+			return gateway.Reply{Kind: gateway.Refused, RetryAfter: r.gateway.RetryAfter(), Err: ErrShuttingDown}
 		}
 	}
 	return gateway.Reply{Kind: gateway.Failed, Err: ErrShuttingDown}
--- a/router/moving_test.go
+++ b/router/moving_test.go
@@ -10,8 +10,8 @@
 )
 
 // Move hands the answer over, as a stream of package platform does.
-func (p *scriptedStream) Move(transfer func(gateway.Live) error) error {
-	return transfer(gateway.Live{})
+func (p *scriptedStream) HandOver(transfer func(gateway.HandoverState) error) error {
+	return transfer(gateway.HandoverState{})
 }
 
 // An answer that is handed over to another process is counted only there; one whose handover
@@ -22,15 +22,15 @@
 	older, newer := startRouter(t, first, Config{LastKnownEngines: testEngines}), startRouter(t, second, Config{LastKnownEngines: testEngines})
 	ctx := context.Background()
 	serve := func(id string) gateway.Stream {
-		reply, err := older.Serve(ctx, &gateway.Request{Call: newRequest(id, "order").Call})
+		reply, err := older.Serve(ctx, &gateway.Request{RequestInfo: newRequest(id, "order").RequestInfo})
 		if err != nil || reply.Kind != gateway.Served {
 			t.Fatal(reply, err)
 		}
 		return reply.Stream
 	}
-	var live gateway.Live
+	var live gateway.HandoverState
 	moved := serve("gone")
-	if err := moved.(gateway.Movable).Move(func(v gateway.Live) error { live = v; return nil }); err != nil {
+	if err := moved.(gateway.HandoverStream).HandOver(func(v gateway.HandoverState) error { live = v; return nil }); err != nil {
 		t.Fatal(err)
 	}
 	moved.Close()
@@ -56,7 +56,7 @@
 	checkMetrics(t, newer, map[string]string{"app.fulfilled.order": "1|c", "app.relayed.order": "0|c", "app.open_requests": "0|g"})
 
 	kept, errNoTaker := serve("stays"), errors.New("no process takes it")
-	if err := kept.(gateway.Movable).Move(func(gateway.Live) error { return errNoTaker }); !errors.Is(err, errNoTaker) {
+	if err := kept.(gateway.HandoverStream).HandOver(func(gateway.HandoverState) error { return errNoTaker }); !errors.Is(err, errNoTaker) {
 		t.Errorf("failed handover: error %v", err)
 	}
 	kept.Close() // before the end of the answer
--- a/router/parts.go
+++ b/router/parts.go
@@ -29,7 +29,7 @@
 		creds = insecure.NewCredentials()
 	}
 	return func(settings ashwood.Settings, clock gateway.Clock) (Transport, error) {
-		return grpcfront.NewBoxes(settings, creds, clock), nil
+		return grpcfront.NewEngines(settings, creds, clock), nil
 	}
 }
 
@@ -37,8 +37,8 @@
 type Static []ashwood.Server
 
 // Run reports the membership once, as a snapshot, and then waits for ctx to end.
-func (s Static) Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error {
-	update(ashwood.ListWhole, s)
+func (s Static) Run(ctx context.Context, update func(ashwood.MembershipForm, []ashwood.Server)) error {
+	update(ashwood.MembershipSnapshot, s)
 	<-ctx.Done()
 	return nil
 }
@@ -54,18 +54,18 @@
 }
 
 // SetAddress changes the address of the discovery service. The current membership stays.
-func (p *Platform) SetAddress(addr string) { p.discovery.Move(addr) }
+func (p *Platform) SetAddress(addr string) { p.discovery.SetAddress(addr) }
 
 // ResumeFrom sets the version of the membership that the Router begins with
 // (Config.LastKnownEngines), so that the first watch continues from there. It must be called
 // before Start.
-func (p *Platform) ResumeFrom(version int64) { p.discovery.Known(version) }
+func (p *Platform) ResumeFrom(version int64) { p.discovery.ResumeFrom(version) }
 
 // Configure takes the number of gateways and the form of membership reports from a Router's
 // settings: where all gateways poll the discovery service, each polls it less often. The seed
 // makes their waits differ. It must be called before Start.
 func (p *Platform) Configure(settings ashwood.Settings, seed int64) {
-	p.discovery.Fleet(settings, seed)
+	p.discovery.Configure(settings, seed)
 }
 
 // SetProcesses sets how many processes run as this one gateway during a handover: where all
@@ -73,7 +73,7 @@
 func (p *Platform) SetProcesses(processes int) { p.discovery.SetProcesses(processes) }
 
 // Run watches the membership until ctx ends.
-func (p *Platform) Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error {
+func (p *Platform) Run(ctx context.Context, update func(ashwood.MembershipForm, []ashwood.Server)) error {
 	p.discovery.Run(ctx, update)
 	return nil
 }
@@ -94,7 +94,7 @@
 }
 
 // Run follows the management server until ctx ends.
-func (x XDS) Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error {
+func (x XDS) Run(ctx context.Context, update func(ashwood.MembershipForm, []ashwood.Server)) error {
 	o := resolveOptions(x.options)
 	if x.Credentials == nil {
 		x.Credentials = insecure.NewCredentials()
--- a/router/router.go
+++ b/router/router.go
@@ -41,7 +41,7 @@
 type Source interface {
 	// Run passes each snapshot or delta to update until ctx ends. An error means that it
 	// can't continue; the current membership stays.
-	Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error
+	Run(ctx context.Context, update func(ashwood.MembershipForm, []ashwood.Server)) error
 }
 
 // Transport carries attempts to engines; see gateway.Transport.
@@ -164,7 +164,7 @@
 	if err := r.machine.Start(); err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
-	r.gateway.Update(ashwood.ListStale, r.cfg.LastKnownEngines)
+	r.gateway.UpdateMembership(ashwood.MembershipStale, r.cfg.LastKnownEngines)
 	r.goroutines.Go(func() { r.gateway.Run(r.ctx) })
 	for _, s := range r.sources {
 		r.goroutines.Go(func() {
@@ -177,9 +177,9 @@
 }
 
 // Update applies a membership update, as from a Source.
-func (r *Router) Update(form ashwood.ListForm, engines []ashwood.Server) {
-	r.gateway.Update(form, engines)
-	if form == ashwood.ListWhole {
+func (r *Router) Update(form ashwood.MembershipForm, engines []ashwood.Server) {
+	r.gateway.UpdateMembership(form, engines)
+	if form == ashwood.MembershipSnapshot {
 		r.transport.RetainOnly(engines)
 	}
 }
@@ -222,7 +222,7 @@
 
 // RetryAfter returns how many ms a client should wait whose request a front refuses by
 // itself; 0 = no advice.
-func (r *Router) RetryAfter() float64 { return r.gateway.Pause() }
+func (r *Router) RetryAfter() float64 { return r.gateway.RetryAfter() }
 
 // TurnAway counts a request that a front refuses by itself because it is overloaded, and
 // returns how many ms its client should wait, as RetryAfter does.
@@ -256,7 +256,7 @@
 		return gateway.Reply{Kind: gateway.Refused, RetryAfter: refusal.RetryAfter, Err: err}, nil
 	case errors.Is(err, lifecycle.ErrStopping):
 		r.increment(&r.refusedLate)
-		return gateway.Reply{Kind: gateway.Refused, RetryAfter: r.gateway.Pause(), Err: ErrShuttingDown}, nil
+		return gateway.Reply{Kind: gateway.Refused, RetryAfter: r.gateway.RetryAfter(), Err: ErrShuttingDown}, nil
 	case err != nil:
 		return gateway.Reply{}, fmt.Errorf("router: %w", err)
 	}
@@ -279,12 +279,12 @@
 		return gateway.Reply{Kind: gateway.Failed, Err: ErrShuttingDown}, nil
 	}
 	endedByStop := errors.Is(context.Cause(requestCtx), ErrShuttingDown)
-	if endedByStop || reply.Why == ashwood.WhyEnding {
+	if endedByStop || reply.Reason == ashwood.ReasonShutdown {
 		r.increment(&r.givenUp)
 		reqlog.Write(r.logger, newLogEntry(req, reqlog.Ended, "the process's time to answer is up"))
 	}
 	r.release(id)
-	if endedByStop && reply.Kind == gateway.Gone {
+	if endedByStop && reply.Kind == gateway.ClientGone {
 		reply = r.shutdownReply(req.Class)
 	}
 	return reply, err
@@ -311,7 +311,7 @@
 		return 0, nil, err
 	}
 	ticket, err := r.limiter.Admit(r.clock.Now(), limits.Request{
-		Front: req.Front, Class: req.Class, Tenant: req.Tenant, Addr: req.Client, Tokens: req.PromptTokens + req.MaxOut,
+		Front: req.Front, Class: req.Class, Tenant: req.Tenant, Addr: req.ClientAddr, Tokens: req.PromptTokens + req.MaxOutputTokens,
 	})
 	if err != nil {
 		r.machine.Remove(id)
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -205,7 +205,7 @@
 	returned chan struct{}
 }
 
-func (s blockedSource) Run(ctx context.Context, _ func(ashwood.ListForm, []ashwood.Server)) error {
+func (s blockedSource) Run(ctx context.Context, _ func(ashwood.MembershipForm, []ashwood.Server)) error {
 	close(s.started)
 	<-ctx.Done()
 	for range 10000 {
--- a/router/stop.go
+++ b/router/stop.go
@@ -24,7 +24,7 @@
 // shutdown.
 func (r *Router) Shutdown(ctx context.Context) error {
 	if deadline, ok := ctx.Deadline(); ok { // no attempt, and no remaining time sent to an engine, goes beyond it
-		r.gateway.EndBy(r.clock.Now() + clock.Millis(time.Until(deadline)))
+		r.gateway.SetAnswerDeadline(r.clock.Now() + clock.Millis(time.Until(deadline)))
 	}
 	r.stop(lifecycle.Timeouts{Drain: r.cfg.DrainMs, Grace: math.Inf(1), Release: releaseTimeoutMs})
 	select {
@@ -51,7 +51,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.machine.SetLifetime(lifetime)
-	r.gateway.EndBy(lifetime.AnswerBy)
+	r.gateway.SetAnswerDeadline(lifetime.AnswerBy)
 	r.answerTimers = append(r.answerTimers, r.clock.AfterFunc(lifetime.AnswerBy+endUnansweredAfter-r.clock.Now(), r.EndUnanswered))
 }
 
