--- a/facade.go
+++ b/facade.go
@@ -132,9 +132,9 @@
 	return 0
 }
 
-// Share sets how many processes, including this one, count as one node. Each of them uses
+// SetProcesses sets how many processes, including this one, count as one node. Each of them uses
 // its part of the node's slow-start budget only.
-func (r *Router) Share(processes int) {
+func (r *Router) SetProcesses(processes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.scheduler.processes = float64(max(processes, 1))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -112,8 +112,8 @@
 // Engines returns the number of engines in the membership and how many of them are avoided now; see ashwood.Router.
 func (g *Gateway) Engines() (listed, avoided int) { return g.router.CountEngines() }
 
-// Share sets how many processes count as this one gateway; see ashwood.Router.
-func (g *Gateway) Share(processes int) { g.router.Share(processes) }
+// SetProcesses sets how many processes count as this one gateway; see ashwood.Router.
+func (g *Gateway) SetProcesses(processes int) { g.router.SetProcesses(processes) }
 
 // SetAnswerDeadline sets the time, in ms of the clock, by which each request must have its answer
 // because the process ends; see ashwood.Router.
--- a/internal/grpcfront/boxes.go
+++ b/internal/grpcfront/boxes.go
@@ -87,9 +87,9 @@
 	return &Engines{clock: c, creds: creds, connectTimeout: connectTimeout, conns: map[string]*engineConn{}}
 }
 
-// Keep removes the engines that a membership snapshot no longer contains. Their
+// RetainOnly removes the engines that a membership snapshot no longer contains. Their
 // connections are closed only after a grace period, since answers may still arrive on them.
-func (e *Engines) Keep(servers []ashwood.Server) {
+func (e *Engines) RetainOnly(servers []ashwood.Server) {
 	present := map[string]bool{}
 	for _, server := range servers {
 		present[server.Address] = true
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -88,8 +88,8 @@
 // clients on the same address.
 func (s *Server) DisableKeepAlives(disabled bool) { s.keepAlivesDisabled.Store(disabled) }
 
-// Share sets how many processes share the connections that the limit allows.
-func (s *Server) Share(processes int) { s.listener.share(processes) }
+// SetProcesses sets how many processes share the connections that the limit allows.
+func (s *Server) SetProcesses(processes int) { s.listener.share(processes) }
 
 // ExpireReadsAfter limits how long requests may still be read, because the process ends. Requests that
 // have been read in part by then get the error of a request that is not complete in time.
