--- a/cmd/ashwood/daemon.go
+++ b/cmd/ashwood/daemon.go
@@ -21,34 +21,37 @@
 )
 
 const (
-	// The heap may grow by this share of what lives before it is collected. At
-	// a few MB that is cheap, and the process stays small on a long day.
-	heapGrowth = 50
-	// Of the memory limit, what the runtime may use before it collects harder.
-	memoryShare = 0.75
-	// Of the sockets, what clients and engines may have; the rest is for the runtime.
-	clientShare, engineShare, grpcShare = 0.45, 0.42, 0.08
+	// heapGrowthPercent is the garbage collector's target (GOGC). With a live heap of a few
+	// MB, collecting at 50 % is cheap and keeps the process small over time.
+	heapGrowthPercent = 50
+	// memoryLimitShare is the runtime's soft memory limit as a share of the machine's limit;
+	// beyond it the runtime collects more often.
+	memoryLimitShare = 0.75
+	// Shares of the allowed sockets for clients' and engines' connections and for the gRPC
+	// front; the rest is for the runtime.
+	clientSocketShare, engineSocketShare, grpcSocketShare = 0.45, 0.42, 0.08
 )
 
-// daemon is this process of the gateway: it opens its fronts, serves, and shuts down.
+// daemon runs one process of the gateway: it opens the fronts, serves and shuts down.
 type daemon struct {
-	clock  clock.Clock
-	cfg    config.Config
-	op     config.Operator
-	log    *slog.Logger
-	phase  phase
-	told   *notice        // when it is to end
-	reload chan os.Signal // its configuration may have changed
-	others *versions
-	fronts []front
-	main   atomic.Pointer[front] // the platform's, once it is open
+	clock         clock.Clock
+	cfg           config.Config
+	operator      config.Operator
+	log           *slog.Logger
+	phase         phase
+	notice        *shutdownNotice // when the process was asked to shut down
+	reload        chan os.Signal  // SIGHUP: the configuration may have changed
+	processes     *processGroup
+	fronts        []front
+	platformFront atomic.Pointer[front] // the HTTP/1.1 front; nil until it is open
 }
 
 // run serves until SIGTERM.
 func run() error {
 	c := clock.System()
-	// Before all else: signals may come before it serves, and SIGHUP would end the program.
-	told, stop := noticeSignals(c)
+	// Signals are handled first: they may arrive before the process serves, and an unhandled
+	// SIGHUP would end it.
+	notice, stop := watchSignals(c)
 	defer stop()
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
@@ -58,119 +61,121 @@
 	if err != nil {
 		return err
 	}
-	op, err := config.LoadOperator(os.Getenv, cfg)
+	operator, err := config.LoadOperator(os.Getenv, cfg)
 	if err != nil {
 		return err
 	}
-	d := &daemon{clock: c, cfg: cfg, op: op, told: told, reload: reload}
+	d := &daemon{clock: c, cfg: cfg, operator: operator, notice: notice, reload: reload}
 	d.phase.set(starting)
-	d.log = reqlog.WithPhase(op.Log.Logger(os.Stderr), d.phase.word)
+	d.log = reqlog.WithPhase(operator.Log.Logger(os.Stderr), d.phase.current)
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
-	debug.SetGCPercent(heapGrowth)
+	debug.SetGCPercent(heapGrowthPercent)
 	return d.run()
 }
 
+// run opens the admin server and the fronts, serves and shuts down.
 func (d *daemon) run() error {
-	mgmt, mgmtAddr, err := openAdmin(d.cfg.Mgmt, d.cfg.Limits.Sockets, &d.phase, d.vars, d.log)
+	adminServer, adminAddr, err := openAdmin(d.cfg.AdminAddress, d.cfg.Limits.Sockets, &d.phase, d.varsReply, d.log)
 	if err != nil {
 		return err
 	}
-	if mgmt != nil {
-		defer mgmt.Close()
+	if adminServer != nil {
+		defer adminServer.Close()
 	}
-	memory := int64(d.cfg.Limits.MemoryMB * memoryShare * (1 << 20))
-	d.others = joinVersions(os.Getenv("TMPDIR"), d.cfg.Listen, memory, d.clock, d.log)
-	defer d.others.leave()
-	err = d.open()
-	if errors.Is(err, errToldEarly) {
+	memory := int64(d.cfg.Limits.MemoryMB * memoryLimitShare * (1 << 20))
+	d.processes = joinProcessGroup(os.Getenv("TMPDIR"), d.cfg.Listen, memory, d.clock, d.log)
+	defer d.processes.leave()
+	err = d.openFronts()
+	if errors.Is(err, errStoppedBeforeServing) {
 		d.log.Info("shutdown: told to end before it served")
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	defer d.others.receive(*d.main.Load())()
-	d.others.follow(d.fronts)
-	if err := d.serve(mgmt, mgmtAddr); err != nil {
+	defer d.processes.receiveStreams(*d.platformFront.Load())()
+	d.processes.watch(d.fronts)
+	if err := d.serve(adminServer, adminAddr); err != nil {
 		return err
 	}
 	return d.shutdown()
 }
 
-// vars is the reply to operators who ask for the metrics.
-func (d *daemon) vars() string {
-	if f := d.main.Load(); f != nil {
+// varsReply returns the admin reply to vars: the metrics, or the phase until the platform's
+// front is open.
+func (d *daemon) varsReply() string {
+	if f := d.platformFront.Load(); f != nil {
 		return metricsReply(*f)
 	}
-	return "NO " + d.phase.word() + "\n"
+	return "NO " + d.phase.current() + "\n"
 }
 
-// open opens the fronts. From then on they know when the process is told to end.
-func (d *daemon) open() error {
-	if d.op.GRPC != nil {
-		f, err := openGRPC(d.told, d.cfg, *d.op.GRPC, d.op.Limits, d.clock, d.log)
+// openFronts opens the fronts and subscribes them to the shutdown notice.
+func (d *daemon) openFronts() error {
+	if d.operator.GRPC != nil {
+		f, err := openGRPC(d.notice, d.cfg, *d.operator.GRPC, d.operator.Limits, d.clock, d.log)
 		if err != nil {
 			return err
 		}
 		d.fronts = append(d.fronts, f)
 	}
-	f, err := openPlatform(d.told, d.cfg, d.op.Limits, d.others, d.clock, d.log)
+	f, err := openPlatform(d.notice, d.cfg, d.operator.Limits, d.processes, d.clock, d.log)
 	if err != nil {
 		return err
 	}
 	d.fronts = append(d.fronts, f)
-	d.main.Store(&f)
+	d.platformFront.Store(&f)
 	for _, f := range d.fronts {
-		d.told.subscribe(d.cfg.Settings, f.endBy)
+		d.notice.subscribe(d.cfg.Settings, f.setLifetime)
 	}
 	return nil
 }
 
-// serve serves until the process is told to end.
-func (d *daemon) serve(mgmt *admin.Server, mgmtAddr net.Addr) error {
+// serve serves until the process is asked to shut down.
+func (d *daemon) serve(adminServer *admin.Server, adminAddr net.Addr) error {
 	ended := make(chan error, len(d.fronts))
 	addrs := []any{"name", d.cfg.Name}
 	for _, f := range d.fronts {
 		go func() { ended <- f.serve() }()
 		addrs = append(addrs, f.name, f.addr)
 	}
-	if mgmt != nil {
-		addrs = append(addrs, "mgmt", mgmtAddr)
+	if adminServer != nil {
+		addrs = append(addrs, "mgmt", adminAddr)
 	}
-	d.others.tell(handover.Serving)
+	d.processes.announce(handover.Serving)
 	d.phase.set(serving)
 	d.log.Info("serving", addrs...)
-	for d.told.Err() == nil {
+	for d.notice.Err() == nil {
 		select {
 		case err := <-ended:
-			return errors.Join(errors.New("a server has ended"), err)
+			return errors.Join(errors.New("a front stopped serving"), err)
 		case <-d.reload:
-			d.readAgain()
-		case <-d.told.Done():
+			d.reloadConfig()
+		case <-d.notice.Done():
 		}
 	}
 	return nil
 }
 
-// shutdown takes requests for a little longer and finishes what was taken. What can't be
-// finished in time is ended by the lifetime that the fronts have been told of.
+// shutdown accepts requests for a little longer and finishes those accepted. Requests that
+// can't finish in time are ended by the deadline that the fronts got from the notice.
 func (d *daemon) shutdown() error {
 	d.phase.set(stopping)
-	noticed := d.clock.Now()
-	life := d.told.lifetime(d.cfg.Settings)
-	d.log.Info("shutdown: told to end", "take_ms", life.TakeUntil-d.clock.Now(), "answer_ms", life.AnswerBy-d.clock.Now())
-	d.others.tell(handover.Leaving)
+	noticedAt := d.clock.Now()
+	lifetime := d.notice.lifetime(d.cfg.Settings)
+	d.log.Info("shutdown: told to end", "take_ms", lifetime.TakeUntil-d.clock.Now(), "answer_ms", lifetime.AnswerBy-d.clock.Now())
+	d.processes.announce(handover.Leaving)
 	for _, f := range d.fronts {
 		f.drain()
 	}
-	d.others.bequeath(d.fronts)
-	d.reloadUntil(d.at(life.AcceptUntil(noticed)))
-	d.log.Info("shutdown: no new connection is accepted")
+	d.processes.handOverStreams(d.fronts)
+	d.reloadUntil(d.timerChannel(lifetime.AcceptUntil(noticedAt)))
+	d.log.Info("shutdown: closing the listeners")
 	for _, f := range d.fronts {
 		go f.stopAccepting()
 	}
-	d.reloadUntil(d.at(life.TakeUntil))
-	d.log.Info("shutdown: the drain time is over")
+	d.reloadUntil(d.timerChannel(lifetime.TakeUntil))
+	d.log.Info("shutdown: drain period is over, no new requests are accepted")
 
 	errs := make([]error, len(d.fronts))
 	finished := make(chan struct{})
@@ -183,36 +188,36 @@
 		all.Wait()
 	}()
 	d.reloadUntil(finished)
-	d.log.Info("shutdown: nothing is left")
+	d.log.Info("shutdown: complete")
 	return errors.Join(errs...)
 }
 
-// at gives a channel that is closed at a time.
-func (d *daemon) at(when float64) <-chan struct{} {
-	over := make(chan struct{})
-	d.clock.AfterFunc(when-d.clock.Now(), func() { close(over) })
-	return over
+// timerChannel returns a channel that is closed when the clock reaches a time.
+func (d *daemon) timerChannel(when float64) <-chan struct{} {
+	reached := make(chan struct{})
+	d.clock.AfterFunc(when-d.clock.Now(), func() { close(reached) })
+	return reached
 }
 
-// reloadUntil follows the configuration until done: engines still drain, and discovery still
-// moves, while what was taken goes on.
+// reloadUntil handles reloads until done is closed: engines may drain and discovery's address
+// may change while accepted requests finish.
 func (d *daemon) reloadUntil(done <-chan struct{}) {
 	for {
 		select {
 		case <-d.reload:
-			d.readAgain()
+			d.reloadConfig()
 		case <-done:
 			return
 		}
 	}
 }
 
-// readAgain reads the configuration again for what may change while requests run. A faulty
-// file changes nothing.
-func (d *daemon) readAgain() {
+// reloadConfig reads the configuration again and applies what may change while requests run.
+// A faulty file changes nothing.
+func (d *daemon) reloadConfig() {
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
-		d.log.Error("reload: the configuration in use stays", "err", err)
+		d.log.Error("reload: configuration rejected, the running one stays in use", "err", err)
 		return
 	}
 	for _, f := range d.fronts {
--- a/cmd/ashwood/fronts.go
+++ b/cmd/ashwood/fronts.go
@@ -21,109 +21,109 @@
 	"ashwood.example/ashwood/router"
 )
 
-// front is one of the program's servers.
+// front is one of the process's servers with the router behind it.
 type front struct {
-	name          string
-	addr          net.Addr
-	serve         func() error
-	drain         func()       // clients are to go elsewhere
-	stopAccepting func()       // close the listener once what waits there is accepted; shutdown waits for it
-	shutdown      func() error // take nothing more, finish what was taken
-	reload        func(config.Config)
-	vars          func(io.Writer) error // its metrics
-	share         func(processes int)   // keep to one's part of what the machine allows
-	yield         func(bool)            // while a newer process serves, clients are to go there
-	give          func(platform.Give)   // hand begun answers to another process
-	take          func([]byte, net.Conn, net.Conn) error
-	endBy         func(lifecycle.Lifetime)
+	name              string
+	addr              net.Addr
+	serve             func() error
+	drain             func()       // has clients go to other gateways
+	stopAccepting     func()       // accepts the listener's queued connections, then closes it; shutdown waits for that
+	shutdown          func() error // accepts no more requests and finishes the accepted ones
+	reload            func(config.Config)
+	writeMetrics      func(io.Writer) error
+	setProcesses      func(processes int)                    // scales limits down to this process's share of the machine's
+	disableKeepAlives func(bool)                             // while a newer process serves, so that clients reconnect to it
+	setHandover       func(platform.Give)                    // has started answers handed over to another process
+	adopt             func([]byte, net.Conn, net.Conn) error // continues another process's answer
+	setLifetime       func(lifecycle.Lifetime)
 }
 
-// errToldEarly says that the process was told to end before it took any client.
-var errToldEarly = errors.New("told to end before serving")
+// errStoppedBeforeServing reports a shutdown signal before the process accepted any client.
+var errStoppedBeforeServing = errors.New("shut down before serving")
 
-// openPlatform sets up the platform's protocol.
-func openPlatform(term *notice, cfg config.Config, limit limits.Config, others *versions, c clock.Clock, log *slog.Logger) (front, error) {
+// openPlatform opens the front of the platform's protocol (HTTP/1.1).
+func openPlatform(notice *shutdownNotice, cfg config.Config, limitConfig limits.Config, processes *processGroup, c clock.Clock, log *slog.Logger) (front, error) {
 	sockets := float64(cfg.Limits.Sockets)
-	opts := []router.Option{router.WithClock(c), router.WithLogger(log)}
-	d := router.NewPlatform(cfg.Discovery, opts...)
-	d.Fleet(cfg.Settings, cfg.Seed)
-	known := cfg.Known.Engines
+	options := []router.Option{router.WithClock(c), router.WithLogger(log)}
+	discovery := router.NewPlatform(cfg.Discovery, options...)
+	discovery.Fleet(cfg.Settings, cfg.Seed)
+	known := cfg.KnownMembership.Engines
 	if len(known) > 0 {
-		d.Known(cfg.Known.Generation)
+		discovery.Known(cfg.KnownMembership.Generation)
 	}
-	source := &heard{Source: d, first: make(chan struct{})}
-	r, err := router.New(router.Config{Settings: cfg.Settings, Seed: cfg.Seed, Known: known, Limits: limit},
-		append(opts, router.WithSource(source), router.WithTransport(router.HTTPEngines(int(sockets*engineShare))))...)
+	source := &firstUpdateSource{Source: discovery, received: make(chan struct{})}
+	requestRouter, err := router.New(router.Config{Settings: cfg.Settings, Seed: cfg.Seed, Known: known, Limits: limitConfig},
+		append(options, router.WithSource(source), router.WithTransport(router.HTTPEngines(int(sockets*engineSocketShare))))...)
 	if err != nil {
 		return front{}, err
 	}
-	if err := r.Start(); err != nil {
+	if err := requestRouter.Start(); err != nil {
 		return front{}, err
 	}
-	others.await(term, source.first)
-	if term.Err() != nil {
-		return front{}, errors.Join(errToldEarly, r.Close())
+	processes.awaitReady(notice, source.received)
+	if notice.Err() != nil {
+		return front{}, errors.Join(errStoppedBeforeServing, requestRouter.Close())
 	}
-	l, err := handover.Listen(cfg.Listen)
+	listener, err := handover.Listen(cfg.Listen)
 	if err != nil {
-		return front{}, errors.Join(err, r.Close())
+		return front{}, errors.Join(err, requestRouter.Close())
 	}
-	if !others.alone() {
-		if err := handover.Steer(l, others.plan.Processes); err != nil {
-			log.Warn("upgrade: the older process goes on getting new connections", "err", err)
+	if !processes.alone() {
+		if err := handover.Steer(listener, processes.plan.Processes); err != nil {
+			log.Warn("upgrade: can't steer new connections to this process; the older process still gets some", "err", err)
 		}
 	}
-	s := platform.NewServer(settled{r, term}, log, int(sockets*clientShare))
+	server := platform.NewServer(signalCheckedRouter{requestRouter, notice}, log, int(sockets*clientSocketShare))
 	return front{
-		name: "listen", addr: l.Addr(), serve: func() error { return s.Serve(l) }, drain: s.Drain, stopAccepting: s.StopAccepting,
+		name: "listen", addr: listener.Addr(), serve: func() error { return server.Serve(listener) }, drain: server.Drain, stopAccepting: server.StopAccepting,
 		shutdown: func() error {
-			err := s.Shutdown(context.Background())
-			return errors.Join(err, r.Shutdown(context.Background()))
+			err := server.Shutdown(context.Background())
+			return errors.Join(err, requestRouter.Shutdown(context.Background()))
 		},
-		reload: func(cfg config.Config) { d.Move(cfg.Discovery) }, vars: r.Vars,
-		share: func(processes int) {
-			r.Share(processes)
-			s.Share(processes)
-			d.Share(processes)
+		reload: func(cfg config.Config) { discovery.Move(cfg.Discovery) }, writeMetrics: requestRouter.Vars,
+		setProcesses: func(processes int) {
+			requestRouter.Share(processes)
+			server.Share(processes)
+			discovery.Share(processes)
 		},
-		yield: s.Yield, give: s.Give, take: s.Adopt,
-		endBy: func(l lifecycle.Lifetime) {
-			r.EndBy(l)
-			s.EndBy(clock.Duration(l.AnswerBy - c.Now()))
+		disableKeepAlives: server.Yield, setHandover: server.Give, adopt: server.Adopt,
+		setLifetime: func(lifetime lifecycle.Lifetime) {
+			requestRouter.EndBy(lifetime)
+			server.EndBy(clock.Duration(lifetime.AnswerBy - c.Now()))
 		},
 	}, nil
 }
 
-// openGRPC sets up the gRPC front, with a list of boxes of its own.
-func openGRPC(term *notice, cfg config.Config, op config.GRPC, limit limits.Config, c clock.Clock, log *slog.Logger) (front, error) {
-	opts := []router.Option{router.WithClock(c), router.WithLogger(log), router.WithTransport(router.GRPCEngines(op.BoxCredentials))}
-	if x := op.XDS; x == nil {
-		opts = append(opts, router.WithSource(router.Static(op.Boxes)))
+// openGRPC opens the gRPC front, which has an engine membership of its own.
+func openGRPC(notice *shutdownNotice, cfg config.Config, grpcConfig config.GRPC, limitConfig limits.Config, c clock.Clock, log *slog.Logger) (front, error) {
+	options := []router.Option{router.WithClock(c), router.WithLogger(log), router.WithTransport(router.GRPCEngines(grpcConfig.EngineCredentials))}
+	if xdsConfig := grpcConfig.XDS; xdsConfig == nil {
+		options = append(options, router.WithSource(router.Static(grpcConfig.Engines)))
 	} else {
-		source := router.XDS{Server: x.Server, Node: x.Node, Clusters: x.Clusters, Credentials: x.Credentials}
-		opts = append(opts, router.WithSource(source.With(opts...)))
+		source := router.XDS{Server: xdsConfig.Server, Node: xdsConfig.Node, Clusters: xdsConfig.Clusters, Credentials: xdsConfig.Credentials}
+		options = append(options, router.WithSource(source.With(options...)))
 	}
-	r, err := router.New(router.Config{Settings: cfg.Settings, Seed: cfg.Seed, Limits: limit}, opts...)
+	requestRouter, err := router.New(router.Config{Settings: cfg.Settings, Seed: cfg.Seed, Limits: limitConfig}, options...)
 	if err != nil {
 		return front{}, err
 	}
-	l, err := handover.Listen(op.Listen)
+	listener, err := handover.Listen(grpcConfig.Listen)
 	if err != nil {
 		return front{}, fmt.Errorf("grpc: %w", err)
 	}
-	l = netutil.LimitListener(listen.Persistent(l, log), int(float64(cfg.Limits.Sockets)*grpcShare))
-	if err := r.Start(); err != nil {
+	listener = netutil.LimitListener(listen.RetryAccept(listener, log), int(float64(cfg.Limits.Sockets)*grpcSocketShare))
+	if err := requestRouter.Start(); err != nil {
 		return front{}, err
 	}
-	s := grpcfront.NewServer(settled{r, term}, cfg.Settings, op.Credentials, c, log)
+	server := grpcfront.NewServer(signalCheckedRouter{requestRouter, notice}, cfg.Settings, grpcConfig.Credentials, c, log)
 	return front{
-		name: "grpc", addr: l.Addr(), serve: func() error { return s.Serve(l) }, drain: s.Drain, stopAccepting: s.Shutdown,
+		name: "grpc", addr: listener.Addr(), serve: func() error { return server.Serve(listener) }, drain: server.Drain, stopAccepting: server.Shutdown,
 		shutdown: func() error {
-			s.Shutdown()
-			return r.Shutdown(context.Background())
+			server.Shutdown()
+			return requestRouter.Shutdown(context.Background())
 		},
-		reload: func(config.Config) {}, // its boxes have a list of their own
-		vars:   r.Vars, share: r.Share, yield: func(bool) {}, give: func(platform.Give) {},
-		endBy: r.EndBy,
+		reload:       func(config.Config) {}, // its engines don't come from the platform's discovery
+		writeMetrics: requestRouter.Vars, setProcesses: requestRouter.Share, disableKeepAlives: func(bool) {}, setHandover: func(platform.Give) {},
+		setLifetime: requestRouter.EndBy,
 	}, nil
 }
--- a/cmd/ashwood/mgmt.go
+++ b/cmd/ashwood/mgmt.go
@@ -10,36 +10,37 @@
 	"ashwood.example/ashwood/internal/admin"
 )
 
-// phase is how far the process has come, as operators are told.
+// phase is the phase of the process, as the admin server and log records report it.
 type phase struct{ atomic.Pointer[string] }
 
-func (p *phase) set(word string) { p.Store(&word) }
+func (p *phase) set(name string) { p.Store(&name) }
 
-func (p *phase) word() string { return *p.Load() }
+func (p *phase) current() string { return *p.Load() }
 
-// Callers that the admin server holds at once, by the sockets that the machine allows.
-const socketsACaller, leastCallers, mostCallers = 32, 4, 16
+// The admin server holds one caller for every socketsPerCaller allowed sockets, within these
+// bounds.
+const socketsPerCaller, minCallers, maxCallers = 32, 4, 16
 
-// openAdmin serves operators at an address; without one it gives nil.
+// openAdmin starts the admin server at an address; without an address it returns nil.
 func openAdmin(addr string, sockets int, p *phase, vars func() string, log *slog.Logger) (*admin.Server, net.Addr, error) {
 	if addr == "" {
 		return nil, nil, nil
 	}
-	l, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, nil, fmt.Errorf("mgmt: %w", err)
 	}
-	server := admin.New(log, map[string]admin.Call{
+	server := admin.New(log, map[string]admin.Handler{
 		"check": func() string {
-			if word := p.word(); word != serving {
-				return "NO " + word + "\n"
+			if current := p.current(); current != serving {
+				return "NO " + current + "\n"
 			}
 			return "YES\n"
 		},
 		"vars": vars,
-	}, min(max(sockets/socketsACaller, leastCallers), mostCallers))
-	go server.Serve(l)
-	return server, l.Addr(), nil
+	}, min(max(sockets/socketsPerCaller, minCallers), maxCallers))
+	go server.Serve(listener)
+	return server, listener.Addr(), nil
 }
 
 // The phases of a process.
@@ -49,13 +50,13 @@
 	stopping = "stopping"
 )
 
-// metricsReply is the reply to vars: what the platform's front counts, then END.
+// metricsReply returns the reply to vars: a front's metrics, then END.
 func metricsReply(f front) string {
-	var b strings.Builder
-	b.WriteString("YES\n")
-	if err := f.vars(&b); err != nil {
+	var reply strings.Builder
+	reply.WriteString("YES\n")
+	if err := f.writeMetrics(&reply); err != nil {
 		return fmt.Sprintf("NO %v\n", err)
 	}
-	b.WriteString("END\n")
-	return b.String()
+	reply.WriteString("END\n")
+	return reply.String()
 }
--- a/cmd/ashwood/notice.go
+++ b/cmd/ashwood/notice.go
@@ -15,46 +15,48 @@
 	"ashwood.example/ashwood/router"
 )
 
-// Times of the heartbeat, in ms: by it a process sees that it was stopped or held up.
+// Times of the heartbeat, in ms. A late heartbeat shows that the process did not run for a
+// while: it was stopped (SIGSTOP) or got no CPU.
 const (
-	beatEvery = 100.0
-	// A beat that comes so long behind the one before shows a gap. A shorter one delays the
-	// notice of a signal by as much: with it, requests are taken for at most 650 ms from the
-	// signal on, and those of the first 700 ms are not held against a process that is killed.
-	beatLate = 150.0
-	// signalWait is for how long behind a gap nothing is taken on: a signal that came in it
-	// may not have been seen yet. It takes far less than a millisecond.
-	signalWait = 20.0
+	heartbeatInterval = 100.0
+	// pauseThreshold is the time between two heartbeats beyond which the process counts as
+	// paused. A shorter pause goes undetected and delays the notice of a signal by as much:
+	// requests are then accepted for at most 650 ms after the signal, while those of the first
+	// 700 ms are not held against a process that is killed.
+	pauseThreshold = 150.0
+	// signalDelay is how long after a pause no request is accepted: a signal that was sent
+	// during the pause may not have been delivered yet. Delivery takes far less than 1 ms.
+	signalDelay = 20.0
 )
 
-// notice tells when this process was told to end.
+// shutdownNotice records when this process was asked to shut down.
 //
-// The platform counts from the moment in which it sends the signal. A process that was stopped
-// or held up gets its signals late: one that comes with the end of such a gap may have been
-// sent at any time in it, and the earliest counts.
-type notice struct {
-	context.Context // ends when the process is told
-
-	clock clock.Clock
-	mu    sync.Mutex
-	last  float64 // the last beat
-	gap   float64 // the beat before the latest gap
-	over  float64 // the end of that gap
-	told  float64 // +Inf = not yet
-	stop  func() bool
-	heard []func() // called when it is told, before the context ends
+// The platform counts from the moment at which it sends the signal. A paused process receives
+// its signals late: one that arrives as a pause ends may have been sent at any time during the
+// pause, so the start of the pause counts.
+type shutdownNotice struct {
+	context.Context // cancelled when the process is asked to shut down
+
+	clock       clock.Clock
+	mu          sync.Mutex
+	lastBeat    float64
+	pauseStart  float64 // the last heartbeat before the latest pause
+	pauseEnd    float64 // the end of that pause; 0 = none yet
+	signaledAt  float64 // when the signal counts as sent; +Inf = none yet
+	stopTimer   func() bool
+	subscribers []func() // called on a signal, before the context is cancelled
 }
 
-// noticeSignals begins to wait for SIGTERM and interrupts. close ends that.
-func noticeSignals(c clock.Clock) (n *notice, close func()) {
+// watchSignals waits for SIGTERM or an interrupt until close is called.
+func watchSignals(c clock.Clock) (n *shutdownNotice, close func()) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	ctx, cancel := context.WithCancel(context.Background())
-	n = newNotice(ctx, c)
+	n = newShutdownNotice(ctx, c)
 	go func() {
 		select {
 		case <-signals:
-			n.hear(cancel)
+			n.handleSignal(cancel)
 		case <-ctx.Done():
 		}
 	}()
@@ -65,105 +67,110 @@
 	}
 }
 
-// hear takes a signal in: whoever promises anything knows of it before anybody else.
-func (n *notice) hear(end context.CancelFunc) {
-	for _, f := range n.tell() {
-		f()
+// handleSignal records a signal and calls the subscribers before it cancels the context: a
+// front must know its deadline before anything else reacts to the shutdown.
+func (n *shutdownNotice) handleSignal(end context.CancelFunc) {
+	for _, notify := range n.recordSignal() {
+		notify()
 	}
 	end()
 }
 
-func newNotice(ctx context.Context, c clock.Clock) *notice {
-	n := &notice{Context: ctx, clock: c, last: c.Now(), told: math.Inf(1)}
-	n.stop = c.AfterFunc(beatEvery, n.beat)
+// newShutdownNotice starts the heartbeat. ctx is the context that is cancelled on a signal.
+func newShutdownNotice(ctx context.Context, c clock.Clock) *shutdownNotice {
+	n := &shutdownNotice{Context: ctx, clock: c, lastBeat: c.Now(), signaledAt: math.Inf(1)}
+	n.stopTimer = c.AfterFunc(heartbeatInterval, n.heartbeat)
 	return n
 }
 
-// beat notes that the process runs.
-func (n *notice) beat() {
+// heartbeat records that the process is running and schedules the next heartbeat.
+func (n *shutdownNotice) heartbeat() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.look(n.clock.Now())
-	if math.IsInf(n.told, 1) {
-		n.stop = n.clock.AfterFunc(beatEvery, n.beat)
+	n.detectPause(n.clock.Now())
+	if math.IsInf(n.signaledAt, 1) {
+		n.stopTimer = n.clock.AfterFunc(heartbeatInterval, n.heartbeat)
 	}
 }
 
-// look notes a gap before now, if there is one.
-func (n *notice) look(now float64) {
-	if now-n.last > beatLate {
-		n.gap, n.over = n.last, now
+// detectPause records a pause that ended now, if the last heartbeat is too long ago.
+func (n *shutdownNotice) detectPause(now float64) {
+	if now-n.lastBeat > pauseThreshold {
+		n.pauseStart, n.pauseEnd = n.lastBeat, now
 	}
-	n.last = now
+	n.lastBeat = now
 }
 
-// tell notes that a signal has come, and gives who is to hear of it.
-func (n *notice) tell() (heard []func()) {
+// recordSignal records that a signal has arrived and returns the subscribers to call.
+func (n *shutdownNotice) recordSignal() (subscribers []func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock.Now()
-	n.look(now)
-	n.told = now
-	if n.over > 0 && now-n.over < beatEvery {
-		n.told = n.gap
+	n.detectPause(now)
+	n.signaledAt = now
+	if n.pauseEnd > 0 && now-n.pauseEnd < heartbeatInterval {
+		n.signaledAt = n.pauseStart
 	}
-	return n.heard
+	return n.subscribers
 }
 
-// subscribe has f called with what the process has left to live, once it is told; at once
-// where it has been.
-func (n *notice) subscribe(set ashwood.Settings, f func(lifecycle.Lifetime)) {
+// subscribe has notify called with the process's remaining lifetime when it is asked to shut
+// down, or at once if it has been already.
+func (n *shutdownNotice) subscribe(settings ashwood.Settings, notify func(lifecycle.Lifetime)) {
 	n.mu.Lock()
-	told := !math.IsInf(n.told, 1)
-	n.heard = append(n.heard, func() { f(n.lifetime(set)) })
+	signaled := !math.IsInf(n.signaledAt, 1)
+	n.subscribers = append(n.subscribers, func() { notify(n.lifetime(settings)) })
 	n.mu.Unlock()
-	if told {
-		f(n.lifetime(set))
+	if signaled {
+		notify(n.lifetime(settings))
 	}
 }
 
-// settle waits, right behind a gap, until a signal that came in it has been seen.
-func (n *notice) settle() {
+// waitForPendingSignal waits, right after a pause, until a signal sent during the pause has
+// been delivered.
+func (n *shutdownNotice) waitForPendingSignal() {
 	n.mu.Lock()
 	now := n.clock.Now()
-	n.look(now)
-	left := n.over + signalWait - now
+	n.detectPause(now)
+	remaining := n.pauseEnd + signalDelay - now
 	n.mu.Unlock()
-	if left > 0 {
-		// It ends early where the process is told, which is what it waits for.
-		_ = clock.Wait(n, n.clock, left)
+	if remaining > 0 {
+		// The error only says that the signal arrived, which is what this waits for.
+		_ = clock.Wait(n, n.clock, remaining)
 	}
 }
 
-// settled is a router that takes nothing on before the process knows whether it is to end.
-type settled struct {
+// signalCheckedRouter is a router that, after a pause, accepts no request until a signal sent
+// during the pause has been delivered.
+type signalCheckedRouter struct {
 	*router.Router
-	notice *notice
+	notice *shutdownNotice
 }
 
-// Serve is for fronts.
-func (s settled) Serve(ctx context.Context, req *gateway.Request) (gateway.Reply, error) {
-	s.notice.settle()
+// Serve serves a request after waiting for a pending signal; fronts call it.
+func (s signalCheckedRouter) Serve(ctx context.Context, req *gateway.Request) (gateway.Reply, error) {
+	s.notice.waitForPendingSignal()
 	return s.Router.Serve(ctx, req)
 }
 
-// lifetime is what the process has left to live, as far as it knows.
-func (n *notice) lifetime(set ashwood.Settings) lifecycle.Lifetime {
+// lifetime returns the process's remaining lifetime, unlimited before a signal.
+func (n *shutdownNotice) lifetime(settings ashwood.Settings) lifecycle.Lifetime {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if math.IsInf(n.told, 1) {
+	if math.IsInf(n.signaledAt, 1) {
 		return lifecycle.Unlimited()
 	}
-	longest := 0.0
-	for _, class := range set.Classes {
-		longest = max(longest, clock.Millis(class.Deadline))
+	longestDeadline := 0.0
+	for _, class := range settings.Classes {
+		longestDeadline = max(longestDeadline, clock.Millis(class.Deadline))
 	}
-	return lifecycle.Told(n.told, longest)
+	return lifecycle.Told(n.signaledAt, longestDeadline)
 }
 
-func (n *notice) close() {
+// close stops the heartbeat.
+func (n *shutdownNotice) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.stop()
-	n.told = min(n.told, n.clock.Now()) // no further beat
+	n.stopTimer()
+	n.signaledAt = min(n.signaledAt, n.clock.Now()) // a running heartbeat must not schedule another
 }
--- a/cmd/ashwood/notice_test.go
+++ b/cmd/ashwood/notice_test.go
@@ -28,21 +28,21 @@
 		{"stopped long before", 2000, 1000, 6000},
 	} {
 		c := clock.NewManual(10000)
-		n := newNotice(context.Background(), c)
+		n := newShutdownNotice(context.Background(), c)
 		if l := n.lifetime(set); !l.Takes(1e12) {
 			t.Errorf("%s: not told, it is %+v", tt.name, l)
 		}
-		n.stop() // of a process that does not run, no timer does
+		n.stopTimer() // of a process that does not run, no timer does
 		c.Advance(tt.gap)
 		if tt.then > 0 {
-			n.beat()
-			for left := tt.then; left > 0; left -= min(left, beatEvery) {
-				n.stop()
-				c.Advance(min(left, beatEvery))
-				n.beat()
+			n.heartbeat()
+			for left := tt.then; left > 0; left -= min(left, heartbeatInterval) {
+				n.stopTimer()
+				c.Advance(min(left, heartbeatInterval))
+				n.heartbeat()
 			}
 		}
-		n.tell()
+		n.recordSignal()
 		if got := n.lifetime(set).AnswerBy - 10000; got != tt.want {
 			t.Errorf("%s: answers by %v, want %v", tt.name, got, tt.want)
 		}
@@ -55,7 +55,7 @@
 func TestNotice_SubscribersHearFirst(t *testing.T) {
 	set := ashwood.Settings{Classes: []ashwood.Class{{Deadline: 15 * time.Second}}}
 	ctx, cancel := context.WithCancel(context.Background())
-	n := newNotice(ctx, clock.NewManual(10000))
+	n := newShutdownNotice(ctx, clock.NewManual(10000))
 	defer n.close()
 	var early, late float64
 	n.subscribe(set, func(l lifecycle.Lifetime) {
@@ -66,7 +66,7 @@
 	if early != 0 {
 		t.Error("told without a signal")
 	}
-	n.hear(cancel)
+	n.handleSignal(cancel)
 	n.subscribe(set, func(l lifecycle.Lifetime) { late = l.AnswerBy })
 	if n.Err() == nil || early != 13000 || late != 13000 {
 		t.Errorf("%v, answers by %v and %v", n.Err(), early, late)
--- a/cmd/ashwood/versions.go
+++ b/cmd/ashwood/versions.go
@@ -18,187 +18,195 @@
 
 // Times of an upgrade, in milliseconds.
 const (
-	lookEvery = 250.0  // at the other processes
-	noteWait  = 1000.0 // for those there to take note of a new one
-	listWait  = 300.0  // of a new one, for a list that is newer than the known one: what discovery has is told at once
+	refreshInterval    = 250.0  // between two looks at the group's other processes
+	acknowledgeTimeout = 1000.0 // a new process waits this long for the others to see it
+	// A new process waits this long for a membership newer than the configured one. Discovery
+	// sends what it has at once.
+	membershipTimeout = 300.0
 )
 
-// versions is this process among those that serve the gateway's address: usually alone,
-// two while a new version takes an old one's place.
-type versions struct {
-	clock  clock.Clock
-	log    *slog.Logger
-	group  *handover.Group // nil where there is no folder to meet in
-	memory int64           // bytes that all of them may use
-	fronts []front         // to be shared out, from follow on
+// processGroup tracks the processes that serve the gateway's address, this one included:
+// usually one, two while a new version replaces an old one. It divides the machine's limits
+// among them, and hands started answers from an older process to a newer one.
+type processGroup struct {
+	clock       clock.Clock
+	log         *slog.Logger
+	group       *handover.Group // nil without a shared folder
+	memoryBytes int64           // what all processes together may use
+	fronts      []front         // whose limits are divided; set by watch
 
 	plan    handover.Plan
-	running sync.WaitGroup
+	watcher sync.WaitGroup
 	cancel  context.CancelFunc
 }
 
-// joinVersions takes note of the processes there and is noted by them, before anything is
-// shared: dir is the folder that the platform lets them share, none = alone.
-func joinVersions(dir, listen string, memory int64, c clock.Clock, log *slog.Logger) *versions {
-	v := &versions{clock: c, log: log, memory: memory, plan: handover.Plan{Processes: 1}, cancel: func() {}}
+// joinProcessGroup registers this process in the folder that the platform lets processes
+// share, and sees the others there before any limit is divided. Without dir the process is
+// alone.
+func joinProcessGroup(dir, listen string, memory int64, c clock.Clock, log *slog.Logger) *processGroup {
+	g := &processGroup{clock: c, log: log, memoryBytes: memory, plan: handover.Plan{Processes: 1}, cancel: func() {}}
 	if dir == "" {
-		return v
+		return g
 	}
 	now := c.Now()
-	g, err := handover.Join(dir, listen, fmt.Sprintf("%d-%.0f", os.Getpid(), now*1000), now)
+	group, err := handover.Join(dir, listen, fmt.Sprintf("%d-%.0f", os.Getpid(), now*1000), now)
 	if err != nil {
-		log.Warn("upgrade: this process can't be told from others of its address and serves as if alone", "err", err)
-		return v
+		log.Warn("upgrade: can't register with the other processes of this address, serving as if alone", "err", err)
+		return g
 	}
-	v.group = g
-	v.look()
-	return v
+	g.group = group
+	g.refresh()
+	return g
 }
 
-// alone tells whether no other process serves the address.
-func (v *versions) alone() bool { return v.plan.Processes == 1 }
+// alone reports whether no other process serves the address.
+func (g *processGroup) alone() bool { return g.plan.Processes == 1 }
 
-// await waits until the others have taken note of this process, and until it has heard of
-// the engines itself: its list may be as old as its configuration. Both are bounded.
-func (v *versions) await(ctx context.Context, heard <-chan struct{}) {
-	if v.alone() {
+// awaitReady waits until the others have seen this process, and until it has received a
+// membership from discovery: the configured one may be as old as the configuration. Both
+// waits are bounded.
+func (g *processGroup) awaitReady(ctx context.Context, received <-chan struct{}) {
+	if g.alone() {
 		return
 	}
-	begun := v.clock.Now()
-	for ctx.Err() == nil && v.clock.Now()-begun < noteWait {
-		if members, _ := v.group.Members(); handover.Noted(v.group.Self().Name, members) {
+	startedAt := g.clock.Now()
+	for ctx.Err() == nil && g.clock.Now()-startedAt < acknowledgeTimeout {
+		if members, _ := g.group.Members(); handover.Noted(g.group.Self().Name, members) {
 			break
 		}
-		clock.Wait(ctx, v.clock, lookEvery/10)
+		clock.Wait(ctx, g.clock, refreshInterval/10)
 	}
 	timeout := make(chan struct{})
-	defer v.clock.AfterFunc(listWait, func() { close(timeout) })()
+	defer g.clock.AfterFunc(membershipTimeout, func() { close(timeout) })()
 	select {
-	case <-heard:
+	case <-received:
 	case <-timeout:
 	case <-ctx.Done():
 	}
-	v.log.Info("upgrade: taking over beside others", "processes", v.plan.Processes, "ms", v.clock.Now()-begun)
+	g.log.Info("upgrade: waited for the other processes", "processes", g.plan.Processes, "ms", g.clock.Now()-startedAt)
 }
 
-// follow keeps looking at the others until stop, and shares out with them.
-func (v *versions) follow(fronts []front) {
-	v.fronts = fronts
-	v.share()
-	if v.group == nil {
+// watch refreshes the view of the other processes until leave, and applies this process's
+// share to its fronts.
+func (g *processGroup) watch(fronts []front) {
+	g.fronts = fronts
+	g.applyShare()
+	if g.group == nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	v.cancel = cancel
-	v.running.Go(func() {
+	g.cancel = cancel
+	g.watcher.Go(func() {
 		for ctx.Err() == nil {
-			clock.Wait(ctx, v.clock, lookEvery)
-			v.look()
+			clock.Wait(ctx, g.clock, refreshInterval)
+			g.refresh()
 		}
 	})
 }
 
-// look takes note of the others and acts on what it sees.
-func (v *versions) look() {
-	members, err := v.group.Members()
+// refresh reads which processes there are, applies a change of this process's share and
+// acknowledges them.
+func (g *processGroup) refresh() {
+	members, err := g.group.Members()
 	if err != nil {
-		v.log.Warn("upgrade: the others can't be seen", "err", err)
+		g.log.Warn("upgrade: can't read which other processes there are", "err", err)
 		return
 	}
-	if plan := handover.Decide(v.group.Self().Name, members); plan != v.plan {
-		v.plan = plan
-		v.share()
-		v.log.Info("upgrade: processes of this gateway", "count", plan.Processes, "newer_one_serves", plan.Yield)
+	if plan := handover.Decide(g.group.Self().Name, members); plan != g.plan {
+		g.plan = plan
+		g.applyShare()
+		g.log.Info("upgrade: processes of this gateway", "count", plan.Processes, "newer_one_serves", plan.Yield)
 	}
-	if err := v.group.Note(members); err != nil {
-		v.log.Warn("upgrade: the others can't be told", "err", err)
+	if err := g.group.Note(members); err != nil {
+		g.log.Warn("upgrade: can't publish this process's state", "err", err)
 	}
 }
 
-// share keeps this process to its part.
-func (v *versions) share() {
-	debug.SetMemoryLimit(v.memory / int64(v.plan.Processes))
-	for _, f := range v.fronts {
-		f.share(v.plan.Processes)
-		f.yield(v.plan.Yield)
+// applyShare limits this process to its share of the machine.
+func (g *processGroup) applyShare() {
+	debug.SetMemoryLimit(g.memoryBytes / int64(g.plan.Processes))
+	for _, f := range g.fronts {
+		f.setProcesses(g.plan.Processes)
+		f.disableKeepAlives(g.plan.Yield)
 	}
 }
 
-// tell has the others know how far this process has come.
-func (v *versions) tell(s handover.State) {
-	if v.group == nil {
+// announce publishes this process's state to the others.
+func (g *processGroup) announce(s handover.State) {
+	if g.group == nil {
 		return
 	}
-	if err := v.group.Tell(s); err != nil {
-		v.log.Warn("upgrade: the others can't be told", "err", err)
+	if err := g.group.Tell(s); err != nil {
+		g.log.Warn("upgrade: can't publish this process's state", "err", err)
 	}
 }
 
-// receive has older processes hand their begun answers to a front, until the returned
-// function is called.
-func (v *versions) receive(f front) (stop func()) {
-	if v.group == nil {
+// receiveStreams accepts started answers from older processes and passes them to a front,
+// until stop is called.
+func (g *processGroup) receiveStreams(f front) (stop func()) {
+	if g.group == nil {
 		return func() {}
 	}
-	stop, err := v.group.Receive(func(message []byte, conns []net.Conn) {
-		if err := f.take(message, conns[0], conns[1]); err != nil {
-			v.log.Error("upgrade: an answer is lost", "err", err)
+	stop, err := g.group.Receive(func(message []byte, conns []net.Conn) {
+		if err := f.adopt(message, conns[0], conns[1]); err != nil {
+			g.log.Error("upgrade: taking over an answer failed, the answer is lost", "err", err)
 		}
 	})
 	if err != nil {
-		v.log.Warn("upgrade: older processes can't hand their answers over", "err", err)
+		g.log.Warn("upgrade: can't receive answers from older processes", "err", err)
 		return func() {}
 	}
 	return stop
 }
 
-// bequeath has a newer process that serves, if there is one, go on with the answers that
-// have begun or will.
-func (v *versions) bequeath(fronts []front) {
-	if v.group == nil {
+// handOverStreams hands the answers that have started, and those that will, to a newer process
+// that serves, if there is one.
+func (g *processGroup) handOverStreams(fronts []front) {
+	if g.group == nil {
 		return
 	}
-	members, err := v.group.Members()
+	members, err := g.group.Members()
 	if err != nil {
-		v.log.Warn("upgrade: the others can't be seen", "err", err)
+		g.log.Warn("upgrade: can't read which other processes there are", "err", err)
 	}
-	heir, ok := handover.Heir(v.group.Self().Name, members)
+	successor, ok := handover.Heir(g.group.Self().Name, members)
 	if !ok {
 		return
 	}
-	v.log.Info("upgrade: a newer process goes on with what has begun", "name", heir)
+	g.log.Info("upgrade: a newer process goes on with what has begun", "name", successor)
 	for _, f := range fronts {
-		f.give(func(message []byte, client, engine syscall.Conn) error {
-			err := v.group.Send(heir, message, client, engine)
+		f.setHandover(func(message []byte, client, engine syscall.Conn) error {
+			err := g.group.Send(successor, message, client, engine)
 			if err != nil {
-				v.log.Warn("upgrade: an answer stays here", "err", err)
+				g.log.Warn("upgrade: handing over an answer failed, this process finishes it", "err", err)
 			}
 			return err
 		})
 	}
 }
 
-// leave ends it.
-func (v *versions) leave() {
-	v.cancel()
-	v.running.Wait()
-	if v.group != nil {
-		if err := v.group.Leave(); err != nil {
-			v.log.Warn("upgrade: a file stays behind", "err", err)
+// leave stops watching and removes this process from the group.
+func (g *processGroup) leave() {
+	g.cancel()
+	g.watcher.Wait()
+	if g.group != nil {
+		if err := g.group.Leave(); err != nil {
+			g.log.Warn("upgrade: can't remove this process from the group", "err", err)
 		}
 	}
 }
 
-// heard is a source that tells when its first list has come.
-type heard struct {
+// firstUpdateSource is a source that closes received after its first membership update.
+type firstUpdateSource struct {
 	router.Source
-	once  sync.Once
-	first chan struct{}
+	once     sync.Once
+	received chan struct{}
 }
 
-func (h *heard) Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error {
-	return h.Source.Run(ctx, func(form ashwood.ListForm, list []ashwood.Server) {
+// Run runs the source and watches for its first update.
+func (s *firstUpdateSource) Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error {
+	return s.Source.Run(ctx, func(form ashwood.ListForm, list []ashwood.Server) {
 		update(form, list)
-		h.once.Do(func() { close(h.first) })
+		s.once.Do(func() { close(s.received) })
 	})
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -39,7 +39,7 @@
 	owner     *owner         // of what is held and wanted no more
 	live      *liveness
 	holdLog   *holdLog
-	metrics   *metrics.Set
+	metrics   *metrics.Counters
 	endsAt    atomic.Uint64 // by when all have their answer, as the process ends; bits of ms, 0 = not told
 	pulses    pulses        // of engines with answers open
 }
@@ -102,7 +102,7 @@
 
 // Metrics are this gateway's counts. Attempts are counted here, the ends of requests by
 // who gives the answers.
-func (g *Gateway) Metrics() *metrics.Set { return g.metrics }
+func (g *Gateway) Metrics() *metrics.Counters { return g.metrics }
 
 // Holds tells how many holds engines may have for requests, and for how many ms the oldest has stood.
 func (g *Gateway) Holds() (open int, oldest float64) { return g.holdLog.figures() }
@@ -123,7 +123,7 @@
 // TurnAway tells of a request that a front refuses by itself for want of room, and gives
 // how long its client is to stay away, as Pause does.
 func (g *Gateway) TurnAway(class string) float64 {
-	g.metrics.Ended(class, metrics.Throttled)
+	g.metrics.RequestEnded(class, metrics.Throttled)
 	return g.Pause()
 }
 
@@ -209,7 +209,7 @@
 		Sent: func() {
 			g.record(req, step, reqlog.Sent, "")
 			h.sent(step.Engine, step.Reads)
-			g.metrics.Relayed(req.Class)
+			g.metrics.AttemptRelayed(req.Class)
 			if step.Place.ID != "" {
 				g.spawn(func() { g.reserve(actx, step, h) })
 			}
@@ -252,7 +252,7 @@
 // record logs what has become of a request's attempt, with the time that its engine is told.
 func (g *Gateway) record(req *Request, step ashwood.Step, state reqlog.State, reason string) {
 	reqlog.Write(g.log, reqlog.Change{
-		ID: string(req.ID), Class: req.Class, State: state, Attempt: step.Attempt, Engine: string(step.Engine.ID), Left: step.Timeout, Reason: reason,
+		ID: string(req.ID), Class: req.Class, State: state, Attempt: step.Attempt, Engine: string(step.Engine.ID), Remaining: step.Timeout, Reason: reason,
 	})
 }
 
--- a/gateway/holdlog.go
+++ b/gateway/holdlog.go
@@ -26,7 +26,7 @@
 type holdLog struct {
 	log     *slog.Logger
 	clock   Clock
-	metrics *metrics.Set
+	metrics *metrics.Counters
 
 	mu     sync.Mutex
 	open   map[release.Key]openHold
@@ -39,7 +39,7 @@
 	reason holdReason
 }
 
-func newHoldLog(log *slog.Logger, c Clock, set *metrics.Set) *holdLog {
+func newHoldLog(log *slog.Logger, c Clock, set *metrics.Counters) *holdLog {
 	return &holdLog{log: log, clock: c, metrics: set, open: map[release.Key]openHold{}}
 }
 
@@ -73,7 +73,7 @@
 // unsettled tells that holds are being released while an attempt for their request is out, of
 // which its engine has given no sign yet. Lines are bounded in rate, and tell the count since the last.
 func (l *holdLog) unsettled(k release.Key, holds int) {
-	l.metrics.ReleasedBeside(holds)
+	l.metrics.HoldsReleasedUnanswered(holds)
 	now := l.clock.Now()
 	l.mu.Lock()
 	l.untold += holds
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,7 @@
-// Package admin answers operators on an address of their own: each connection carries one
-// line, and the reply is lines of which the first starts with YES or NO. It knows no engine
-// and decides nothing.
+// Package admin implements the line protocol of the admin server, which operators call on an
+// address of its own. Each connection carries one line, the name of a call; the first line of
+// the reply starts with YES or NO. The package owns connections and their bounds; the calls
+// are handlers that the program supplies.
 package admin
 
 import (
@@ -19,140 +20,142 @@
 	"unicode/utf8"
 )
 
-// Bounds of what a caller may do.
+// Bounds on a caller.
 const (
-	maxLine   = 128             // bytes, with the line's end
-	lineWait  = 2 * time.Second // for the line, from the connection's begin
-	replyWait = time.Second     // for the reply to be taken
+	maxLineBytes = 128             // including the line's end
+	lineTimeout  = 2 * time.Second // for the whole line, counted from the start of the connection
+	writeTimeout = time.Second     // for sending the reply
 )
 
-// Call answers one call with its whole reply.
-type Call func() string
+// Handler returns the complete reply to a call.
+type Handler func() string
 
-// Server serves calls by their names.
+// Server answers calls by name.
 type Server struct {
-	log   *slog.Logger
-	calls map[string]Call
-	wait  time.Duration // for a line
-	most  int           // callers at once
+	log         *slog.Logger
+	handlers    map[string]Handler
+	lineTimeout time.Duration
+	maxCallers  int // at the same time
 
-	mu      sync.Mutex
-	l       net.Listener
-	closed  bool
-	waiting list.List // of net.Conn, longest first
-	running sync.WaitGroup
+	mu       sync.Mutex
+	listener net.Listener
+	closed   bool
+	callers  list.List // of net.Conn, oldest first
+	running  sync.WaitGroup
 }
 
-// New makes a server for these calls and at most so many callers at once: for one more, the
-// one that has waited longest is closed.
-func New(log *slog.Logger, calls map[string]Call, most int) *Server {
-	return &Server{log: log, calls: calls, wait: lineWait, most: max(most, 1)}
+// New returns a server with these handlers by name of call. Beyond maxCallers, each new caller
+// has the oldest one closed.
+func New(log *slog.Logger, handlers map[string]Handler, maxCallers int) *Server {
+	return &Server{log: log, handlers: handlers, lineTimeout: lineTimeout, maxCallers: max(maxCallers, 1)}
 }
 
-// Serve answers on a listener until Close. A caller that fails to be accepted, for want of
-// a descriptor say, is waited for: the server stays.
-func (s *Server) Serve(l net.Listener) error {
+// Serve answers calls on a listener until Close. After an error from Accept, such as no free
+// file descriptor, it retries.
+func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
-	s.l = l
+	s.listener = listener
 	closed := s.closed
 	s.mu.Unlock()
 	if closed {
-		l.Close()
+		listener.Close()
 	}
 	for {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case err != nil:
-			s.log.Warn("mgmt: a caller was not accepted", "err", err)
-			time.Sleep(10 * time.Millisecond) // or this would be the busiest loop of all
+			s.log.Warn("mgmt: accepting a caller failed, retrying", "err", err)
+			time.Sleep(10 * time.Millisecond) // a lasting error must not make this a busy loop
 			continue
 		}
-		place := s.enter(c)
-		s.running.Go(func() { s.answer(c, place) })
+		element := s.addCaller(conn)
+		s.running.Go(func() { s.serveCaller(conn, element) })
 	}
 }
 
-// Close ends the server and its calls.
+// Close closes the listener and all callers, and waits for running calls.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
-	if s.l != nil {
-		s.l.Close()
+	if s.listener != nil {
+		s.listener.Close()
 	}
-	for e := s.waiting.Front(); e != nil; e = e.Next() {
-		e.Value.(net.Conn).Close()
+	for element := s.callers.Front(); element != nil; element = element.Next() {
+		element.Value.(net.Conn).Close()
 	}
 	s.mu.Unlock()
 	s.running.Wait()
 }
 
-func (s *Server) enter(c net.Conn) *list.Element {
+// addCaller adds a caller, and closes the oldest one if there are too many.
+func (s *Server) addCaller(conn net.Conn) *list.Element {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.waiting.Len() >= s.most {
-		s.waiting.Remove(s.waiting.Front()).(net.Conn).Close()
+	if s.callers.Len() >= s.maxCallers {
+		s.callers.Remove(s.callers.Front()).(net.Conn).Close()
 	}
-	return s.waiting.PushBack(c)
+	return s.callers.PushBack(conn)
 }
 
-func (s *Server) answer(c net.Conn, place *list.Element) {
+// serveCaller reads one line and writes the reply to it.
+func (s *Server) serveCaller(conn net.Conn, element *list.Element) {
 	defer func() {
-		if p := recover(); p != nil {
-			s.log.Error("panic", "value", p, "stack", string(debug.Stack()))
+		if panicked := recover(); panicked != nil {
+			s.log.Error("panic", "value", panicked, "stack", string(debug.Stack()))
 		}
 		s.mu.Lock()
-		s.waiting.Remove(place) // nothing, if it has been removed
+		s.callers.Remove(element) // no effect if addCaller has removed it
 		s.mu.Unlock()
-		c.Close()
+		conn.Close()
 	}()
-	c.SetReadDeadline(time.Now().Add(s.wait))
-	line, err := readLine(c)
+	conn.SetReadDeadline(time.Now().Add(s.lineTimeout))
+	line, err := readLine(conn)
 	if err != nil && line == "" && errors.Is(err, io.EOF) {
-		return // it has left without a word
+		return // the caller left without sending anything
 	}
 	reply := s.reply(line, err)
-	c.SetWriteDeadline(time.Now().Add(replyWait))
-	io.WriteString(c, reply)
+	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	io.WriteString(conn, reply)
 }
 
 func (s *Server) reply(line string, err error) string {
 	if err != nil {
 		return fmt.Sprintf("NO %v\n", err)
 	}
-	call := s.calls[line]
-	if call == nil {
+	handler := s.handlers[line]
+	if handler == nil {
 		return fmt.Sprintf("NO unknown call %.40q\n", line)
 	}
-	return call()
+	return handler()
 }
 
 var (
-	errLong  = fmt.Errorf("a line has %d bytes at most", maxLine)
-	errSlow  = errors.New("the line did not end in time")
-	errShort = fmt.Errorf("the line has no end: %w", io.EOF)
-	errText  = errors.New("the line is no text")
+	errLineTooLong    = fmt.Errorf("the line exceeds %d bytes", maxLineBytes)
+	errLineTimeout    = errors.New("timeout while reading the line")
+	errLineIncomplete = fmt.Errorf("the line is incomplete: %w", io.EOF)
+	errLineNotText    = errors.New("the line is not plain UTF-8 text")
 )
 
-// readLine reads up to the line's end, which is not part of it.
-func readLine(c net.Conn) (string, error) {
-	raw, err := bufio.NewReaderSize(io.LimitReader(c, maxLine), maxLine).ReadSlice('\n')
-	var timeout net.Error
+// readLine reads one line and returns it without its end.
+func readLine(conn net.Conn) (string, error) {
+	raw, err := bufio.NewReaderSize(io.LimitReader(conn, maxLineBytes), maxLineBytes).ReadSlice('\n')
+	var netErr net.Error
 	switch {
 	case err == nil:
-	case errors.As(err, &timeout) && timeout.Timeout():
-		return "", errSlow
-	case len(raw) >= maxLine:
-		return "", errLong
+	case errors.As(err, &netErr) && netErr.Timeout():
+		return "", errLineTimeout
+	case len(raw) >= maxLineBytes:
+		return "", errLineTooLong
 	case errors.Is(err, io.EOF) && len(raw) > 0:
-		return string(raw), errShort
+		return string(raw), errLineIncomplete
 	default:
 		return "", err
 	}
 	line := bytes.TrimRight(raw, "\r\n")
 	if !utf8.Valid(line) || bytes.ContainsFunc(line, func(r rune) bool { return r < ' ' || r == 0x7f }) {
-		return "", errText
+		return "", errLineNotText
 	}
 	return strings.TrimSpace(string(line)), nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,6 @@
-// Package config is the one place where the program's configuration is read,
-// checked and given its defaults. Errors name the faulty key.
+// Package config reads the program's configuration, checks it and applies defaults: the
+// platform's JSON file and an operator's TOML file. Errors name the faulty key. The settings and
+// the known membership are decoded by package wire.
 package config
 
 import (
@@ -14,7 +15,7 @@
 	"ashwood.example/ashwood/internal/wire"
 )
 
-// Defaults of what a deployment may leave out.
+// Defaults and minimums of the machine's limits.
 const (
 	defaultCores    = 1
 	defaultMemoryMB = 192
@@ -23,27 +24,27 @@
 	minMemoryMB     = 32
 )
 
-// Limits are what the gateway's machine allows it.
+// Limits are the resources that the machine allows the gateway.
 type Limits struct {
 	Cores    float64
 	MemoryMB float64
 	Sockets  int
 }
 
-// Config is all that a gateway is told at its start.
+// Config is the platform's configuration of a gateway.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Mgmt      string // where operators ask; none = off
-	Seed      int64
-	Limits    Limits
-	Known     wire.Targets // the list as this gateway last had it
-	Settings  ashwood.Settings
+	Name            string
+	Listen          string
+	Discovery       string
+	AdminAddress    string // of the admin server; "" = off
+	Seed            int64
+	Limits          Limits
+	KnownMembership wire.Targets // as this gateway last had it
+	Settings        ashwood.Settings
 }
 
 // Load reads the platform's configuration: the file that ROUTER_CONFIG names,
-// with ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_MGMT for what it leaves out.
+// with ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_MGMT for keys that it omits.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -57,7 +58,7 @@
 }
 
 func parse(raw []byte, getenv func(string) string) (Config, error) {
-	var in struct {
+	var input struct {
 		Name      string `json:"name"`
 		Listen    string `json:"listen"`
 		Discovery string `json:"discovery"`
@@ -71,62 +72,63 @@
 		Known    json.RawMessage `json:"known"`
 		Settings json.RawMessage `json:"settings"`
 	}
-	if err := json.Unmarshal(raw, &in); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) {
-			return Config{}, fmt.Errorf("config: %s: %s in place of %s", wrong.Field, wrong.Value, wrong.Type)
+	if err := json.Unmarshal(raw, &input); err != nil {
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return Config{}, fmt.Errorf("config: %s: got %s, want %s", typeErr.Field, typeErr.Value, typeErr.Type)
 		}
 		return Config{}, fmt.Errorf("config: %w", err)
 	}
-	c := Config{Name: in.Name, Listen: in.Listen, Discovery: in.Discovery, Mgmt: in.Mgmt}
-	for _, f := range []struct {
+	c := Config{Name: input.Name, Listen: input.Listen, Discovery: input.Discovery, AdminAddress: input.Mgmt}
+	for _, field := range []struct {
 		key, env string
 		value    *string
 	}{
 		{"name", "ROUTER_NAME", &c.Name}, {"listen", "ROUTER_LISTEN", &c.Listen},
-		{"discovery", "ROUTER_DISCOVERY", &c.Discovery}, {"mgmt", "ROUTER_MGMT", &c.Mgmt},
+		{"discovery", "ROUTER_DISCOVERY", &c.Discovery}, {"mgmt", "ROUTER_MGMT", &c.AdminAddress},
 	} {
-		if *f.value == "" {
-			*f.value = getenv(f.env)
+		if *field.value == "" {
+			*field.value = getenv(field.env)
 		}
 	}
 	if c.Name == "" {
 		return Config{}, errors.New("config: name is missing")
 	}
-	if err := errors.Join(address("listen", c.Listen), address("discovery", c.Discovery)); err != nil {
+	if err := errors.Join(checkAddress("listen", c.Listen), checkAddress("discovery", c.Discovery)); err != nil {
 		return Config{}, err
 	}
-	if c.Mgmt != "" {
-		if err := address("mgmt", c.Mgmt); err != nil {
+	if c.AdminAddress != "" {
+		if err := checkAddress("mgmt", c.AdminAddress); err != nil {
 			return Config{}, err
 		}
 	}
-	if in.Seed != "" {
-		seed, err := strconv.ParseUint(in.Seed, 16, 64)
+	if input.Seed != "" {
+		seed, err := strconv.ParseUint(input.Seed, 16, 64)
 		if err != nil {
-			return Config{}, fmt.Errorf("config: seed: %q is no hexadecimal number of 64 bits", in.Seed)
+			return Config{}, fmt.Errorf("config: seed: %q is not a hexadecimal number of 64 bits", input.Seed)
 		}
 		c.Seed = int64(seed)
 	}
 	var err error
-	if c.Limits, err = machine(in.Limits.Cores, in.Limits.MemoryMB, in.Limits.Sockets); err != nil {
+	if c.Limits, err = machineLimits(input.Limits.Cores, input.Limits.MemoryMB, input.Limits.Sockets); err != nil {
 		return Config{}, err
 	}
-	if len(in.Known) > 0 && string(in.Known) != "null" {
-		if c.Known, err = wire.DecodeTargets(in.Known); err != nil {
+	if len(input.Known) > 0 && string(input.Known) != "null" {
+		if c.KnownMembership, err = wire.DecodeTargets(input.Known); err != nil {
 			return Config{}, fmt.Errorf("config: known: %w", err)
 		}
 	}
-	if len(in.Settings) == 0 {
+	if len(input.Settings) == 0 {
 		return Config{}, errors.New("config: settings is missing")
 	}
-	if c.Settings, err = wire.DecodeSettings(in.Settings); err != nil {
+	if c.Settings, err = wire.DecodeSettings(input.Settings); err != nil {
 		return Config{}, fmt.Errorf("config: settings: %w", err)
 	}
 	return c, nil
 }
 
-func machine(cores, memory *float64, sockets *int) (Limits, error) {
+// machineLimits applies the defaults to the limits that are set and checks them.
+func machineLimits(cores, memory *float64, sockets *int) (Limits, error) {
 	l := Limits{Cores: defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets}
 	if cores != nil {
 		l.Cores = *cores
@@ -139,11 +141,11 @@
 	}
 	switch {
 	case l.Cores <= 0 || math.IsInf(l.Cores, 0):
-		return l, fmt.Errorf("config: limits.cores: %v is not above zero", l.Cores)
+		return l, fmt.Errorf("config: limits.cores: %v is not a finite number above zero", l.Cores)
 	case l.MemoryMB < minMemoryMB:
-		return l, fmt.Errorf("config: limits.memory_mb: %v is under %d", l.MemoryMB, minMemoryMB)
+		return l, fmt.Errorf("config: limits.memory_mb: %v is below the minimum of %d", l.MemoryMB, minMemoryMB)
 	case l.Sockets < minSockets:
-		return l, fmt.Errorf("config: limits.sockets: %d is under %d", l.Sockets, minSockets)
+		return l, fmt.Errorf("config: limits.sockets: %d is below the minimum of %d", l.Sockets, minSockets)
 	}
 	return l, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,35 +13,35 @@
 	"ashwood.example/ashwood/limits"
 )
 
-const good = `{"name":"n3","listen":"10.0.0.4:7070","discovery":"10.2.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"10.0.0.4:7070","discovery":"10.2.0.1:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":0.5,"memory_mb":100,"sockets":512},
 	"known":{"generation":41,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"10.1.0.18:7070","zone":"a",
 	"machineType":"m2","cell":3,"lifecycle":"draining","weight":1.5,"startedAtMs":2500}]},
 	"settings":{"kinds":["m2"],"family_info":{"kind_role":["read"]},"lanes":[{"name":"c","deadline":9,"effect":"pure"}]}}`
 
-func none(string) string { return "" }
+func emptyEnv(string) string { return "" }
 
-func TestParse(t *testing.T) {
-	c, err := parse([]byte(good), none)
+func TestParse_AllFields(t *testing.T) {
+	c, err := parse([]byte(validConfig), emptyEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	seed := uint64(0x8c1f30d27a5be964)
 	engines := []ashwood.Server{{ID: "s-1", Address: "10.1.0.18:7070", Zone: "a", Kind: "m2", Cell: 3,
 		State: ashwood.StateFading, Weight: 1.5, Started: 2500e6}}
-	if c.Seed != int64(seed) || c.Limits != (Limits{0.5, 100, 512}) || c.Known.Generation != 41 ||
-		len(c.Settings.Classes) != 1 || cmp.Diff(engines, c.Known.Engines) != "" {
+	if c.Seed != int64(seed) || c.Limits != (Limits{0.5, 100, 512}) || c.KnownMembership.Generation != 41 ||
+		len(c.Settings.Classes) != 1 || cmp.Diff(engines, c.KnownMembership.Engines) != "" {
 		t.Errorf("%+v", c)
 	}
 }
 
 // The README tells newcomers to start with this file.
-func TestExampleIsUsable(t *testing.T) {
+func TestLoad_ExampleFile(t *testing.T) {
 	c, err := Load(func(key string) string { return map[string]string{"ROUTER_CONFIG": "../../deploy/config.json"}[key] })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(c.Known.Engines) != 2 || len(c.Settings.Classes) != 3 || c.Settings.Classes[2].Effect != ashwood.SideEffect {
+	if len(c.KnownMembership.Engines) != 2 || len(c.Settings.Classes) != 3 || c.Settings.Classes[2].Effect != ashwood.SideEffect {
 		t.Errorf("%+v", c)
 	}
 	if _, err := ashwood.New(c.Settings, c.Seed); err != nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestDefaultsAndEnvironment(t *testing.T) {
+func TestParse_DefaultsAndEnvironment(t *testing.T) {
 	env := map[string]string{"ROUTER_NAME": "x", "ROUTER_LISTEN": "127.0.0.1:1", "ROUTER_DISCOVERY": "127.0.0.1:2"}
 	c, err := parse([]byte(`{"settings":{}}`), func(k string) string { return env[k] })
 	if err != nil || c.Name != "x" || c.Listen != "127.0.0.1:1" || c.Discovery != "127.0.0.1:2" ||
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestErrorsNameTheKey(t *testing.T) {
+func TestParse_ErrorNamesKey(t *testing.T) {
 	tests := []struct{ old, new, key string }{
 		{`"name":"n3"`, `"name":7`, "name"},
 		{`"listen":"10.0.0.4:7070",`, "", "listen"},
@@ -94,14 +94,14 @@
 		{`"settings":`, `"other":`, "settings is missing"},
 	}
 	for _, tt := range tests {
-		if _, err := parse([]byte(strings.Replace(good, tt.old, tt.new, 1)), none); err == nil || !strings.Contains(err.Error(), tt.key) {
-			t.Errorf("%s: error %v does not name it", tt.key, err)
+		if _, err := parse([]byte(strings.Replace(validConfig, tt.old, tt.new, 1)), emptyEnv); err == nil || !strings.Contains(err.Error(), tt.key) {
+			t.Errorf("%s: error %v does not name the key", tt.key, err)
 		}
 	}
 }
 
-// operatorAt is an environment that names an operator's file alone.
-func operatorAt(path string) func(string) string {
+// operatorEnv returns an environment in which only ASHWOOD_OPERATOR is set.
+func operatorEnv(path string) func(string) string {
 	return func(name string) string {
 		if name == "ASHWOOD_OPERATOR" {
 			return path
@@ -110,26 +110,26 @@
 	}
 }
 
-func TestOperatorsFile(t *testing.T) {
+func TestLoadOperator(t *testing.T) {
 	c := Config{Name: "n3", Settings: ashwood.Settings{Kinds: []ashwood.Kind{{Name: "m2"}}}}
 	load := func(text string) (Operator, error) {
 		path := filepath.Join(t.TempDir(), "o.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return LoadOperator(operatorAt(path), c)
+		return LoadOperator(operatorEnv(path), c)
 	}
 	const grpc = "[grpc]\nlisten = \"127.0.0.1:1\"\n"
 	o, err := load(grpc + "[[grpc.boxes]]\nid = \"b\"\naddress = \"127.0.0.1:2\"\nkind = \"m2\"\n")
-	want := Operator{GRPC: &GRPC{Listen: "127.0.0.1:1", Boxes: []ashwood.Server{
+	want := Operator{GRPC: &GRPC{Listen: "127.0.0.1:1", Engines: []ashwood.Server{
 		{ID: "b", Address: "127.0.0.1:2", Kind: "m2", State: ashwood.StateOn, Weight: 1}}}}
-	if diff := cmp.Diff(want, o, cmpopts.IgnoreFields(GRPC{}, "Credentials", "BoxCredentials")); diff != "" || err != nil {
+	if diff := cmp.Diff(want, o, cmpopts.IgnoreFields(GRPC{}, "Credentials", "EngineCredentials")); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
-	if a, b := o.GRPC.Credentials.Info(), o.GRPC.BoxCredentials.Info(); a.SecurityProtocol != "insecure" || b != a {
+	if a, b := o.GRPC.Credentials.Info(), o.GRPC.EngineCredentials.Info(); a.SecurityProtocol != "insecure" || b != a {
 		t.Errorf("without files: %v, %v", a, b)
 	}
-	if o, err := LoadOperator(none, c); err != nil || o.GRPC != nil {
+	if o, err := LoadOperator(emptyEnv, c); err != nil || o.GRPC != nil {
 		t.Errorf("without a file: %+v, %v", o, err)
 	}
 	for text, key := range map[string]string{
@@ -156,13 +156,13 @@
 	}
 }
 
-func TestLimitsAreRead(t *testing.T) {
+func TestLoadOperator_Limits(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "o.toml")
 	text := "[limits]\nin_flight = 9\nfair = true\n[limits.tenants.a]\nshare = 3.0\nin_flight = 4\n[[limits.addresses]]\ncidr = ['10.0.0.0/8']\ntokens_per_s = 5.0\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	o, err := LoadOperator(operatorAt(path), Config{})
+	o, err := LoadOperator(operatorEnv(path), Config{})
 	want := limits.Config{
 		InFlight: 9, Fair: true, Tenants: map[string]limits.Tenant{"a": {Limit: limits.Limit{InFlight: 4}, Share: 3}},
 		Addresses: []limits.Range{{CIDR: []string{"10.0.0.0/8"}, Limit: limits.Limit{TokensPerS: 5}}},
@@ -172,9 +172,9 @@
 	}
 }
 
-// The file that ships must load.
-func TestShippedOperatorsFile(t *testing.T) {
-	o, err := LoadOperator(operatorAt("../../deploy/fronts.toml"), Config{Name: "n3"})
+// The file under deploy must load.
+func TestLoadOperator_ShippedFile(t *testing.T) {
+	o, err := LoadOperator(operatorEnv("../../deploy/fronts.toml"), Config{Name: "n3"})
 	if err != nil || o.GRPC == nil || o.GRPC.XDS == nil || o.GRPC.XDS.Node != "n3" {
 		t.Errorf("%+v, %v", o, err)
 	}
--- a/internal/config/log.go
+++ b/internal/config/log.go
@@ -7,34 +7,34 @@
 	"log/slog"
 )
 
-// Log says how the program logs.
+// Log configures logging.
 type Log struct {
 	Level slog.Level
-	JSON  bool // an object a line, in place of text
+	JSON  bool // one JSON object per line instead of text
 }
 
-// Logger makes a logger that writes to w.
+// Logger returns a logger that writes to w.
 func (l Log) Logger(w io.Writer) *slog.Logger {
-	opt := &slog.HandlerOptions{Level: l.Level}
+	options := &slog.HandlerOptions{Level: l.Level}
 	if l.JSON {
-		return slog.New(slog.NewJSONHandler(w, opt))
+		return slog.New(slog.NewJSONHandler(w, options))
 	}
-	return slog.New(slog.NewTextHandler(w, opt))
+	return slog.New(slog.NewTextHandler(w, options))
 }
 
-// envLog reads ASHWOOD_LOG, a level, for a program without an operator's file.
-func envLog(getenv func(string) string) (l Log, err error) {
-	if v := getenv("ASHWOOD_LOG"); v != "" {
-		if err := l.Level.UnmarshalText([]byte(v)); err != nil {
+// logFromEnv reads the log level from ASHWOOD_LOG.
+func logFromEnv(getenv func(string) string) (l Log, err error) {
+	if level := getenv("ASHWOOD_LOG"); level != "" {
+		if err := l.Level.UnmarshalText([]byte(level)); err != nil {
 			return l, fmt.Errorf("config: ASHWOOD_LOG: %w", err)
 		}
 	}
 	return l, nil
 }
 
-// set takes the log table of an operator's file. The environment's level stays
-// where the file gives none.
-func (l *Log) set(level, form string) error {
+// applyTable applies the log table of an operator's file. The environment's level stays if the
+// file sets none.
+func (l *Log) applyTable(level, form string) error {
 	if level != "" {
 		if err := l.Level.UnmarshalText([]byte(level)); err != nil {
 			return fmt.Errorf("config: log.level: %w", err)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -14,26 +14,27 @@
 	"ashwood.example/ashwood/limits"
 )
 
-// Operator is what an operator's file adds to the platform's configuration:
-// the gRPC front, which is off without one, what is let in, and how to log.
+// Operator is what an operator's file adds to the platform's configuration: the gRPC front
+// (off without a file), admission limits and logging.
 type Operator struct {
 	GRPC   *GRPC
 	Log    Log
-	Limits limits.Config // of what each front's house lets in
+	Limits limits.Config // admission limits, which each front applies on its own
 }
 
-// GRPC sets up the gRPC front. Its boxes come from a list or over xDS.
+// GRPC configures the gRPC front. Its engines come from a static list or over xDS.
 type GRPC struct {
-	Listen         string
-	Credentials    credentials.TransportCredentials // shown to clients
-	Boxes          []ashwood.Server
-	BoxCredentials credentials.TransportCredentials // shown to boxes
-	XDS            *xds.Config
+	Listen            string
+	Credentials       credentials.TransportCredentials // towards clients
+	Engines           []ashwood.Server
+	EngineCredentials credentials.TransportCredentials // towards engines
+	XDS               *xds.Config
 }
 
-// LoadOperator reads the file that ASHWOOD_OPERATOR names, if it does.
+// LoadOperator reads the file that ASHWOOD_OPERATOR names, if it is set, and checks it against
+// the platform's configuration.
 func LoadOperator(getenv func(string) string, c Config) (Operator, error) {
-	log, err := envLog(getenv)
+	log, err := logFromEnv(getenv)
 	if err != nil {
 		return Operator{}, err
 	}
@@ -41,15 +42,15 @@
 	if path == "" {
 		return Operator{Log: log}, nil
 	}
-	var in struct {
+	var input struct {
 		Log struct {
 			Level string `toml:"level"`
 			Form  string `toml:"form"`
 		} `toml:"log"`
 		Limits limits.Config `toml:"limits"`
 		GRPC   *struct {
-			Listen string `toml:"listen"`
-			Boxes  []struct {
+			Listen  string `toml:"listen"`
+			Engines []struct {
 				ID      string  `toml:"id"`
 				Address string  `toml:"address"`
 				Kind    string  `toml:"kind"`
@@ -61,75 +62,75 @@
 				xds.Config
 				TLS *tlsFiles `toml:"tls"`
 			} `toml:"xds"`
-			TLS    *tlsFiles `toml:"tls"`
-			BoxTLS *tlsFiles `toml:"box_tls"`
+			TLS       *tlsFiles `toml:"tls"`
+			EngineTLS *tlsFiles `toml:"box_tls"`
 		} `toml:"grpc"`
 	}
-	md, err := toml.DecodeFile(path, &in)
+	metadata, err := toml.DecodeFile(path, &input)
 	if err != nil {
 		return Operator{}, fmt.Errorf("config: ASHWOOD_OPERATOR: %w", err)
 	}
-	if extra := md.Undecoded(); len(extra) > 0 {
+	if extra := metadata.Undecoded(); len(extra) > 0 {
 		return Operator{}, fmt.Errorf("config: %s: unknown key", extra[0])
 	}
-	if err := log.set(in.Log.Level, in.Log.Form); err != nil {
+	if err := log.applyTable(input.Log.Level, input.Log.Form); err != nil {
 		return Operator{}, err
 	}
-	if _, err := limits.New(in.Limits); err != nil {
+	if _, err := limits.New(input.Limits); err != nil {
 		return Operator{}, fmt.Errorf("config: limits: %w", err)
 	}
-	if in.GRPC == nil {
-		return Operator{Log: log, Limits: in.Limits}, nil
+	if input.GRPC == nil {
+		return Operator{Log: log, Limits: input.Limits}, nil
 	}
-	g := &GRPC{Listen: in.GRPC.Listen}
-	if err := address("grpc.listen", g.Listen); err != nil {
+	grpcFront := &GRPC{Listen: input.GRPC.Listen}
+	if err := checkAddress("grpc.listen", grpcFront.Listen); err != nil {
 		return Operator{}, err
 	}
-	if g.Credentials, err = in.GRPC.TLS.server("grpc.tls"); err != nil {
+	if grpcFront.Credentials, err = input.GRPC.TLS.serverCredentials("grpc.tls"); err != nil {
 		return Operator{}, err
 	}
-	if g.BoxCredentials, err = in.GRPC.BoxTLS.client("grpc.box_tls"); err != nil {
+	if grpcFront.EngineCredentials, err = input.GRPC.EngineTLS.clientCredentials("grpc.box_tls"); err != nil {
 		return Operator{}, err
 	}
-	if (len(in.GRPC.Boxes) > 0) == (in.GRPC.XDS != nil) {
-		return Operator{}, errors.New("config: grpc.boxes and grpc.xds: one of the two is wanted")
+	if (len(input.GRPC.Engines) > 0) == (input.GRPC.XDS != nil) {
+		return Operator{}, errors.New("config: grpc.boxes and grpc.xds: exactly one of the two must be set")
 	}
-	for i, b := range in.GRPC.Boxes {
-		at := func(key string) string { return fmt.Sprintf("grpc.boxes[%d].%s", i, key) }
-		if b.ID == "" {
-			return Operator{}, fmt.Errorf("config: %s is missing", at("id"))
+	for i, engine := range input.GRPC.Engines {
+		keyOf := func(key string) string { return fmt.Sprintf("grpc.boxes[%d].%s", i, key) }
+		if engine.ID == "" {
+			return Operator{}, fmt.Errorf("config: %s is missing", keyOf("id"))
 		}
-		if err := address(at("address"), b.Address); err != nil {
+		if err := checkAddress(keyOf("address"), engine.Address); err != nil {
 			return Operator{}, err
 		}
-		if !slices.ContainsFunc(c.Settings.Kinds, func(k ashwood.Kind) bool { return k.Name == b.Kind }) {
-			return Operator{}, fmt.Errorf("config: %s: unknown value %q", at("kind"), b.Kind)
+		if !slices.ContainsFunc(c.Settings.Kinds, func(k ashwood.Kind) bool { return k.Name == engine.Kind }) {
+			return Operator{}, fmt.Errorf("config: %s: unknown value %q", keyOf("kind"), engine.Kind)
 		}
-		if b.Weight == 0 {
-			b.Weight = 1
+		if engine.Weight == 0 {
+			engine.Weight = 1
 		}
-		g.Boxes = append(g.Boxes, ashwood.Server{
-			ID: ashwood.ServerID(b.ID), Address: b.Address, Kind: b.Kind, Zone: b.Zone, Cell: b.Cell,
-			Weight: b.Weight, State: ashwood.StateOn,
+		grpcFront.Engines = append(grpcFront.Engines, ashwood.Server{
+			ID: ashwood.ServerID(engine.ID), Address: engine.Address, Kind: engine.Kind, Zone: engine.Zone, Cell: engine.Cell,
+			Weight: engine.Weight, State: ashwood.StateOn,
 		})
 	}
-	if x := in.GRPC.XDS; x != nil {
-		if err := address("grpc.xds.server", x.Server); err != nil {
+	if xdsInput := input.GRPC.XDS; xdsInput != nil {
+		if err := checkAddress("grpc.xds.server", xdsInput.Server); err != nil {
 			return Operator{}, err
 		}
-		if x.Credentials, err = x.TLS.client("grpc.xds.tls"); err != nil {
+		if xdsInput.Credentials, err = xdsInput.TLS.clientCredentials("grpc.xds.tls"); err != nil {
 			return Operator{}, err
 		}
-		g.XDS = &x.Config
-		if x.Node == "" {
-			x.Node = c.Name
+		grpcFront.XDS = &xdsInput.Config
+		if xdsInput.Node == "" {
+			xdsInput.Node = c.Name
 		}
 	}
-	return Operator{GRPC: g, Log: log, Limits: in.Limits}, nil
+	return Operator{GRPC: grpcFront, Log: log, Limits: input.Limits}, nil
 }
 
-// address checks a host:port.
-func address(key, value string) error {
+// checkAddress checks that a key's value is a host:port.
+func checkAddress(key, value string) error {
 	if value == "" {
 		return fmt.Errorf("config: %s is missing", key)
 	}
--- a/internal/config/tls.go
+++ b/internal/config/tls.go
@@ -11,17 +11,17 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// tlsFiles are PEM files, read at the start, that secure one kind of connection.
+// tlsFiles names the PEM files, read at startup, for one kind of connection.
 type tlsFiles struct {
-	CA          string `toml:"ca"`          // whose certificates the other side may show
-	Certificate string `toml:"certificate"` // what this side shows
+	CA          string `toml:"ca"`          // signs the certificates that are accepted from the peer
+	Certificate string `toml:"certificate"` // presented by this side
 	Key         string `toml:"key"`
-	ServerName  string `toml:"server_name"` // which the other side's certificate must name, in place of its address
+	ServerName  string `toml:"server_name"` // expected in the peer's certificate instead of its address
 }
 
-// server gives the credentials of a listener. With a CA, clients must show a
+// serverCredentials returns the credentials of a listener. With a CA, clients must present a
 // certificate. Without files, connections are in plain text.
-func (f *tlsFiles) server(key string) (credentials.TransportCredentials, error) {
+func (f *tlsFiles) serverCredentials(key string) (credentials.TransportCredentials, error) {
 	if f == nil {
 		return insecure.NewCredentials(), nil
 	}
@@ -29,7 +29,7 @@
 		return nil, fmt.Errorf("config: %s.certificate is missing", key)
 	}
 	if f.ServerName != "" {
-		return nil, fmt.Errorf("config: %s.server_name: a listener has none", key)
+		return nil, fmt.Errorf("config: %s.server_name: not allowed for a listener", key)
 	}
 	cfg, pool, err := f.load(key)
 	if err != nil {
@@ -41,9 +41,9 @@
 	return credentials.NewTLS(cfg), nil
 }
 
-// client gives the credentials of connections to others. Without a CA, the
-// system's roots are trusted.
-func (f *tlsFiles) client(key string) (credentials.TransportCredentials, error) {
+// clientCredentials returns the credentials of outgoing connections. Without a CA, the system's
+// root certificates are trusted.
+func (f *tlsFiles) clientCredentials(key string) (credentials.TransportCredentials, error) {
 	if f == nil {
 		return insecure.NewCredentials(), nil
 	}
@@ -55,10 +55,12 @@
 	return credentials.NewTLS(cfg), nil
 }
 
+// load reads the certificate, if one is set, and the CA's certificates; the pool is nil without
+// a CA.
 func (f *tlsFiles) load(key string) (*tls.Config, *x509.CertPool, error) {
 	cfg := &tls.Config{MinVersion: tls.VersionTLS12}
 	if (f.Certificate == "") != (f.Key == "") {
-		return nil, nil, fmt.Errorf("config: %s.certificate and %[1]s.key: one is missing", key)
+		return nil, nil, fmt.Errorf("config: %s.certificate and %[1]s.key: one is set without the other", key)
 	}
 	if f.Certificate != "" {
 		pair, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
@@ -73,7 +75,7 @@
 	pem, err := os.ReadFile(f.CA)
 	pool := x509.NewCertPool()
 	if err == nil && !pool.AppendCertsFromPEM(pem) {
-		err = errors.New("no certificate in it")
+		err = errors.New("the file holds no certificate")
 	}
 	if err != nil {
 		return nil, nil, fmt.Errorf("config: %s.ca: %w", key, err)
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,5 +1,5 @@
-// Package listen keeps servers from ending because one connection could not be accepted: all
-// that they have taken would end with them.
+// Package listen wraps listeners so that a server does not end because one Accept failed: all
+// requests in progress would end with it. It opens no listeners itself.
 package listen
 
 import (
@@ -9,29 +9,30 @@
 	"time"
 )
 
-// retryWait is between tries to accept, so that an error that lasts does not fill a core.
-const retryWait = 10 * time.Millisecond
+// retryInterval is the pause after a failed Accept; without it, a lasting error would use a
+// whole core.
+const retryInterval = 10 * time.Millisecond
 
-// Persistent gives a listener whose Accept fails only once it has been closed. Of errors in a
-// row, the first is logged.
-func Persistent(l net.Listener, log *slog.Logger) net.Listener { return &persistent{l, log} }
+// RetryAccept returns a listener whose Accept fails only after the listener is closed. Of
+// consecutive errors, the first is logged.
+func RetryAccept(l net.Listener, log *slog.Logger) net.Listener { return &retryListener{l, log} }
 
-type persistent struct {
+type retryListener struct {
 	net.Listener
 	log *slog.Logger
 }
 
-// Accept is for net.Listener.
-func (p *persistent) Accept() (net.Conn, error) {
-	for failed := false; ; {
-		c, err := p.Listener.Accept()
+// Accept implements net.Listener.
+func (l *retryListener) Accept() (net.Conn, error) {
+	for logged := false; ; {
+		c, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
 			return c, err
 		}
-		if !failed {
-			failed = true
-			p.log.Warn("a connection was not accepted", "err", err)
+		if !logged {
+			logged = true
+			l.log.Warn("accepting a connection failed, retrying", "err", err)
 		}
-		time.Sleep(retryWait)
+		time.Sleep(retryInterval)
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,6 @@
-// Package metrics counts what operators are shown: requests by how they ended, and
-// attempts. Adding is one atomic operation, so that nothing waits for a reader.
+// Package metrics holds the counters that operators read: requests by how they ended, attempts,
+// and the ends of holds. It formats them as statsd lines and sends them nowhere. Counting is
+// one atomic operation, so that nothing waits for a reader of the metrics.
 package metrics
 
 import (
@@ -8,15 +9,15 @@
 	"sync/atomic"
 )
 
-// End is how a request ended.
-type End int
+// RequestEnd is how a request ended.
+type RequestEnd int
 
-// The ends. A request whose client has left first has none of them.
+// The ends of requests. A request whose client disconnected first has none of them.
 const (
-	Fulfilled End = iota // served: the answer has been passed on to its end
-	Throttled            // refused, by the module, a limit, a stop, or a front that has no room
-	Faulted              // failed: answered so, or its answer broke after it had begun
-	ends
+	Fulfilled RequestEnd = iota // served: the whole answer was passed on
+	Throttled                   // refused by the decision module, a limit, a shutdown or a full front
+	Faulted                     // failed: answered with an error, or the answer broke off after it had started
+	numRequestEnds
 )
 
 // HoldEnd is why an engine no longer holds KV state or a reservation for a request.
@@ -24,112 +25,113 @@
 
 // The ends of holds.
 const (
-	HoldTaken     HoldEnd = iota // the answer has begun, with which all that is held goes
-	HoldReleased                 // an engine that runs has answered the release
-	HoldResent                   // the request was sent to that engine again, and may hold anew
-	HoldRestarted                // the engine has started anew, or is gone
-	HoldGivenUp                  // a bound on releases was met: the engine may go on holding
-	holdEnds
+	HoldTaken     HoldEnd = iota // the answer started, which frees everything held for it
+	HoldReleased                 // a running engine answered the release
+	HoldResent                   // the request was sent to the engine again, which may hold something again
+	HoldRestarted                // the engine restarted, or is gone
+	HoldGivenUp                  // the bound on releases was reached; the engine may still hold something
+	numHoldEnds
 )
 
-// String names an end in metrics and logs.
+// String returns the end's name in metrics and logs.
 func (e HoldEnd) String() string {
 	return []string{"taken", "released", "resent", "restarted", "given_up"}[e]
 }
 
-// Set holds the counts of one router since its start, by class of requests. What is of no
-// known class is counted nowhere, nor is what never became a request (a framing or a field
-// that can't be read): it has no class that could be believed.
-type Set struct {
-	names    []string
-	classes  map[string]*class
-	holdEnds [holdEnds]atomic.Uint64
-	released atomic.Uint64 // holds, while an attempt was out
+// Counters holds the counts of one router since its start, by class of request. Requests of an
+// unknown class are not counted, nor is input that never became a request (malformed framing
+// or fields): its class can't be trusted.
+type Counters struct {
+	classNames         []string
+	classes            map[string]*classCounters
+	holdEnds           [numHoldEnds]atomic.Uint64
+	releasedUnanswered atomic.Uint64 // see HoldsReleasedUnanswered
 }
 
-type class struct {
-	ended   [ends]atomic.Uint64
+type classCounters struct {
+	ended   [numRequestEnds]atomic.Uint64
 	relayed atomic.Uint64
 }
 
-// New makes a set of counts, all zero, for these classes, which are shown in this order.
-func New(classes []string) *Set {
-	s := &Set{names: classes, classes: map[string]*class{}}
+// New returns counters, all zero, for these classes; WriteStatsd writes them in this order.
+func New(classes []string) *Counters {
+	c := &Counters{classNames: classes, classes: map[string]*classCounters{}}
 	for _, name := range classes {
-		s.classes[name] = &class{}
+		c.classes[name] = &classCounters{}
 	}
-	return s
+	return c
 }
 
-// Ended counts a request's one final answer, at the moment when it is given or, where
-// that is a stream, over.
-func (s *Set) Ended(name string, how End) {
-	if c := s.classes[name]; c != nil && how >= 0 && how < ends {
-		c.ended[how].Add(1)
+// RequestEnded counts a request's one final answer: when it is given or, if it is a stream,
+// when the stream is over.
+func (c *Counters) RequestEnded(class string, end RequestEnd) {
+	if counters := c.classes[class]; counters != nil && end >= 0 && end < numRequestEnds {
+		counters.ended[end].Add(1)
 	}
 }
 
-// Relayed counts an attempt whose last byte has been written to an engine, whatever
-// comes of it. Probes, places and releases are none.
-func (s *Set) Relayed(name string) {
-	if c := s.classes[name]; c != nil {
-		c.relayed.Add(1)
+// AttemptRelayed counts an attempt whose last byte has been written to an engine, whatever its
+// result. Probes, reservations and releases are not attempts.
+func (c *Counters) AttemptRelayed(class string) {
+	if counters := c.classes[class]; counters != nil {
+		counters.relayed.Add(1)
 	}
 }
 
 // HoldEnded counts the end of a hold.
-func (s *Set) HoldEnded(how HoldEnd) {
-	if how >= 0 && how < holdEnds {
-		s.holdEnds[how].Add(1)
+func (c *Counters) HoldEnded(end HoldEnd) {
+	if end >= 0 && end < numHoldEnds {
+		c.holdEnds[end].Add(1)
 	}
 }
 
-// ReleasedBeside counts holds released while an attempt for their request was out and unanswered.
-func (s *Set) ReleasedBeside(holds int) { s.released.Add(uint64(holds)) }
+// HoldsReleasedUnanswered counts holds released while an attempt of their request was in flight
+// and unanswered.
+func (c *Counters) HoldsReleasedUnanswered(holds int) { c.releasedUnanswered.Add(uint64(holds)) }
 
-// Gauges are the values of this moment.
+// Gauges are current values.
 type Gauges struct {
-	Open       int     // requests taken and not ended
-	Listed     int     // engines in the list
-	Avoided    int     // of them, those that the decisions avoid now
-	Holds      int     // what engines may hold for requests, as far as this process knows
-	OldestHold float64 // ms for which the oldest of them has stood
+	OpenRequests   int     // admitted and not ended
+	Engines        int     // in the membership
+	EnginesAvoided int     // of those, the ones that the decision module avoids now
+	OpenHolds      int     // KV state and reservations that engines may hold, as far as this process knows
+	OldestHoldAge  float64 // ms since the oldest of them began
 }
 
-// Statsd writes all metrics in the form name:value|kind, one a line, names behind
-// prefix. Counts may be of slightly different moments; each only grows.
-func (s *Set) Statsd(w io.Writer, prefix string, g Gauges) error {
-	for _, name := range s.names {
-		c := s.classes[name]
-		for _, f := range []struct {
-			figure string
-			value  uint64
+// WriteStatsd writes all metrics as lines name:value|kind, names prefixed with prefix. Counters
+// are not read at one moment; each only grows.
+func (c *Counters) WriteStatsd(w io.Writer, prefix string, gauges Gauges) error {
+	for _, class := range c.classNames {
+		counters := c.classes[class]
+		for _, metric := range []struct {
+			name  string
+			value uint64
 		}{
-			{"fulfilled", c.ended[Fulfilled].Load()}, {"throttled", c.ended[Throttled].Load()},
-			{"faulted", c.ended[Faulted].Load()}, {"relayed", c.relayed.Load()},
+			{"fulfilled", counters.ended[Fulfilled].Load()}, {"throttled", counters.ended[Throttled].Load()},
+			{"faulted", counters.ended[Faulted].Load()}, {"relayed", counters.relayed.Load()},
 		} {
-			if _, err := fmt.Fprintf(w, "%s.%s.%s:%d|c\n", prefix, f.figure, name, f.value); err != nil {
+			if _, err := fmt.Fprintf(w, "%s.%s.%s:%d|c\n", prefix, metric.name, class, metric.value); err != nil {
 				return fmt.Errorf("metrics: %w", err)
 			}
 		}
 	}
 	_, err := fmt.Fprintf(w, "%s.open_requests:%d|g\n%s.registry_entries:%d|g\n%s.out_of_rotation:%d|g\n",
-		prefix, g.Open, prefix, g.Listed, prefix, g.Avoided)
+		prefix, gauges.OpenRequests, prefix, gauges.Engines, prefix, gauges.EnginesAvoided)
 	if err != nil {
 		return fmt.Errorf("metrics: %w", err)
 	}
-	return s.holds(w, prefix, g)
+	return c.writeHolds(w, prefix, gauges)
 }
 
-// holds writes the figures of held state.
-func (s *Set) holds(w io.Writer, prefix string, g Gauges) error {
-	for how := range holdEnds {
-		if _, err := fmt.Fprintf(w, "%s.holds_ended.%s:%d|c\n", prefix, how, s.holdEnds[how].Load()); err != nil {
+// writeHolds writes the metrics of holds.
+func (c *Counters) writeHolds(w io.Writer, prefix string, gauges Gauges) error {
+	for end := range numHoldEnds {
+		if _, err := fmt.Fprintf(w, "%s.holds_ended.%s:%d|c\n", prefix, end, c.holdEnds[end].Load()); err != nil {
 			return fmt.Errorf("metrics: %w", err)
 		}
 	}
 	_, err := fmt.Fprintf(w, "%s.holds_released_unanswered:%d|c\n%s.holds_open:%d|g\n%s.holds_oldest_ms:%.0f|g\n",
-		prefix, s.released.Load(), prefix, g.Holds, prefix, g.OldestHold)
+		prefix, c.releasedUnanswered.Load(), prefix, gauges.OpenHolds, prefix, gauges.OldestHoldAge)
 	if err != nil {
 		return fmt.Errorf("metrics: %w", err)
 	}
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -244,7 +244,7 @@
 	if conn == nil {
 		return // a host's own listener: there is no log
 	}
-	reqlog.Write(conn.l.log, reqlog.Change{ID: string(req.ID), Class: req.Class, State: reqlog.Read, Left: req.Remaining},
+	reqlog.Write(conn.l.log, reqlog.Change{ID: string(req.ID), Class: req.Class, State: reqlog.Read, Remaining: req.Remaining},
 		slog.Int64("connection_ms", time.Since(conn.came).Milliseconds()), slog.Uint64("of_connection", ctx.ConnRequestNum()))
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -193,8 +193,8 @@
 func (r *Router) Vars(w io.Writer) error {
 	listed, avoided := r.gw.Engines()
 	holds, oldest := r.gw.Holds()
-	return r.gw.Metrics().Statsd(w, varsPrefix, metrics.Gauges{
-		Open: r.InFlight(), Listed: listed, Avoided: avoided, Holds: holds, OldestHold: oldest,
+	return r.gw.Metrics().WriteStatsd(w, varsPrefix, metrics.Gauges{
+		OpenRequests: r.InFlight(), Engines: listed, EnginesAvoided: avoided, OpenHolds: holds, OldestHoldAge: oldest,
 	})
 }
 
@@ -231,9 +231,9 @@
 	reply, err := r.serve(ctx, req)
 	switch {
 	case err != nil || reply.Kind == gateway.Failed:
-		r.gw.Metrics().Ended(req.Class, metrics.Faulted)
+		r.gw.Metrics().RequestEnded(req.Class, metrics.Faulted)
 	case reply.Kind == gateway.Refused:
-		r.gw.Metrics().Ended(req.Class, metrics.Throttled)
+		r.gw.Metrics().RequestEnded(req.Class, metrics.Throttled)
 	}
 	return reply, err
 }
@@ -294,7 +294,7 @@
 
 // change is a record of what has become of a request.
 func change(req *gateway.Request, state reqlog.State, reason string) reqlog.Change {
-	return reqlog.Change{ID: string(req.ID), Class: req.Class, State: state, Left: req.Remaining, Reason: reason}
+	return reqlog.Change{ID: string(req.ID), Class: req.Class, State: state, Remaining: req.Remaining, Reason: reason}
 }
 
 // enter admits a request, or tells why not.
