--- a/cmd/ashwood/admin_test.go
+++ b/cmd/ashwood/admin_test.go
@@ -9,23 +9,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// With every descriptor that the machine allows in use, silent callers at the admin server and a
-// flood of clients at the front, a caller is answered. Counts outlast a reload.
-func TestTheDoorAnswersInAFullHouse(t *testing.T) {
+// The admin server must answer a caller while all allowed file descriptors are in use, by silent
+// callers at the admin server and a flood of clients at the front. Counters survive a reload.
+func TestAdmin_AllDescriptorsInUse(t *testing.T) {
 	const sockets = 96
-	s := newSite(t)
-	s.sockets = sockets
-	close(s.step)
-	p := s.begin().ready()
+	fixture := newGatewayFixture(t)
+	fixture.sockets = sockets
+	close(fixture.nextPiece)
+	proc := fixture.startProcess().waitReady()
 	limit := unix.Rlimit{Cur: sockets, Max: sockets}
-	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
+	if err := unix.Prlimit(proc.cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
 		t.Fatal(err)
 	}
-	r, err := s.send(client(t), "d1")
+	response, err := fixture.sendOrder(newClient(t), "d1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.whole(r)
+	fixture.checkAnswer(response)
 	dial := func(addr string, n int) {
 		for range n {
 			c, err := net.Dial("tcp", addr)
@@ -35,33 +35,33 @@
 			t.Cleanup(func() { c.Close() })
 		}
 	}
-	dial(p.mgmt, 40)
-	dial(s.listen, 4*sockets)
-	dial(p.mgmt, 40)
-	if got := p.ask("check"); got != "YES\n" {
+	dial(proc.adminAddr, 40)
+	dial(fixture.listenAddr, 4*sockets)
+	dial(proc.adminAddr, 40)
+	if got := proc.callAdmin("check"); got != "YES\n" {
 		t.Errorf("check: %q", got)
 	}
 	want := "app.fulfilled.send-order:1|c\n"
-	if got := p.ask("vars"); !strings.HasPrefix(got, "YES\n") || !strings.Contains(got, want) || !strings.HasSuffix(got, "\nEND\n") {
+	if got := proc.callAdmin("vars"); !strings.HasPrefix(got, "YES\n") || !strings.Contains(got, want) || !strings.HasSuffix(got, "\nEND\n") {
 		t.Errorf("vars: %q", got)
 	}
-	p.cmd.Process.Signal(syscall.SIGHUP)
-	r, err = s.send(client(t), "d2") // after the flood, a usual client gets in
+	proc.cmd.Process.Signal(syscall.SIGHUP)
+	response, err = fixture.sendOrder(newClient(t), "d2") // after the flood, a normal client is served
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.whole(r)
-	if got := p.ask("vars"); !strings.Contains(got, "app.fulfilled.send-order:2|c\n") || !strings.Contains(got, "app.relayed.send-order:4|c\n") {
+	fixture.checkAnswer(response)
+	if got := proc.callAdmin("vars"); !strings.Contains(got, "app.fulfilled.send-order:2|c\n") || !strings.Contains(got, "app.relayed.send-order:4|c\n") {
 		t.Errorf("vars after a reload: %q", got)
 	}
-	p.term()
-	until(t, "it says that it stops, or has ended", func() bool {
-		c, err := net.Dial("tcp", p.mgmt)
+	proc.sigterm()
+	waitFor(t, "the admin server reports that the process is stopping, or is closed", func() bool {
+		c, err := net.Dial("tcp", proc.adminAddr)
 		if err != nil {
 			return true
 		}
 		c.Close()
-		return strings.HasPrefix(p.ask("check"), "NO stopping")
+		return strings.HasPrefix(proc.callAdmin("check"), "NO stopping")
 	})
-	p.ended()
+	proc.waitForExit()
 }
--- a/cmd/ashwood/build_test.go
+++ b/cmd/ashwood/build_test.go
@@ -12,9 +12,9 @@
 	"github.com/BurntSushi/toml"
 )
 
-// The days at size load a library into the gateway's process: what the deploy
-// file builds has to name a dynamic loader and to use the C library.
-func TestDeployBuildsForTheDynamicLoader(t *testing.T) {
+// Large test runs preload a library into the gateway's process, so the program built by the
+// deploy file must name a dynamic loader and use the C library.
+func TestDeployBuild_DynamicLoader(t *testing.T) {
 	if testing.Short() {
 		t.Skip("links the programs once more")
 	}
@@ -25,11 +25,11 @@
 	dir := t.TempDir()
 	build := strings.Replace(deploy.Build, "-o bin/", "-o "+dir+"/", 1)
 	if build == deploy.Build || !strings.HasPrefix(deploy.Run, "exec bin/") {
-		t.Fatalf("build %q and run %q: bin/ is where the programs are wanted", deploy.Build, deploy.Run)
+		t.Fatalf("build %q and run %q: the programs must be built into bin/ and run from it", deploy.Build, deploy.Run)
 	}
 	sh := exec.Command("/bin/sh", "-c", build)
 	sh.Dir = "../.."
-	sh.Env = append(os.Environ(), "CGO_ENABLED=") // only what the line itself sets
+	sh.Env = append(os.Environ(), "CGO_ENABLED=") // so that only the build line's own setting counts
 	if out, err := sh.CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
@@ -41,11 +41,12 @@
 	loader := slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP })
 	libs, err := f.ImportedLibraries()
 	if err != nil || !loader || !slices.ContainsFunc(libs, func(l string) bool { return strings.HasPrefix(l, "libc.") }) {
-		t.Errorf("names a dynamic loader: %v; links %v, %v", loader, libs, err)
+		t.Errorf("has a dynamic loader: %v; linked libraries %v, %v", loader, libs, err)
 	}
-	// Go's own linker names both too, for package net, but starts without the C library.
+	// Go's internal linker also names both because of package net, but that program starts without
+	// the C library.
 	symbols, err := f.ImportedSymbols()
 	if err != nil || !slices.ContainsFunc(symbols, func(s elf.ImportedSymbol) bool { return s.Name == "__libc_start_main" }) {
-		t.Errorf("is not started by the C library (%v): built without external linking", err)
+		t.Errorf("not started by the C library (%v): built without external linking", err)
 	}
 }
--- a/cmd/ashwood/ending_test.go
+++ b/cmd/ashwood/ending_test.go
@@ -12,151 +12,152 @@
 	"time"
 )
 
-// raw is a client's connection on which a test writes requests in the pieces that it wants.
-type raw struct {
+// rawClient is a client's connection on which a test writes requests in pieces.
+type rawClient struct {
 	*net.TCPConn
-	t  *testing.T
-	in *bufio.Reader
+	t      *testing.T
+	reader *bufio.Reader
 }
 
-func (s *site) raw() *raw {
-	s.t.Helper()
-	c, err := net.Dial("tcp", s.listen)
+func (f *gatewayFixture) dial() *rawClient {
+	f.t.Helper()
+	c, err := net.Dial("tcp", f.listenAddr)
 	if err != nil {
-		s.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
-	return &raw{c.(*net.TCPConn), s.t, bufio.NewReader(c)}
+	f.t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(testTimeout))
+	return &rawClient{c.(*net.TCPConn), f.t, bufio.NewReader(c)}
 }
 
-func orderText(id string) string {
+func orderRequest(id string) string {
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Txn: %s\r\nX-Lane: send-order\r\nX-Remaining: 25.0\r\n"+
 		"X-Labels: prompt_len=64,max_out=9\r\nContent-Length: 2\r\n\r\n{}", id)
 }
 
-func (c *raw) write(text string) {
+func (c *rawClient) write(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		c.t.Error(err)
 	}
 }
 
-// whole reads one answer to its end, or tells that the connection ended cleanly before it.
-func (c *raw) whole(what string) (answered bool) {
+// readAnswer reads one complete answer; false means that the connection closed cleanly before
+// one.
+func (c *rawClient) readAnswer(what string) (answered bool) {
 	c.t.Helper()
-	if _, err := c.in.Peek(1); err == io.EOF {
+	if _, err := c.reader.Peek(1); err == io.EOF {
 		return false
 	}
-	r, err := http.ReadResponse(c.in, nil)
+	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		c.t.Errorf("%s: %v", what, err)
 		return false
 	}
-	body, err := io.ReadAll(r.Body)
-	if r.StatusCode != 200 || string(body) != strings.Join(pieces, "") || err != nil {
-		c.t.Errorf("%s: %s, %q, %v", what, r.Status, body, err)
+	body, err := io.ReadAll(response.Body)
+	if response.StatusCode != 200 || string(body) != strings.Join(answerPieces, "") || err != nil {
+		c.t.Errorf("%s: %s, %q, %v", what, response.Status, body, err)
 	}
 	return true
 }
 
-// A process is told to end, twice and with a reload beside, while requests stand at every
-// point of their way: each that was taken gets one whole answer, what was not read is ended
-// cleanly, so that its client may send it again, and none is sent twice.
-func TestRequestsAtEveryPointOutliveSIGTERM(t *testing.T) {
-	s := newSite(t)
-	s.reads = make(chan struct{}, 9)
-	p := s.begin().ready()
-	begun := func(id string) {
+// A process receives SIGTERM twice, and a reload, while requests are at every stage. Each
+// accepted request must get one complete answer; a connection whose request was not read must
+// close cleanly, so that the client may send it again; no request is sent twice.
+func TestShutdown_RequestsAtEveryStage(t *testing.T) {
+	fixture := newGatewayFixture(t)
+	fixture.finishPrefill = make(chan struct{}, 9)
+	proc := fixture.startProcess().waitReady()
+	awaitStart := func(id string) {
 		t.Helper()
 		for {
 			select {
-			case got := <-s.begun:
+			case got := <-fixture.started:
 				if got == id {
 					return
 				}
-			case <-time.After(patience):
-				t.Fatalf("%s is not seen", id)
+			case <-time.After(testTimeout):
+				t.Fatalf("request %s did not reach an engine", id)
 			}
 		}
 	}
 
-	rests := s.raw()
-	streams := s.raw()
-	streams.write(orderText("c1"))
-	begun("c1") // at its reader
-	s.reads <- struct{}{}
-	begun("c1") // at its writer, which waits for s.step behind the first event
-	half := s.raw()
-	text := orderText("a1")
-	half.write(text[:len(text)-1])
-	waits := s.raw()
-	waits.write(orderText("b1"))
-	begun("b1")
-	two := s.raw()
-	two.write(orderText("d1") + orderText("d2"))
-	begun("d1")
+	idle := fixture.dial()
+	streaming := fixture.dial()
+	streaming.write(orderRequest("c1"))
+	awaitStart("c1") // at the prefill engine
+	fixture.finishPrefill <- struct{}{}
+	awaitStart("c1") // at the decode engine, which waits for nextPiece after the first event
+	halfSent := fixture.dial()
+	text := orderRequest("a1")
+	halfSent.write(text[:len(text)-1])
+	waiting := fixture.dial()
+	waiting.write(orderRequest("b1"))
+	awaitStart("b1")
+	pipelined := fixture.dial()
+	pipelined.write(orderRequest("d1") + orderRequest("d2"))
+	awaitStart("d1")
 
-	p.term()
-	until(t, "that it is told to end", func() bool { return !strings.HasPrefix(p.ask("check"), "YES") })
-	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.term()
-	half.write(text[len(text)-1:])
-	begun("a1")
-	rests.write(orderText("e1")) // its connection was open before, and nothing had come on it
-	close(s.reads)
-	close(s.step)
+	proc.sigterm()
+	waitFor(t, "the process shuts down", func() bool { return !strings.HasPrefix(proc.callAdmin("check"), "YES") })
+	proc.cmd.Process.Signal(syscall.SIGHUP)
+	proc.sigterm()
+	halfSent.write(text[len(text)-1:])
+	awaitStart("a1")
+	idle.write(orderRequest("e1")) // on a connection that was open before and has carried nothing
+	close(fixture.finishPrefill)
+	close(fixture.nextPiece)
 	orders := 4
-	for what, c := range map[string]*raw{"half read": half, "waiting": waits, "in its stream": streams, "first of two": two} {
-		if !c.whole(what) {
+	for what, c := range map[string]*rawClient{"half sent": halfSent, "waiting": waiting, "streaming": streaming, "first of two pipelined": pipelined} {
+		if !c.readAnswer(what) {
 			t.Errorf("%s: no answer", what)
 		}
 	}
-	if two.whole("second of two") {
+	if pipelined.readAnswer("second of two pipelined") {
 		orders++
 	}
-	if rests.whole("on a connection left open") {
+	if idle.readAnswer("on an unused connection") {
 		orders++
 	}
-	p.ended()
-	s.once(orders)
+	proc.waitForExit()
+	fixture.checkSentOnce(orders)
 }
 
-// Clients rest on connections that have been served. Whatever comes on them as the process
-// ends is answered whole, refused and sent nowhere, or was not read and ends cleanly: none is
-// reset, none sent twice.
-func TestRestingClientsAreNotResetAtTheEnd(t *testing.T) {
+// Requests that arrive on idle keep-alive connections during a shutdown must be answered
+// completely, refused without being sent to an engine, or left unread with a clean close. None
+// is reset and none is sent twice.
+func TestShutdown_IdleConnections(t *testing.T) {
 	const clients = 40
-	s := newSite(t)
-	close(s.step)
-	p := s.begin().ready()
-	all := make([]*raw, clients)
-	for i := range all {
-		all[i] = s.raw()
-		all[i].write(orderText(fmt.Sprintf("f%d", i)))
-		all[i].whole("before")
+	fixture := newGatewayFixture(t)
+	close(fixture.nextPiece)
+	proc := fixture.startProcess().waitReady()
+	idleClients := make([]*rawClient, clients)
+	for i := range idleClients {
+		idleClients[i] = fixture.dial()
+		idleClients[i].write(orderRequest(fmt.Sprintf("f%d", i)))
+		idleClients[i].readAnswer("before SIGTERM")
 	}
-	p.term()
+	proc.sigterm()
 	orders, done := clients, make(chan bool, clients)
-	for i, c := range all {
-		go func() { // spread over the time in which it still takes clients, and the end of that
+	for i, c := range idleClients {
+		go func() { // spread over the time in which requests are accepted, and beyond its end
 			time.Sleep(time.Duration(i) * 20 * time.Millisecond)
-			if _, err := io.WriteString(c, orderText(fmt.Sprintf("g%d", i))); err != nil {
-				done <- false // it had been ended, and that was seen: nothing was taken
+			if _, err := io.WriteString(c, orderRequest(fmt.Sprintf("g%d", i))); err != nil {
+				done <- false // the client saw the connection closed: nothing was accepted
 				return
 			}
-			o := c.result(time.Now())
-			if o.err != nil || !o.unread && o.status != http.StatusOK && o.status != http.StatusServiceUnavailable {
-				t.Errorf("at the end: %+v", o)
+			outcome := c.readOutcome(time.Now())
+			if outcome.err != nil || !outcome.closedUnread && outcome.status != http.StatusOK && outcome.status != http.StatusServiceUnavailable {
+				t.Errorf("during shutdown: %+v", outcome)
 			}
-			done <- o.status == http.StatusOK // the sum below tells that no other was sent
+			done <- outcome.status == http.StatusOK // the count below shows that no other request was sent to an engine
 		}()
 	}
-	for range all {
+	for range idleClients {
 		if <-done {
 			orders++
 		}
 	}
-	p.ended()
-	s.once(orders)
+	proc.waitForExit()
+	fixture.checkSentOnce(orders)
 }
--- a/cmd/ashwood/grpc_ending_test.go
+++ b/cmd/ashwood/grpc_ending_test.go
@@ -15,62 +15,63 @@
 	"ashwood.example/ashwood/ashwoodpb"
 )
 
-// hangingBox takes prompts and reads none.
-type hangingBox struct {
-	grpcBox
-	mu   sync.Mutex
-	seen map[string]int
-	came chan string
+// hangingEngine accepts prompts and never finishes prefill.
+type hangingEngine struct {
+	grpcEngine
+	mu       sync.Mutex
+	attempts map[string]int
+	arrived  chan string
 }
 
-func (b *hangingBox) Read(ctx context.Context, in *ashwoodpb.GenerateRequest) (*ashwoodpb.ReadResult, error) {
-	b.mu.Lock()
-	b.seen[in.GetRequestId()]++
-	b.mu.Unlock()
-	b.came <- in.GetRequestId()
+func (e *hangingEngine) Read(ctx context.Context, in *ashwoodpb.GenerateRequest) (*ashwoodpb.ReadResult, error) {
+	e.mu.Lock()
+	e.attempts[in.GetRequestId()]++
+	e.mu.Unlock()
+	e.arrived <- in.GetRequestId()
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// Over gRPC too, a call that waits has its answer when the process is killed, and one whose
-// message comes late in the shutdown, on a stream that was open before, is refused and sent nowhere.
+// Over gRPC too, a waiting call must have its answer before the process is killed, and a call
+// whose message arrives late in the shutdown, on a stream that was open before, must be refused
+// without being sent to an engine.
 func TestShutdown_GRPCCalls(t *testing.T) {
-	box := &hangingBox{seen: map[string]int{}, came: make(chan string, 9)}
-	cmd, cc := openFront(t, box, "", insecure.NewCredentials())
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	engine := &hangingEngine{attempts: map[string]int{}, arrived: make(chan string, 9)}
+	cmd, conn := startGRPCFront(t, engine, "", insecure.NewCredentials())
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	open := func() grpc.ClientStream {
 		t.Helper()
-		s, err := cc.NewStream(ctx, &grpc.StreamDesc{ServerStreams: true}, ashwoodpb.Inference_Generate_FullMethodName, grpc.WaitForReady(true))
+		stream, err := conn.NewStream(ctx, &grpc.StreamDesc{ServerStreams: true}, ashwoodpb.Inference_Generate_FullMethodName, grpc.WaitForReady(true))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return s
+		return stream
 	}
-	send := func(s grpc.ClientStream, id string) {
+	send := func(stream grpc.ClientStream, id string) {
 		t.Helper()
-		if err := s.SendMsg(&ashwoodpb.GenerateRequest{RequestId: id, Class: "send-order", PromptTokens: 64}); err != nil {
+		if err := stream.SendMsg(&ashwoodpb.GenerateRequest{RequestId: id, Class: "send-order", PromptTokens: 64}); err != nil {
 			t.Errorf("%s: %v", id, err)
 		}
 	}
-	late, waits := open(), open()
-	send(waits, "waits")
-	<-box.came // the stream that was opened first is at the server by then
-	told := time.Now()
+	late, waiting := open(), open()
+	send(waiting, "waits")
+	<-engine.arrived // by then the stream that was opened first has reached the server
+	signaledAt := time.Now()
 	cmd.Process.Signal(syscall.SIGTERM)
 	kill := time.AfterFunc(killAfter, func() { cmd.Process.Kill() })
 	defer kill.Stop()
-	<-time.After(time.Until(told.Add(exemptFor + 100*time.Millisecond)))
+	<-time.After(time.Until(signaledAt.Add(exemptPeriod + 100*time.Millisecond)))
 	send(late, "late")
-	for id, s := range map[string]grpc.ClientStream{"late": late, "waits": waits} {
-		err := s.RecvMsg(&ashwoodpb.Token{})
-		if st := status.Convert(err); st.Code() != codes.Unavailable || len(st.Details()) == 0 { // RetryInfo: a refusal of the gateway's own
+	for id, stream := range map[string]grpc.ClientStream{"late": late, "waits": waiting} {
+		err := stream.RecvMsg(&ashwoodpb.Token{})
+		if st := status.Convert(err); st.Code() != codes.Unavailable || len(st.Details()) == 0 { // with RetryInfo: a refusal by the gateway itself
 			t.Errorf("%s: %v %v", id, err, st.Details())
 		}
 	}
-	box.mu.Lock()
-	defer box.mu.Unlock()
-	if box.seen["late"] > 0 || box.seen["waits"] != 1 {
-		t.Errorf("sent to engines: %v", box.seen)
+	engine.mu.Lock()
+	defer engine.mu.Unlock()
+	if engine.attempts["late"] > 0 || engine.attempts["waits"] != 1 {
+		t.Errorf("sent to engines: %v", engine.attempts)
 	}
 }
--- a/cmd/ashwood/grpc_test.go
+++ b/cmd/ashwood/grpc_test.go
@@ -23,22 +23,22 @@
 	"ashwood.example/ashwood/ashwoodpb"
 )
 
-// grpcBox reads and writes.
-type grpcBox struct {
+// grpcEngine is a mixed engine that answers at once.
+type grpcEngine struct {
 	ashwoodpb.UnimplementedBoxServer
 }
 
-func (grpcBox) Read(context.Context, *ashwoodpb.GenerateRequest) (*ashwoodpb.ReadResult, error) {
+func (grpcEngine) Read(context.Context, *ashwoodpb.GenerateRequest) (*ashwoodpb.ReadResult, error) {
 	return &ashwoodpb.ReadResult{}, nil
 }
 
-func (grpcBox) Write(_ *ashwoodpb.GenerateRequest, s grpc.ServerStreamingServer[ashwoodpb.Token]) error {
-	return s.Send(&ashwoodpb.Token{Text: "hello"})
+func (grpcEngine) Write(_ *ashwoodpb.GenerateRequest, stream grpc.ServerStreamingServer[ashwoodpb.Token]) error {
+	return stream.Send(&ashwoodpb.Token{Text: "hello"})
 }
 
-// certificate makes a key with a certificate that is its own CA, as files and
-// as credentials of either side that trust it alone.
-func certificate(t *testing.T) (certFile, keyFile string, creds credentials.TransportCredentials) {
+// newCertificate returns a self-signed certificate and its key as files, and as credentials for
+// either side that trust only this certificate.
+func newCertificate(t *testing.T) (certFile, keyFile string, creds credentials.TransportCredentials) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -64,48 +64,49 @@
 	}
 	pool := x509.NewCertPool()
 	pool.AppendCertsFromPEM(certPEM)
-	return write(t, "cert.pem", string(certPEM)), write(t, "key.pem", string(keyPEM)), credentials.NewTLS(&tls.Config{
+	return writeTempFile(t, "cert.pem", string(certPEM)), writeTempFile(t, "key.pem", string(keyPEM)), credentials.NewTLS(&tls.Config{
 		Certificates: []tls.Certificate{pair}, RootCAs: pool, ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert,
 	})
 }
 
-func TestOperatorsFileSetsUpTheGRPCFront(t *testing.T) {
-	t.Run("in plain text", func(t *testing.T) { tryFront(t, "", insecure.NewCredentials()) })
+func TestGRPCFront_OperatorFile(t *testing.T) {
+	t.Run("in plain text", func(t *testing.T) { checkFront(t, "", insecure.NewCredentials()) })
 	t.Run("with certificates on all sides", func(t *testing.T) {
-		cert, key, creds := certificate(t)
+		cert, key, creds := newCertificate(t)
 		files := fmt.Sprintf("ca = %q\ncertificate = %[1]q\nkey = %q\n", cert, key)
-		tryFront(t, "[grpc.tls]\n"+files+"[grpc.box_tls]\nserver_name = \"box.internal\"\n"+files, creds)
+		checkFront(t, "[grpc.tls]\n"+files+"[grpc.box_tls]\nserver_name = \"box.internal\"\n"+files, creds)
 	})
 }
 
-// tryFront has the program route a call to a box with these settings.
-func tryFront(t *testing.T, operator string, creds credentials.TransportCredentials) {
-	_, cc := openFront(t, grpcBox{}, operator, creds)
-	s, err := ashwoodpb.NewInferenceClient(cc).Generate(context.Background(), &ashwoodpb.GenerateRequest{
+// checkFront has the program route a call to an engine with these operator settings.
+func checkFront(t *testing.T, operator string, creds credentials.TransportCredentials) {
+	_, conn := startGRPCFront(t, grpcEngine{}, operator, creds)
+	stream, err := ashwoodpb.NewInferenceClient(conn).Generate(context.Background(), &ashwoodpb.GenerateRequest{
 		RequestId: "q", Class: "send-order", PromptTokens: 64}, grpc.WaitForReady(true))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if tok, err := s.Recv(); err != nil || tok.GetText() != "hello" {
+	if tok, err := stream.Recv(); err != nil || tok.GetText() != "hello" {
 		t.Errorf("%v, %v", tok, err)
 	}
-	if _, err := s.Recv(); err != io.EOF {
-		t.Errorf("end %v", err)
+	if _, err := stream.Recv(); err != io.EOF {
+		t.Errorf("end of stream: %v", err)
 	}
 }
 
-// openFront starts the program with the gRPC front and a box of both roles, and a client of it.
-func openFront(t *testing.T, engine ashwoodpb.BoxServer, operator string, creds credentials.TransportCredentials) (*exec.Cmd, *grpc.ClientConn) {
+// startGRPCFront starts the program with the gRPC front and one server that acts as prefill and
+// as decode engine, and returns a client connection to the front.
+func startGRPCFront(t *testing.T, engine ashwoodpb.BoxServer, operator string, creds credentials.TransportCredentials) (*exec.Cmd, *grpc.ClientConn) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	box := grpc.NewServer(grpc.Creds(creds))
-	ashwoodpb.RegisterBoxServer(box, engine)
-	go box.Serve(l)
-	t.Cleanup(box.Stop)
-	cmd, _, front := start(t, configuration(discovery(t, `{"generation":1,"reset":true,"instances":[]}`), "null"), fmt.Sprintf(`
+	server := grpc.NewServer(grpc.Creds(creds))
+	ashwoodpb.RegisterBoxServer(server, engine)
+	go server.Serve(listener)
+	t.Cleanup(server.Stop)
+	cmd, _, front := startProgram(t, configJSON(startDiscovery(t, `{"generation":1,"reset":true,"instances":[]}`), "null"), fmt.Sprintf(`
 [grpc]
 listen = "127.0.0.1:0"
 [[grpc.boxes]]
@@ -116,11 +117,11 @@
 id = "w"
 address = %q
 kind = "decode"
-`, l.Addr(), l.Addr())+operator)
-	cc, err := grpc.NewClient("passthrough:///"+front, grpc.WithTransportCredentials(creds))
+`, listener.Addr(), listener.Addr())+operator)
+	conn, err := grpc.NewClient("passthrough:///"+front, grpc.WithTransportCredentials(creds))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { cc.Close() })
-	return cmd, cc
+	t.Cleanup(func() { conn.Close() })
+	return cmd, conn
 }
--- a/cmd/ashwood/main_test.go
+++ b/cmd/ashwood/main_test.go
@@ -17,7 +17,7 @@
 
 var program string
 
-// TestMain builds the program, which the tests start and speak to over sockets.
+// TestMain builds the program, which the tests start and call over sockets.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "ashwood")
 	if err != nil {
@@ -40,14 +40,14 @@
 	"ceilings":{"attempts_cap":6,"cancel":true,"retry_after":true,"max_retry_after":500,"connect_timeout":2000,"conn_idle":15000},
 	"report":{"how":"inline","fields":["busy_reqs","pending","x0","x1"]}}`
 
-// serve starts an HTTP peer and gives its address.
-func serve(t *testing.T, h http.HandlerFunc) string {
-	s := httptest.NewServer(h)
-	t.Cleanup(s.Close)
-	return strings.TrimPrefix(s.URL, "http://")
+// startHTTPServer starts an HTTP server and returns its address.
+func startHTTPServer(t *testing.T, h http.HandlerFunc) string {
+	server := httptest.NewServer(h)
+	t.Cleanup(server.Close)
+	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func write(t *testing.T, name, text string) string {
+func writeTempFile(t *testing.T, name, text string) string {
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -55,22 +55,23 @@
 	return path
 }
 
-// serving is what the program logs once it listens; it takes free ports itself.
+// servingLine matches the record that the program logs once it serves. It contains the
+// addresses, because the program picks free ports itself.
 var servingLine = regexp.MustCompile(`msg=serving name=n (?:grpc=(\S+) )?listen=(\S+)`)
 
-// start runs the program until it serves, and tells where.
-func start(t *testing.T, config, operator string) (cmd *exec.Cmd, listen, front string) {
-	return startWith(t, write(t, "config.json", config), operator, io.Discard)
+// startProgram starts the program, waits until it serves, and returns its addresses.
+func startProgram(t *testing.T, config, operator string) (cmd *exec.Cmd, listen, front string) {
+	return startProgramWithLog(t, writeTempFile(t, "config.json", config), operator, io.Discard)
 }
 
-// startWith has the program read its configuration from a file and copies what
-// it logs once it serves.
-func startWith(t *testing.T, path, operator string, log io.Writer) (cmd *exec.Cmd, listen, front string) {
+// startProgramWithLog is startProgram with a configuration file; the log goes to log from the
+// time when the program serves.
+func startProgramWithLog(t *testing.T, path, operator string, log io.Writer) (cmd *exec.Cmd, listen, front string) {
 	t.Helper()
 	cmd = exec.Command(program)
 	cmd.Env = []string{"ROUTER_CONFIG=" + path}
 	if operator != "" {
-		cmd.Env = append(cmd.Env, "ASHWOOD_OPERATOR="+write(t, "operator.toml", operator))
+		cmd.Env = append(cmd.Env, "ASHWOOD_OPERATOR="+writeTempFile(t, "operator.toml", operator))
 	}
 	out, err := cmd.StderrPipe()
 	if err != nil {
@@ -87,29 +88,30 @@
 			return cmd, m[2], m[1]
 		}
 	}
-	t.Fatalf("it ended without serving: %v", cmd.Wait())
+	t.Fatalf("the program exited before it served: %v", cmd.Wait())
 	return nil, "", ""
 }
 
-// discovery answers each call with the list, and watches with silence.
-func discovery(t *testing.T, list string) string {
-	return serve(t, func(w http.ResponseWriter, r *http.Request) {
+// startDiscovery starts a discovery service that answers calls with the membership and never
+// answers watches.
+func startDiscovery(t *testing.T, membership string) string {
+	return startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("from") != "" {
 			<-r.Context().Done()
 			return
 		}
-		io.WriteString(w, list)
+		io.WriteString(w, membership)
 	})
 }
 
-func instance(id, addr, kind string) string {
+func instanceJSON(id, addr, kind string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"a","machineType":%q,"cell":0,"lifecycle":"up","weight":1,"startedAtMs":0}`, id, addr, kind)
 }
 
-// engines starts a reader and a writer, which calls half in the middle of each
-// answer, and gives discovery's list of them.
-func engines(t *testing.T, half func()) (list string) {
-	reader := serve(t, func(w http.ResponseWriter, r *http.Request) {
+// startEngines starts a prefill and a decode engine and returns discovery's membership of them.
+// The decode engine calls midway in the middle of each answer.
+func startEngines(t *testing.T, midway func()) (membership string) {
+	prefill := startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodDelete {
 			w.WriteHeader(http.StatusNoContent)
 			return
@@ -117,23 +119,23 @@
 		w.WriteHeader(http.StatusAccepted)
 		io.WriteString(w, `{"cached_tokens":0}`)
 	})
-	writer := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	decode := startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/bootstrap/") {
 			w.WriteHeader(http.StatusConflict)
 			return
 		}
 		io.WriteString(w, "data: one\n\n")
 		w.(http.Flusher).Flush()
-		half()
+		midway()
 		io.WriteString(w, "data: [DONE]\n\n")
 	})
-	return `{"generation":3,"reset":true,"instances":[` + instance("r", reader, "prefill") + "," + instance("w", writer, "decode") + `]}`
+	return `{"generation":3,"reset":true,"instances":[` + instanceJSON("r", prefill, "prefill") + "," + instanceJSON("w", decode, "decode") + `]}`
 }
 
-const answer = "data: one\n\ndata: [DONE]\n\n"
+const fullAnswer = "data: one\n\ndata: [DONE]\n\n"
 
-// order sends one; its answer has begun.
-func order(t *testing.T, listen string) *http.Response {
+// sendOrder sends an order and returns once the answer has started.
+func sendOrder(t *testing.T, listen string) *http.Response {
 	t.Helper()
 	req, err := http.NewRequest("POST", "http://"+listen+"/v1/chat/completions", strings.NewReader("{}"))
 	if err != nil {
@@ -150,66 +152,66 @@
 	return r
 }
 
-func configuration(discovery, known string) string {
+func configJSON(discovery, known string) string {
 	return fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","known":%s,
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":%s}`, discovery, known, settings)
 }
 
-// Discovery may be silent from the start on: the list in hand has to do.
-func TestServesFromTheKnownListWhileDiscoveryIsSilent(t *testing.T) {
-	silent := serve(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	_, listen, _ := start(t, configuration(silent, engines(t, func() {})), "")
-	r := order(t, listen)
-	if body, err := io.ReadAll(r.Body); r.StatusCode != 200 || string(body) != answer || err != nil {
-		t.Errorf("%s, %q, %v", r.Status, body, err)
+// Discovery may be silent from the start; the configured membership must be enough to serve.
+func TestServe_DiscoverySilent(t *testing.T) {
+	silent := startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	_, listen, _ := startProgram(t, configJSON(silent, startEngines(t, func() {})), "")
+	response := sendOrder(t, listen)
+	if body, err := io.ReadAll(response.Body); response.StatusCode != 200 || string(body) != fullAnswer || err != nil {
+		t.Errorf("%s, %q, %v", response.Status, body, err)
 	}
 }
 
-func TestServesAndFinishesAfterSIGTERM(t *testing.T) {
+func TestShutdown_AnswerInProgress(t *testing.T) {
 	writing, finish := make(chan struct{}), make(chan struct{})
-	cmd, listen, _ := start(t, configuration(discovery(t, engines(t, func() {
+	cmd, listen, _ := startProgram(t, configJSON(startDiscovery(t, startEngines(t, func() {
 		close(writing)
 		<-finish
 	})), "null"), "")
 	if r, err := http.Get("http://" + listen + "/-/ready"); err != nil || r.StatusCode != 200 {
 		t.Fatalf("%v, %v", r, err)
 	}
-	r := order(t, listen)
+	response := sendOrder(t, listen)
 	<-writing
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	close(finish)
-	body, err := io.ReadAll(r.Body)
-	if r.StatusCode != 200 || string(body) != answer || err != nil {
-		t.Errorf("%s, %q, %v", r.Status, body, err)
+	body, err := io.ReadAll(response.Body)
+	if response.StatusCode != 200 || string(body) != fullAnswer || err != nil {
+		t.Errorf("%s, %q, %v", response.Status, body, err)
 	}
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("after SIGTERM: %v", err)
 	}
 }
 
-// SIGHUP would end a program that does not expect it. A faulty file is named
-// and changes nothing; a good one moves discovery while an answer runs on.
-func TestReloadsOnSIGHUP(t *testing.T) {
+// An unhandled SIGHUP would end the program. A faulty file must be reported and change nothing;
+// a valid one must change discovery's address while an answer continues.
+func TestReload_FaultyThenValidFile(t *testing.T) {
 	writing, finish := make(chan struct{}, 9), make(chan struct{})
-	list := engines(t, func() {
+	membership := startEngines(t, func() {
 		writing <- struct{}{}
 		<-finish
 	})
-	asked := make(chan struct{}, 9)
-	moved := serve(t, func(w http.ResponseWriter, r *http.Request) {
-		asked <- struct{}{}
+	called := make(chan struct{}, 9)
+	newDiscovery := startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+		called <- struct{}{}
 		if r.URL.Query().Get("from") != "" {
 			<-r.Context().Done()
 		}
-		io.WriteString(w, list)
+		io.WriteString(w, membership)
 	})
-	path := write(t, "config.json", configuration(discovery(t, list), "null"))
+	path := writeTempFile(t, "config.json", configJSON(startDiscovery(t, membership), "null"))
 	logs, log := io.Pipe()
-	cmd, listen, _ := startWith(t, path, "", log)
+	cmd, listen, _ := startProgramWithLog(t, path, "", log)
 	lines := bufio.NewScanner(logs)
-	hup := func(config, want string) {
+	reloadWith := func(config, want string) {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 			t.Fatal(err)
@@ -222,25 +224,25 @@
 				return
 			}
 		}
-		t.Fatalf("it ended without a word of %q", want)
+		t.Fatalf("the program exited without logging %q", want)
 	}
-	r := order(t, listen)
+	response := sendOrder(t, listen)
 	<-writing
-	hup(strings.Replace(configuration(moved, "null"), `"seed":"`, `"seed":"x`, 1), "config: seed")
-	if len(asked) > 0 {
-		t.Error("a faulty file moved discovery")
+	reloadWith(strings.Replace(configJSON(newDiscovery, "null"), `"seed":"`, `"seed":"x`, 1), "config: seed")
+	if len(called) > 0 {
+		t.Error("a faulty file changed discovery's address")
 	}
-	hup(configuration(moved, "null"), "discovery: moved")
-	<-asked
+	reloadWith(configJSON(newDiscovery, "null"), "discovery: moved")
+	<-called
 	go io.Copy(io.Discard, logs)
 	close(finish)
-	if body, err := io.ReadAll(r.Body); r.StatusCode != 200 || string(body) != answer || err != nil {
-		t.Errorf("%s, %q, %v", r.Status, body, err)
+	if body, err := io.ReadAll(response.Body); response.StatusCode != 200 || string(body) != fullAnswer || err != nil {
+		t.Errorf("%s, %q, %v", response.Status, body, err)
 	}
 }
 
-func TestBadConfigurationEndsItNamingTheKey(t *testing.T) {
-	good := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":%s}`, settings)
+func TestStart_FaultyConfiguration(t *testing.T) {
+	validConfig := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":%s}`, settings)
 	tests := []struct{ old, new, operator, key string }{
 		{`"effect":"pure"`, `"effect":"odd"`, "", "lanes[0].effect"},
 		{`"name":"n"`, `"limits":{"sockets":3},"name":"n"`, "", "limits.sockets"},
@@ -251,9 +253,9 @@
 	}
 	for _, tt := range tests {
 		cmd := exec.Command(program)
-		cmd.Env = []string{"ROUTER_CONFIG=" + write(t, "c", strings.Replace(good, tt.old, tt.new, 1))}
+		cmd.Env = []string{"ROUTER_CONFIG=" + writeTempFile(t, "c", strings.Replace(validConfig, tt.old, tt.new, 1))}
 		if tt.operator != "" {
-			cmd.Env = append(cmd.Env, "ASHWOOD_OPERATOR="+write(t, "o", tt.operator))
+			cmd.Env = append(cmd.Env, "ASHWOOD_OPERATOR="+writeTempFile(t, "o", tt.operator))
 		}
 		out, err := cmd.CombinedOutput()
 		if err == nil || !strings.Contains(string(out), tt.key) {
@@ -262,17 +264,17 @@
 	}
 }
 
-// An operator's limits hold at the platform's front: of what is beyond them,
-// clients hear at once, with a time to return.
-func TestOperatorsLimits(t *testing.T) {
-	begun, end := make(chan struct{}), make(chan struct{})
-	list := engines(t, func() {
-		close(begun)
-		<-end
+// An operator's limits must apply to the platform's front: requests beyond them are refused at
+// once, with a Retry-After.
+func TestOperatorLimits_InFlight(t *testing.T) {
+	started, finish := make(chan struct{}), make(chan struct{})
+	membership := startEngines(t, func() {
+		close(started)
+		<-finish
 	})
-	_, listen, _ := start(t, `{"name":"n","listen":"127.0.0.1:0","discovery":"`+discovery(t, list)+`","known":`+list+`,"settings":`+settings+`}`,
+	_, listen, _ := startProgram(t, `{"name":"n","listen":"127.0.0.1:0","discovery":"`+startDiscovery(t, membership)+`","known":`+membership+`,"settings":`+settings+`}`,
 		"[limits]\nin_flight = 1\n")
-	ask := func(id string) *http.Response {
+	send := func(id string) *http.Response {
 		req, err := http.NewRequest("POST", "http://"+listen+"/v1/chat/completions", strings.NewReader("{}"))
 		if err != nil {
 			t.Fatal(err)
@@ -286,15 +288,15 @@
 		}
 		return res
 	}
-	first := ask("a1")
-	<-begun
-	second := ask("a2")
+	first := send("a1")
+	<-started
+	second := send("a2")
 	second.Body.Close()
 	if second.StatusCode != http.StatusServiceUnavailable || second.Header.Get("Retry-After") == "" {
 		t.Errorf("beyond the limit: %d, %v", second.StatusCode, second.Header)
 	}
-	close(end)
-	if body, err := io.ReadAll(first.Body); string(body) != answer || err != nil {
+	close(finish)
+	if body, err := io.ReadAll(first.Body); string(body) != fullAnswer || err != nil {
 		t.Errorf("%q, %v", body, err)
 	}
 	first.Body.Close()
--- a/cmd/ashwood/notice_test.go
+++ b/cmd/ashwood/notice_test.go
@@ -10,65 +10,65 @@
 	"ashwood.example/ashwood/lifecycle"
 )
 
-// A signal counts from when it may have been sent: one that comes as the process goes on
-// after it was stopped may be as old as the stop.
-func TestNotice_ASignalMayBeAsOldAsAStop(t *testing.T) {
-	set := ashwood.Settings{Classes: []ashwood.Class{{Deadline: 15 * time.Second}}}
+// A signal counts from the earliest time at which it may have been sent: one that arrives as a
+// stopped process continues may be as old as the start of the pause.
+func TestShutdownNotice_SignalAfterPause(t *testing.T) {
+	settings := ashwood.Settings{Classes: []ashwood.Class{{Deadline: 15 * time.Second}}}
 	for _, tt := range []struct {
-		name string
-		gap  float64 // ms for which the process does not run
-		then float64 // ms from its end to the signal
-		want float64 // AnswerBy, in ms from the last beat before
+		name        string
+		gap         float64 // ms between the last heartbeat and the time when the process runs again
+		untilSignal float64 // ms from the end of the gap to the signal
+		want        float64 // AnswerBy, in ms after the last heartbeat before the gap
 	}{
-		{"as ever", 100, 0, 3100},
-		{"held up for an ordinary time", 150, 0, 3150},
-		{"held up for longer", 200, 0, 3000},
+		{"no pause", 100, 0, 3100},
+		{"delay at the threshold", 150, 0, 3150},
+		{"delay beyond the threshold", 200, 0, 3000},
 		{"stopped", 2000, 0, 3000},
-		{"stopped, and the beat runs before the signal", 2000, 1, 3000},
-		{"stopped long before", 2000, 1000, 6000},
+		{"stopped, heartbeat runs before the signal", 2000, 1, 3000},
+		{"stopped long before the signal", 2000, 1000, 6000},
 	} {
-		c := clock.NewManual(10000)
-		n := newShutdownNotice(context.Background(), c)
-		if l := n.lifetime(set); !l.Takes(1e12) {
-			t.Errorf("%s: not told, it is %+v", tt.name, l)
+		manual := clock.NewManual(10000)
+		n := newShutdownNotice(context.Background(), manual)
+		if l := n.lifetime(settings); !l.Takes(1e12) {
+			t.Errorf("%s: before a signal, the lifetime is %+v", tt.name, l)
 		}
-		n.stopTimer() // of a process that does not run, no timer does
-		c.Advance(tt.gap)
-		if tt.then > 0 {
+		n.stopTimer() // timers don't fire while a process is stopped
+		manual.Advance(tt.gap)
+		if tt.untilSignal > 0 {
 			n.heartbeat()
-			for left := tt.then; left > 0; left -= min(left, heartbeatInterval) {
+			for remaining := tt.untilSignal; remaining > 0; remaining -= min(remaining, heartbeatInterval) {
 				n.stopTimer()
-				c.Advance(min(left, heartbeatInterval))
+				manual.Advance(min(remaining, heartbeatInterval))
 				n.heartbeat()
 			}
 		}
 		n.recordSignal()
-		if got := n.lifetime(set).AnswerBy - 10000; got != tt.want {
-			t.Errorf("%s: answers by %v, want %v", tt.name, got, tt.want)
+		if got := n.lifetime(settings).AnswerBy - 10000; got != tt.want {
+			t.Errorf("%s: AnswerBy is %v, want %v", tt.name, got, tt.want)
 		}
 		n.close()
 	}
 }
 
-// Those who promise anything know what the process has left to live before anybody sees that
-// it is told, and at once if they come later.
-func TestNotice_SubscribersHearFirst(t *testing.T) {
-	set := ashwood.Settings{Classes: []ashwood.Class{{Deadline: 15 * time.Second}}}
+// Subscribers must know the remaining lifetime before the context is cancelled, and at once if
+// they subscribe after the signal.
+func TestShutdownNotice_SubscribersCalledFirst(t *testing.T) {
+	settings := ashwood.Settings{Classes: []ashwood.Class{{Deadline: 15 * time.Second}}}
 	ctx, cancel := context.WithCancel(context.Background())
 	n := newShutdownNotice(ctx, clock.NewManual(10000))
 	defer n.close()
 	var early, late float64
-	n.subscribe(set, func(l lifecycle.Lifetime) {
+	n.subscribe(settings, func(l lifecycle.Lifetime) {
 		if early = l.AnswerBy; n.Err() != nil {
-			t.Error("told to all before those who promise")
+			t.Error("the context was cancelled before the subscriber was called")
 		}
 	})
 	if early != 0 {
-		t.Error("told without a signal")
+		t.Error("the subscriber was called without a signal")
 	}
 	n.handleSignal(cancel)
-	n.subscribe(set, func(l lifecycle.Lifetime) { late = l.AnswerBy })
+	n.subscribe(settings, func(l lifecycle.Lifetime) { late = l.AnswerBy })
 	if n.Err() == nil || early != 13000 || late != 13000 {
-		t.Errorf("%v, answers by %v and %v", n.Err(), early, late)
+		t.Errorf("%v, AnswerBy is %v and %v", n.Err(), early, late)
 	}
 }
--- a/cmd/ashwood/shutdown_test.go
+++ b/cmd/ashwood/shutdown_test.go
@@ -11,249 +11,253 @@
 	"time"
 )
 
-// Times of a planned restart as the platform makes it, from SIGTERM on. With the longest
-// deadline of the tests' settings (15 s) the process lives for 3.7 s.
+// Times of a planned restart by the platform, from SIGTERM on. With the longest deadline in the
+// tests' settings (15 s), the process is killed after 3.7 s.
 const (
-	exemptFor = 700 * time.Millisecond  // what is read until then may go unanswered by the rules
-	killAfter = 3700 * time.Millisecond // SIGKILL
+	exemptPeriod = 700 * time.Millisecond  // requests read until then may go unanswered
+	killAfter    = 3700 * time.Millisecond // SIGKILL
 )
 
-// outcome is what a client saw of one request by the time its gateway was dead.
+// outcome is the result of one request as its client saw it by the time the gateway was killed.
 type outcome struct {
-	sent   time.Time // its last byte was written; zero = the connection had ended before
-	status int       // of a whole answer; 0 = none
-	unread bool      // the connection ended cleanly with no answer: it is sent anew elsewhere
-	err    error
+	sentAt       time.Time // when the last byte was written; zero = the connection had closed before
+	status       int       // of a complete answer; 0 = none
+	closedUnread bool      // the connection closed cleanly without an answer: the client sends the request elsewhere
+	err          error
 }
 
-// settled tells whether a request that was read as long after SIGTERM is in good order.
-func (o outcome) settled() bool { return o.sent.IsZero() || o.status != 0 || o.unread }
+// resolved reports whether a request written that long after SIGTERM got an answer, or was
+// provably not accepted.
+func (o outcome) resolved() bool { return o.sentAt.IsZero() || o.status != 0 || o.closedUnread }
 
-// result reads what comes of a request to the end of its connection.
-func (c *raw) result(sent time.Time) outcome {
-	o := outcome{sent: sent}
-	if _, err := c.in.Peek(1); err == io.EOF {
-		o.unread = true
+// readOutcome reads the answer to a request, or the end of its connection.
+func (c *rawClient) readOutcome(sent time.Time) outcome {
+	o := outcome{sentAt: sent}
+	if _, err := c.reader.Peek(1); err == io.EOF {
+		o.closedUnread = true
 		return o
 	}
-	r, err := http.ReadResponse(c.in, nil)
+	response, err := http.ReadResponse(c.reader, nil)
 	var body []byte
 	if err == nil {
-		body, err = io.ReadAll(r.Body)
+		body, err = io.ReadAll(response.Body)
 	}
-	if err == nil && r.StatusCode == http.StatusOK && string(body) != strings.Join(pieces, "") {
-		err = fmt.Errorf("an answer of another's or in part: %q", body)
+	if err == nil && response.StatusCode == http.StatusOK && string(body) != strings.Join(answerPieces, "") {
+		err = fmt.Errorf("a wrong or incomplete answer: %q", body)
 	}
 	if o.err = err; err == nil {
-		o.status = r.StatusCode
+		o.status = response.StatusCode
 	}
 	return o
 }
 
-// shutdown is one planned restart: a process that is told to end and killed when its time is up.
-type shutdown struct {
-	t       *testing.T
-	process *process
-	told    time.Time
-	life    time.Duration // from SIGTERM to SIGKILL
-	clients sync.WaitGroup
-	mu      sync.Mutex
-	results map[string]outcome
+// plannedRestart is one planned restart: a process gets SIGTERM, and SIGKILL when its time is up.
+type plannedRestart struct {
+	t          *testing.T
+	process    *process
+	signaledAt time.Time
+	killDelay  time.Duration // from SIGTERM to SIGKILL
+	clients    sync.WaitGroup
+	mu         sync.Mutex
+	results    map[string]outcome
 }
 
-// stop tells a process to end; kill is to be called before the test ends.
-func (p *process) stop() *shutdown {
-	d := &shutdown{t: p.t, process: p, told: time.Now(), life: killAfter, results: map[string]outcome{}}
-	p.term()
-	return d
+// startRestart sends SIGTERM; killAndCollect must be called before the test ends.
+func (p *process) startRestart() *plannedRestart {
+	r := &plannedRestart{t: p.t, process: p, signaledAt: time.Now(), killDelay: killAfter, results: map[string]outcome{}}
+	p.sigterm()
+	return r
 }
 
-// at has a client write text at a time after SIGTERM, and notes what comes of it.
-func (d *shutdown) at(after time.Duration, id string, c *raw, text string) {
-	d.clients.Go(func() {
-		<-time.After(time.Until(d.told.Add(after)))
+// writeAt has a client write text at a time after SIGTERM, and records the outcome.
+func (r *plannedRestart) writeAt(after time.Duration, id string, c *rawClient, text string) {
+	r.clients.Go(func() {
+		<-time.After(time.Until(r.signaledAt.Add(after)))
 		var o outcome
 		if _, err := io.WriteString(c, text); err != nil {
-			o.err = err // it had been ended, and that was seen: nothing was taken
+			o.err = err // the client saw the connection closed: nothing was accepted
 		} else {
-			o = c.result(time.Now())
+			o = c.readOutcome(time.Now())
 		}
-		d.note(id, o)
+		r.record(id, o)
 	})
 }
 
-// follow notes what comes of a request that has been written already.
-func (d *shutdown) follow(id string, c *raw) {
-	d.clients.Go(func() { d.note(id, c.result(d.told)) })
+// awaitOutcome records the outcome of a request that has been written already.
+func (r *plannedRestart) awaitOutcome(id string, c *rawClient) {
+	r.clients.Go(func() { r.record(id, c.readOutcome(r.signaledAt)) })
 }
 
-func (d *shutdown) note(id string, o outcome) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.results[id] = o
+func (r *plannedRestart) record(id string, o outcome) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.results[id] = o
 }
 
-// lateClients are pairs of connections: one that has brought nothing, and one that has brought
-// all of a request but its last byte.
-func (s *site) lateClients(pairs int) [][2]*raw {
-	s.t.Helper()
-	clients := make([][2]*raw, pairs)
+// openLateClients opens pairs of connections: one that has carried nothing, and one that has
+// carried all but the last byte of a request.
+func (f *gatewayFixture) openLateClients(pairCount int) [][2]*rawClient {
+	f.t.Helper()
+	clients := make([][2]*rawClient, pairCount)
 	for i := range clients {
-		clients[i] = [2]*raw{s.raw(), s.raw()}
-		text := orderText(fmt.Sprint("half-", i))
+		clients[i] = [2]*rawClient{f.dial(), f.dial()}
+		text := orderRequest(fmt.Sprint("half-", i))
 		clients[i][1].write(text[:len(text)-1])
 	}
 	return clients
 }
 
-// writeLate has them write the rest, a pair every so often, once that counts by the rules.
-func (d *shutdown) writeLate(clients [][2]*raw, every time.Duration) {
+// writeLateRequests has late clients write the rest of their requests, one pair per interval,
+// beginning after the period in which requests may go unanswered.
+func (r *plannedRestart) writeLateRequests(clients [][2]*rawClient, interval time.Duration) {
 	for i, c := range clients {
-		after := exemptFor + 50*time.Millisecond + time.Duration(i)*every
+		after := exemptPeriod + 50*time.Millisecond + time.Duration(i)*interval
 		id := fmt.Sprint("silent-", i)
-		d.at(after, id, c[0], orderText(id))
-		d.at(after, fmt.Sprint("half-", i), c[1], "}")
+		r.writeAt(after, id, c[0], orderRequest(id))
+		r.writeAt(after, fmt.Sprint("half-", i), c[1], "}")
 	}
 }
 
-// kill ends the process as the platform does, waits for its clients, and gives what they saw.
-func (d *shutdown) kill() map[string]outcome {
-	d.t.Helper()
+// killAndCollect kills the process when its time is up, as the platform does, waits for the
+// clients and returns their outcomes.
+func (r *plannedRestart) killAndCollect() map[string]outcome {
+	r.t.Helper()
 	select {
-	case <-d.process.done:
-	case <-time.After(time.Until(d.told.Add(d.life))):
-		d.process.cmd.Process.Signal(syscall.SIGKILL)
-		<-d.process.done
+	case <-r.process.done:
+	case <-time.After(time.Until(r.signaledAt.Add(r.killDelay))):
+		r.process.cmd.Process.Signal(syscall.SIGKILL)
+		<-r.process.done
 	}
-	d.clients.Wait()
-	return d.results
+	r.clients.Wait()
+	return r.results
 }
 
-// settled checks that each request had its answer, or was left unread, when its gateway ended.
-func (d *shutdown) settled(results map[string]outcome) {
-	d.t.Helper()
+// checkResolved checks that each request was answered or left unread when the gateway ended.
+func (r *plannedRestart) checkResolved(results map[string]outcome) {
+	r.t.Helper()
 	for id, o := range results {
-		if !o.settled() {
-			d.t.Errorf("%s, written %v after SIGTERM, has no answer: %v", id, o.sent.Sub(d.told).Round(time.Millisecond), o.err)
+		if !o.resolved() {
+			r.t.Errorf("%s, written %v after SIGTERM, has no answer: %v", id, o.sentAt.Sub(r.signaledAt).Round(time.Millisecond), o.err)
 		}
 	}
 }
 
-// Requests that come late in a shutdown, on whatever connection is still open, have their
-// answer when the process is killed, or were not read: none is sent on and left.
-func TestShutdown_RequestsReadLate(t *testing.T) {
-	for _, c := range []struct {
+// Requests that arrive late in a shutdown, on any connection that is still open, must be answered
+// before the process is killed or left unread. None may be sent to an engine and then abandoned.
+func TestShutdown_LateRequests(t *testing.T) {
+	for _, tt := range []struct {
 		name  string
 		hangs bool // prefill engines take requests and answer none
 	}{{"streams outlast the process", false}, {"engines hang", true}} {
-		t.Run(c.name, func(t *testing.T) {
-			s := newSite(t)
-			if c.hangs {
-				s.reads = make(chan struct{})
+		t.Run(tt.name, func(t *testing.T) {
+			fixture := newGatewayFixture(t)
+			if tt.hangs {
+				fixture.finishPrefill = make(chan struct{})
 			}
-			p := s.begin().ready()
-			late := s.lateClients(12)
-			d := p.stop()
-			d.writeLate(late, 150*time.Millisecond)
-			results := d.kill()
-			d.settled(results)
-			s.mu.Lock()
-			defer s.mu.Unlock()
+			proc := fixture.startProcess().waitReady()
+			late := fixture.openLateClients(12)
+			restart := proc.startRestart()
+			restart.writeLateRequests(late, 150*time.Millisecond)
+			results := restart.killAndCollect()
+			restart.checkResolved(results)
+			fixture.mu.Lock()
+			defer fixture.mu.Unlock()
 			for id, o := range results {
-				if n := s.readsOut[id] + s.sends[id]; n > 0 {
-					t.Errorf("%s was sent to engines %d times, %v after SIGTERM", id, n, o.sent.Sub(d.told))
+				if n := fixture.prefillAttempts[id] + fixture.decodeAttempts[id]; n > 0 {
+					t.Errorf("%s was sent to engines %d times, %v after SIGTERM", id, n, o.sentAt.Sub(restart.signaledAt))
 				}
 			}
 		})
 	}
 }
 
-// Requests that wait for an answer when the process is told to end have one before it is
-// killed, though no newer process takes over, and what was held for them is released.
-func TestShutdown_RequestsThatWait(t *testing.T) {
+// Requests that wait for an answer at SIGTERM must get one before the process is killed, even
+// without a newer process, and the holds for them must be released.
+func TestShutdown_WaitingRequests(t *testing.T) {
 	const requests = 8
-	s := newSite(t)
-	s.reads = make(chan struct{})
-	p := s.begin().ready()
-	clients := make([]*raw, requests)
+	fixture := newGatewayFixture(t)
+	fixture.finishPrefill = make(chan struct{})
+	proc := fixture.startProcess().waitReady()
+	clients := make([]*rawClient, requests)
 	for i := range clients {
-		clients[i] = s.raw()
-		clients[i].write(orderText(fmt.Sprint("wait-", i)))
-		<-s.begun
+		clients[i] = fixture.dial()
+		clients[i].write(orderRequest(fmt.Sprint("wait-", i)))
+		<-fixture.started
 	}
-	d := p.stop()
+	restart := proc.startRestart()
 	for i, c := range clients {
-		d.follow(fmt.Sprint("wait-", i), c)
+		restart.awaitOutcome(fmt.Sprint("wait-", i), c)
 	}
-	results := d.kill()
-	d.settled(results)
-	if want := fmt.Sprintf("refused_late=0 given_up=%d active=0", requests); !p.logged(want) {
-		t.Errorf("the log does not tell %q", want)
+	results := restart.killAndCollect()
+	restart.checkResolved(results)
+	if want := fmt.Sprintf("refused_late=0 given_up=%d active=0", requests); !proc.logContains(want) {
+		t.Errorf("missing in the log: %q", want)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	fixture.mu.Lock()
+	defer fixture.mu.Unlock()
 	for id, o := range results {
-		if o.status == http.StatusOK || s.freed[id] == 0 || s.sends[id] > 0 {
-			t.Errorf("%s: status %d, released %d times, sent on %d times", id, o.status, s.freed[id], s.sends[id])
+		if o.status == http.StatusOK || fixture.releases[id] == 0 || fixture.decodeAttempts[id] > 0 {
+			t.Errorf("%s: status %d, released %d times, sent to decode %d times", id, o.status, fixture.releases[id], fixture.decodeAttempts[id])
 		}
 	}
 }
 
-// With short deadlines the platform kills sooner: what waits, and what has come in part, has its
-// answer by then.
+// With short deadlines the platform kills the process sooner. Waiting and partly received requests
+// must be answered by then.
 func TestShutdown_ShortDeadlines(t *testing.T) {
-	s := newSite(t)
-	s.reads = make(chan struct{})
-	s.deadline = 800
-	p := s.begin().ready()
-	waiting := s.waiting("waits", 4)
-	half := s.raw()
-	half.write(orderText("half")[:60])
-	until(t, "its connection is accepted", func() bool {
-		r, err := client(t).Get("http://" + s.listen + "/-/ready")
+	fixture := newGatewayFixture(t)
+	fixture.finishPrefill = make(chan struct{})
+	fixture.deadline = 800
+	proc := fixture.startProcess().waitReady()
+	waiting := fixture.startWaiting("waits", 4)
+	half := fixture.dial()
+	half.write(orderRequest("half")[:60])
+	waitFor(t, "the connection is accepted", func() bool {
+		r, err := newClient(t).Get("http://" + fixture.listenAddr + "/-/ready")
 		return err == nil && r.Body.Close() == nil
 	})
-	d := p.stop()
-	d.life = 1500 * time.Millisecond
+	restart := proc.startRestart()
+	restart.killDelay = 1500 * time.Millisecond
 	for id, c := range waiting {
-		d.follow(id, c)
+		restart.awaitOutcome(id, c)
 	}
-	d.follow("half", half)
-	results := d.kill()
-	d.settled(results)
+	restart.awaitOutcome("half", half)
+	results := restart.killAndCollect()
+	restart.checkResolved(results)
 	if half := results["half"]; half.status != http.StatusRequestTimeout {
-		t.Errorf("what has come in part: %+v", half)
+		t.Errorf("partly received request: %+v", half)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	fixture.mu.Lock()
+	defer fixture.mu.Unlock()
 	for id := range waiting {
-		if s.freed[id] == 0 || s.sends[id] > 0 {
-			t.Errorf("%s: released %d times, sent on %d times", id, s.freed[id], s.sends[id])
+		if fixture.releases[id] == 0 || fixture.decodeAttempts[id] > 0 {
+			t.Errorf("%s: released %d times, sent to decode %d times", id, fixture.releases[id], fixture.decodeAttempts[id])
 		}
 	}
 }
 
-// Connections that wait in the system's queue when a process that was stopped finds itself told to
-// end are accepted first: their clients, who have written requests, see an answer or a clean end.
-func TestShutdown_ConnectionsInTheQueue(t *testing.T) {
+// Connections that wait in the kernel's accept queue when a stopped process continues and receives
+// SIGTERM must be accepted: their clients, which have written requests, get an answer or a clean
+// close.
+func TestShutdown_QueuedConnections(t *testing.T) {
 	const clients = 12
-	s := newSite(t)
-	close(s.step)
-	p := s.begin().ready()
-	p.cmd.Process.Signal(syscall.SIGSTOP)
-	d := p.stop()
+	fixture := newGatewayFixture(t)
+	close(fixture.nextPiece)
+	proc := fixture.startProcess().waitReady()
+	proc.cmd.Process.Signal(syscall.SIGSTOP)
+	restart := proc.startRestart()
 	for i := range clients {
 		id := fmt.Sprint("queued-", i)
-		c := s.raw()
-		c.write(orderText(id))
-		d.follow(id, c)
+		c := fixture.dial()
+		c.write(orderRequest(id))
+		restart.awaitOutcome(id, c)
 	}
-	d.clients.Go(func() {
-		<-time.After(time.Until(d.told.Add(exemptFor)))
-		p.cmd.Process.Signal(syscall.SIGCONT)
+	restart.clients.Go(func() {
+		<-time.After(time.Until(restart.signaledAt.Add(exemptPeriod)))
+		proc.cmd.Process.Signal(syscall.SIGCONT)
 	})
-	for id, o := range d.kill() {
-		if !o.settled() {
+	for id, o := range restart.killAndCollect() {
+		if !o.resolved() {
 			t.Errorf("%s: %v", id, o.err)
 		}
 	}
--- a/cmd/ashwood/site_test.go
+++ b/cmd/ashwood/site_test.go
@@ -21,37 +21,39 @@
 	"golang.org/x/sys/unix"
 )
 
-// patience bounds each wait for a condition.
-const patience = 30 * time.Second
+// testTimeout bounds each wait for a condition.
+const testTimeout = 30 * time.Second
 
-// site is one gateway's address, folder and engines, for processes that follow one another.
-type site struct {
-	t      *testing.T
-	tmp    string
-	listen string
-	list   string
-	// sockets are what the configuration allows; 0 = 1,024
+// gatewayFixture holds the address, shared folder, engines and discovery of one gateway, for
+// several processes of it.
+type gatewayFixture struct {
+	t          *testing.T
+	tempDir    string
+	listenAddr string
+	membership string
+	// sockets is the configured limit; 0 = 1,024
 	sockets int
-	// deadline is that of all classes in ms; 0 = as the settings have it
+	// deadline of all classes in ms; 0 = as in the settings
 	deadline int
 
-	mu    sync.Mutex
-	sends map[string]int // attempts at the writer, by request
-	freed map[string]int // releases, by request
-	// readsOut are attempts at the reader, by request.
-	readsOut map[string]int
-	// silent has discovery answer nothing.
-	silent bool
-	// away ends discovery: its connections, and new ones.
-	away  []func()
-	step  chan struct{} // lets an answer's next piece go; closed = all
-	reads chan struct{} // lets a read end; nil = at once
-	fault engineFault   // of decode engines
-	begun chan string   // ids of answers that have begun
+	mu             sync.Mutex
+	decodeAttempts map[string]int // attempts at the decode engine, by request
+	releases       map[string]int // by request
+	// prefillAttempts counts attempts at the prefill engine, by request.
+	prefillAttempts map[string]int
+	// silentDiscovery has discovery answer nothing.
+	silentDiscovery bool
+	// discoveryStops close a discovery service: its listener and its connections.
+	discoveryStops []func()
+	nextPiece      chan struct{} // lets the decode engine send one more piece; closed = all
+	finishPrefill  chan struct{} // lets one prefill finish; nil = all finish at once
+	decodeFault    engineFault   // fault of the decode engine
+	started        chan string   // ids of requests that reached prefill or whose answer has started
 }
 
-// newSite reserves an address: a socket that is bound and does not listen gets nothing.
-func newSite(t *testing.T) *site {
+// newGatewayFixture reserves an address with a socket that is bound but does not listen, and so
+// gets no connections.
+func newGatewayFixture(t *testing.T) *gatewayFixture {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	if err != nil {
@@ -66,23 +68,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &site{
-		t: t, tmp: t.TempDir(), listen: fmt.Sprintf("127.0.0.1:%d", sa.(*unix.SockaddrInet4).Port),
-		sends: map[string]int{}, freed: map[string]int{}, readsOut: map[string]int{}, step: make(chan struct{}), begun: make(chan string, 9999),
+	f := &gatewayFixture{
+		t: t, tempDir: t.TempDir(), listenAddr: fmt.Sprintf("127.0.0.1:%d", sa.(*unix.SockaddrInet4).Port),
+		decodeAttempts: map[string]int{}, releases: map[string]int{}, prefillAttempts: map[string]int{}, nextPiece: make(chan struct{}), started: make(chan string, 9999),
 	}
-	reader := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	prefill := startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodDelete {
-			s.free(w, r)
+			f.handleRelease(w, r)
 			return
 		}
-		io.Copy(io.Discard, r.Body) // or its client's end would not be noticed
-		s.mu.Lock()
-		s.readsOut[r.Header.Get("X-Txn")]++
-		s.mu.Unlock()
-		if s.reads != nil {
-			s.begun <- r.Header.Get("X-Txn")
+		io.Copy(io.Discard, r.Body) // otherwise the server would not notice that its client has closed
+		f.mu.Lock()
+		f.prefillAttempts[r.Header.Get("X-Txn")]++
+		f.mu.Unlock()
+		if f.finishPrefill != nil {
+			f.started <- r.Header.Get("X-Txn")
 			select {
-			case <-s.reads:
+			case <-f.finishPrefill:
 			case <-r.Context().Done():
 				return
 			}
@@ -90,10 +92,10 @@
 		w.WriteHeader(http.StatusAccepted)
 		io.WriteString(w, `{"cached_tokens":0}`)
 	})
-	writer := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	decode := startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.Method == http.MethodDelete:
-			s.free(w, r)
+			f.handleRelease(w, r)
 			return
 		case strings.HasPrefix(r.URL.Path, "/bootstrap/"):
 			w.WriteHeader(http.StatusConflict)
@@ -101,163 +103,163 @@
 		}
 		io.Copy(io.Discard, r.Body)
 		id := r.Header.Get("X-Txn")
-		s.mu.Lock()
-		s.sends[id]++
-		s.mu.Unlock()
-		if s.fault.answer(w, r) {
+		f.mu.Lock()
+		f.decodeAttempts[id]++
+		f.mu.Unlock()
+		if f.decodeFault.answer(w, r) {
 			return
 		}
-		for _, piece := range pieces {
+		for _, piece := range answerPieces {
 			io.WriteString(w, piece)
 			w.(http.Flusher).Flush()
-			if piece == pieces[0] {
-				s.begun <- id
+			if piece == answerPieces[0] {
+				f.started <- id
 			}
-			if piece != pieces[len(pieces)-1] {
+			if piece != answerPieces[len(answerPieces)-1] {
 				select {
-				case <-s.step:
+				case <-f.nextPiece:
 				case <-r.Context().Done():
 					return
 				}
 			}
 		}
 	})
-	s.list = `{"generation":3,"reset":true,"instances":[` + instance("r", reader, "prefill") + "," + instance("w", writer, "decode") + `]}`
-	return s
+	f.membership = `{"generation":3,"reset":true,"instances":[` + instanceJSON("r", prefill, "prefill") + "," + instanceJSON("w", decode, "decode") + `]}`
+	return f
 }
 
-var pieces = []string{"data: one\n\n", "data: two\n\n", "data: three\n\n", "data: [DONE]\n\n"}
+var answerPieces = []string{"data: one\n\n", "data: two\n\n", "data: three\n\n", "data: [DONE]\n\n"}
 
-func (s *site) free(w http.ResponseWriter, r *http.Request) {
-	s.mu.Lock()
-	s.freed[filepath.Base(r.URL.Path)]++
-	s.mu.Unlock()
+func (f *gatewayFixture) handleRelease(w http.ResponseWriter, r *http.Request) {
+	f.mu.Lock()
+	f.releases[filepath.Base(r.URL.Path)]++
+	f.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// process is one of a site's.
+// process is one process of the gateway.
 type process struct {
-	t      *testing.T
-	cmd    *exec.Cmd
-	config string // the file
-	listen string
-	mgmt   string
-	done   chan struct{} // closed when it has ended
-	err    error         // then: how
+	t          *testing.T
+	cmd        *exec.Cmd
+	configPath string
+	listenAddr string
+	adminAddr  string
+	done       chan struct{} // closed when the process has exited
+	exitErr    error         // set when done is closed
 
 	mu  sync.Mutex
 	log bytes.Buffer
 }
 
-var deadlines = regexp.MustCompile(`"deadline":\d+`)
+var deadlineKey = regexp.MustCompile(`"deadline":\d+`)
 
 var adminLine = regexp.MustCompile(`msg=serving .* mgmt=(\S+)`)
 
-// begin starts a process; ready waits until it says yes.
-func (s *site) begin() *process {
-	s.t.Helper()
-	config := strings.Replace(configuration(s.discovery(), "null"), `"listen":"127.0.0.1:0"`,
-		fmt.Sprintf(`"listen":%q,"mgmt":"127.0.0.1:0"`, s.listen), 1)
-	config = strings.Replace(config, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, cmp.Or(s.sockets, 1024)), 1)
-	if s.deadline > 0 {
-		config = deadlines.ReplaceAllString(config, fmt.Sprintf(`"deadline":%d`, s.deadline))
+// startProcess starts a process; waitReady waits until it serves.
+func (f *gatewayFixture) startProcess() *process {
+	f.t.Helper()
+	config := strings.Replace(configJSON(f.startDiscovery(), "null"), `"listen":"127.0.0.1:0"`,
+		fmt.Sprintf(`"listen":%q,"mgmt":"127.0.0.1:0"`, f.listenAddr), 1)
+	config = strings.Replace(config, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, cmp.Or(f.sockets, 1024)), 1)
+	if f.deadline > 0 {
+		config = deadlineKey.ReplaceAllString(config, fmt.Sprintf(`"deadline":%d`, f.deadline))
 	}
-	p := &process{t: s.t, cmd: exec.Command(program), listen: s.listen, config: write(s.t, "config.json", config), done: make(chan struct{})}
-	p.cmd.Env = []string{"ROUTER_CONFIG=" + p.config, "TMPDIR=" + s.tmp, "ASHWOOD_LOG=debug"}
-	out, err := p.cmd.StderrPipe()
+	proc := &process{t: f.t, cmd: exec.Command(program), listenAddr: f.listenAddr, configPath: writeTempFile(f.t, "config.json", config), done: make(chan struct{})}
+	proc.cmd.Env = []string{"ROUTER_CONFIG=" + proc.configPath, "TMPDIR=" + f.tempDir, "ASHWOOD_LOG=debug"}
+	out, err := proc.cmd.StderrPipe()
 	if err != nil {
-		s.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	if err := p.cmd.Start(); err != nil {
-		s.t.Fatal(err)
+	if err := proc.cmd.Start(); err != nil {
+		f.t.Fatal(err)
 	}
-	s.t.Cleanup(func() {
-		p.cmd.Process.Kill()
-		<-p.done
-		if s.t.Failed() {
-			p.mu.Lock()
-			s.t.Logf("process %d:\n%s", p.cmd.Process.Pid, p.log.String())
-			p.mu.Unlock()
+	f.t.Cleanup(func() {
+		proc.cmd.Process.Kill()
+		<-proc.done
+		if f.t.Failed() {
+			proc.mu.Lock()
+			f.t.Logf("process %d:\n%s", proc.cmd.Process.Pid, proc.log.String())
+			proc.mu.Unlock()
 		}
 	})
 	go func() {
-		defer close(p.done)
+		defer close(proc.done)
 		lines := bufio.NewScanner(out)
 		for lines.Scan() {
-			p.mu.Lock()
-			fmt.Fprintln(&p.log, lines.Text())
-			p.mu.Unlock()
+			proc.mu.Lock()
+			fmt.Fprintln(&proc.log, lines.Text())
+			proc.mu.Unlock()
 		}
-		p.err = p.cmd.Wait()
+		proc.exitErr = proc.cmd.Wait()
 	}()
-	return p
+	return proc
 }
 
-// discovery starts one for a process.
-func (s *site) discovery() string {
-	silent := s.silent
+// startDiscovery starts a discovery service for one process.
+func (f *gatewayFixture) startDiscovery() string {
+	silent := f.silentDiscovery
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if silent || r.URL.Query().Get("from") != "" {
 			<-r.Context().Done()
 			return
 		}
-		io.WriteString(w, s.list)
+		io.WriteString(w, f.membership)
 	}))
-	s.t.Cleanup(func() {
+	f.t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
-	s.away = append(s.away, func() {
+	f.discoveryStops = append(f.discoveryStops, func() {
 		server.Listener.Close()
 		server.CloseClientConnections()
 	})
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// discoveryAway ends discovery for all processes.
-func (s *site) discoveryAway() {
-	for _, away := range s.away {
+// stopDiscovery stops discovery for all processes.
+func (f *gatewayFixture) stopDiscovery() {
+	for _, away := range f.discoveryStops {
 		away()
 	}
 }
 
-func (p *process) logged(what string) bool {
+func (p *process) logContains(what string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.Contains(p.log.String(), what)
 }
 
-// until waits for a condition.
-func until(t *testing.T, what string, holds func() bool) {
+// waitFor waits for a condition.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for begun := time.Now(); !holds(); time.Sleep(2 * time.Millisecond) {
-		if time.Since(begun) > patience {
-			t.Fatalf("not seen: %s", what)
+	for startedAt := time.Now(); !condition(); time.Sleep(2 * time.Millisecond) {
+		if time.Since(startedAt) > testTimeout {
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// ready waits for a process's yes.
-func (p *process) ready() *process {
+// waitReady waits until the process serves and the admin server confirms it.
+func (p *process) waitReady() *process {
 	p.t.Helper()
-	until(p.t, "a line that it serves", func() bool {
+	waitFor(p.t, "the log record msg=serving", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		m := adminLine.FindStringSubmatch(p.log.String())
 		if m != nil {
-			p.mgmt = m[1]
+			p.adminAddr = m[1]
 		}
 		return m != nil
 	})
-	if got := p.ask("check"); got != "YES\n" {
+	if got := p.callAdmin("check"); got != "YES\n" {
 		p.t.Fatalf("check: %q", got)
 	}
 	return p
 }
 
-func (p *process) ask(call string) string {
+func (p *process) callAdmin(call string) string {
 	p.t.Helper()
-	c, err := net.Dial("tcp", p.mgmt)
+	c, err := net.Dial("tcp", p.adminAddr)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -270,24 +272,24 @@
 	return string(reply)
 }
 
-// term has a process stop; ended waits for its end, with 0.
-func (p *process) term() { p.cmd.Process.Signal(syscall.SIGTERM) }
+// sigterm sends SIGTERM; waitForExit waits for the process to exit with code 0.
+func (p *process) sigterm() { p.cmd.Process.Signal(syscall.SIGTERM) }
 
-func (p *process) ended() {
+func (p *process) waitForExit() {
 	p.t.Helper()
 	select {
 	case <-p.done:
-	case <-time.After(patience):
-		p.t.Fatal("it has not ended")
+	case <-time.After(testTimeout):
+		p.t.Fatal("the process has not exited")
 	}
-	if p.err != nil {
-		p.t.Errorf("it ended with %v", p.err)
+	if p.exitErr != nil {
+		p.t.Errorf("the process exited with %v", p.exitErr)
 	}
 }
 
-// send sends an order on a client's connections and gives the answer once it has begun.
-func (s *site) send(client *http.Client, id string) (*http.Response, error) {
-	req, err := http.NewRequest("POST", "http://"+s.listen+"/v1/chat/completions", strings.NewReader("{}"))
+// sendOrder sends an order with a client and returns once the answer has started.
+func (f *gatewayFixture) sendOrder(client *http.Client, id string) (*http.Response, error) {
+	req, err := http.NewRequest("POST", "http://"+f.listenAddr+"/v1/chat/completions", strings.NewReader("{}"))
 	if err != nil {
 		return nil, err
 	}
@@ -297,38 +299,39 @@
 	return client.Do(req)
 }
 
-// whole reads an answer to its end.
-func (s *site) whole(r *http.Response) {
-	s.t.Helper()
+// checkAnswer reads an answer to its end and checks that it is complete.
+func (f *gatewayFixture) checkAnswer(r *http.Response) {
+	f.t.Helper()
 	body, err := io.ReadAll(r.Body)
 	r.Body.Close()
-	if r.StatusCode != 200 || string(body) != strings.Join(pieces, "") || err != nil {
-		s.t.Errorf("%s, %q, %v", r.Status, body, err)
+	if r.StatusCode != 200 || string(body) != strings.Join(answerPieces, "") || err != nil {
+		f.t.Errorf("%s, %q, %v", r.Status, body, err)
 	}
 }
 
-// once checks that no order was sent twice, and that so many were.
-func (s *site) once(orders int) {
-	s.t.Helper()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for id, n := range s.sends {
+// checkSentOnce checks the number of orders sent to the decode engine, and that none was sent
+// twice.
+func (f *gatewayFixture) checkSentOnce(orders int) {
+	f.t.Helper()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for id, n := range f.decodeAttempts {
 		if n != 1 {
-			s.t.Errorf("order %s was sent %d times", id, n)
+			f.t.Errorf("order %s was sent %d times", id, n)
 		}
 	}
-	if len(s.sends) != orders {
-		s.t.Errorf("%d orders were sent, want %d", len(s.sends), orders)
+	if len(f.decodeAttempts) != orders {
+		f.t.Errorf("%d orders were sent, want %d", len(f.decodeAttempts), orders)
 	}
 }
 
-func client(t *testing.T) *http.Client {
-	c := &http.Client{Transport: &http.Transport{}, Timeout: patience}
-	t.Cleanup(c.CloseIdleConnections)
-	return c
+func newClient(t *testing.T) *http.Client {
+	client := &http.Client{Transport: &http.Transport{}, Timeout: testTimeout}
+	t.Cleanup(client.CloseIdleConnections)
+	return client
 }
 
-func (p *process) text() string {
+func (p *process) logText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
--- a/cmd/ashwood/trouble_test.go
+++ b/cmd/ashwood/trouble_test.go
@@ -11,93 +11,95 @@
 	"time"
 )
 
-// engineFault is what decode engines do with a request in place of an answer.
+// engineFault is what the decode engine does with a request instead of answering it.
 type engineFault string
 
 const (
 	engineAnswers engineFault = ""
 	engineHangs   engineFault = "hangs"
 	engineResets  engineFault = "resets"
-	engineRefuses engineFault = "turns away"
+	engineRejects engineFault = "rejects"
 )
 
-// answer carries the fault out, and tells whether there is one.
+// answer acts out the fault and reports whether there is one.
 func (f engineFault) answer(w http.ResponseWriter, r *http.Request) bool {
 	switch f {
 	case engineHangs:
 		<-r.Context().Done()
 	case engineResets:
 		panic(http.ErrAbortHandler)
-	case engineRefuses:
+	case engineRejects:
 		w.Header().Set("X-Turned-Away", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	return f != engineAnswers
 }
 
-// trouble is what happens to a process around the time at which it is told to end.
-type trouble struct {
-	name   string
-	before func(s *site, p *process)  // SIGTERM
-	after  func(d *shutdown, s *site) // it, in a goroutine of its own
-	stops  time.Duration              // for which the process is stopped, the signal within
+// disturbance is what happens to a process around SIGTERM.
+type disturbance struct {
+	name         string
+	before       func(fixture *gatewayFixture, p *process)              // SIGTERM
+	after        func(restart *plannedRestart, fixture *gatewayFixture) // SIGTERM, in a goroutine of its own
+	stopDuration time.Duration                                          // how long the process is stopped; SIGTERM is sent within that time
 }
 
-var troubles = []trouble{
+var disturbances = []disturbance{
 	{name: "none"},
-	{name: "a newer process", before: func(s *site, p *process) {
-		s.begin().ready()
-		until(s.t, "the older process yields", func() bool { return p.logged("newer_one_serves=true") })
+	{name: "a newer process", before: func(fixture *gatewayFixture, p *process) {
+		fixture.startProcess().waitReady()
+		waitFor(fixture.t, "the older process sees the newer one serve", func() bool { return p.logContains("newer_one_serves=true") })
 	}},
-	{name: "told twice", after: func(d *shutdown, _ *site) {
-		d.wait(900 * time.Millisecond)
-		d.process.term()
+	{name: "second SIGTERM", after: func(restart *plannedRestart, _ *gatewayFixture) {
+		restart.waitUntil(900 * time.Millisecond)
+		restart.process.sigterm()
 	}},
-	{name: "told during a reload", before: func(_ *site, p *process) { p.cmd.Process.Signal(syscall.SIGHUP) }},
-	{name: "new configurations while it ends", after: func(d *shutdown, _ *site) {
+	{name: "SIGTERM during a reload", before: func(_ *gatewayFixture, p *process) { p.cmd.Process.Signal(syscall.SIGHUP) }},
+	{name: "reloads during shutdown", after: func(restart *plannedRestart, _ *gatewayFixture) {
 		for _, after := range []time.Duration{50, 400, 1200, 2500} {
-			d.wait(after * time.Millisecond)
-			d.process.cmd.Process.Signal(syscall.SIGHUP)
+			restart.waitUntil(after * time.Millisecond)
+			restart.process.cmd.Process.Signal(syscall.SIGHUP)
 		}
 	}},
-	{name: "held up for 0.15 s", after: func(d *shutdown, _ *site) {
+	{name: "stopped for 0.15 s, three times", after: func(restart *plannedRestart, _ *gatewayFixture) {
 		for _, after := range []time.Duration{400, 900, 2900} {
-			d.wait(after * time.Millisecond)
-			d.process.hold(150 * time.Millisecond)
+			restart.waitUntil(after * time.Millisecond)
+			restart.process.stopAndContinue(150 * time.Millisecond)
 		}
 	}},
-	{name: "told while it is stopped", stops: 1200 * time.Millisecond},
-	{name: "a crowd that says nothing", before: func(s *site, _ *process) {
+	{name: "SIGTERM while stopped", stopDuration: 1200 * time.Millisecond},
+	{name: "many silent connections", before: func(fixture *gatewayFixture, _ *process) {
 		for range 300 {
-			s.raw()
+			fixture.dial()
 		}
 	}},
-	{name: "discovery is away", before: func(s *site, _ *process) { s.discoveryAway() }},
+	{name: "discovery is down", before: func(fixture *gatewayFixture, _ *process) { fixture.stopDiscovery() }},
 }
 
-// wait waits until a time after SIGTERM.
-func (d *shutdown) wait(after time.Duration) { <-time.After(time.Until(d.told.Add(after))) }
+// waitUntil waits until a time after SIGTERM.
+func (r *plannedRestart) waitUntil(after time.Duration) {
+	<-time.After(time.Until(r.signaledAt.Add(after)))
+}
 
-// hold stops a process for a while.
-func (p *process) hold(while time.Duration) {
+// stopAndContinue stops a process (SIGSTOP) for a while and returns once it has been continued.
+func (p *process) stopAndContinue(while time.Duration) {
 	p.cmd.Process.Signal(syscall.SIGSTOP)
 	<-time.After(while)
 	p.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// waiting starts n requests, each of which has come to an engine when it returns.
-func (s *site) waiting(what string, n int) map[string]*raw {
-	clients := map[string]*raw{}
+// startWaiting starts n requests and returns once each has reached an engine.
+func (f *gatewayFixture) startWaiting(what string, n int) map[string]*rawClient {
+	clients := map[string]*rawClient{}
 	for i := range n {
 		id := fmt.Sprint(what, "-", i)
-		clients[id] = s.raw()
-		clients[id].write(orderText(id))
+		clients[id] = f.dial()
+		clients[id].write(orderRequest(id))
 	}
-	until(s.t, what+" are at engines", func() bool {
-		s.mu.Lock()
-		defer s.mu.Unlock()
+	waitFor(f.t, what+": requests reach engines", func() bool {
+		f.mu.Lock()
+		defer f.mu.Unlock()
 		for id := range clients {
-			if s.sends[id] == 0 && s.readsOut[id] == 0 {
+			if f.decodeAttempts[id] == 0 && f.prefillAttempts[id] == 0 {
 				return false
 			}
 		}
@@ -106,11 +108,11 @@
 	return clients
 }
 
-// Whatever happens around the time at which a process is told to end, and whatever engines do:
-// what waited has its answer when the process is killed, and its releases; what comes late has
-// an answer or was not read, and is sent nowhere; no order is sent twice.
-func TestShutdown_Troubles(t *testing.T) {
-	for _, trouble := range troubles {
+// Whatever happens around SIGTERM, and whatever engines do: a waiting request must be answered
+// and released before the process is killed; a late request must be answered or left unread, and
+// not sent to an engine; no order is sent twice.
+func TestShutdown_Disturbances(t *testing.T) {
+	for _, disturbance := range disturbances {
 		for _, engines := range []struct {
 			name  string
 			fault engineFault
@@ -119,115 +121,115 @@
 			{"prefill hangs", engineAnswers, true},
 			{"decode hangs", engineHangs, false},
 			{"decode resets", engineResets, false},
-			{"decode turns away", engineRefuses, false},
-			{"streams stop", engineAnswers, false},
+			{"decode rejects", engineRejects, false},
+			{"streams stall", engineAnswers, false},
 		} {
-			t.Run(trouble.name+"/"+engines.name, func(t *testing.T) {
+			t.Run(disturbance.name+"/"+engines.name, func(t *testing.T) {
 				t.Parallel()
-				s := newSite(t)
-				s.fault = engines.fault
+				fixture := newGatewayFixture(t)
+				fixture.decodeFault = engines.fault
 				if engines.hangs {
-					s.reads = make(chan struct{})
+					fixture.finishPrefill = make(chan struct{})
 				}
-				playTrouble(t, s, trouble, engines.name == "streams stop")
+				runDisturbance(t, fixture, disturbance, engines.name == "streams stall")
 			})
 		}
 	}
 }
 
-func playTrouble(t *testing.T, s *site, trouble trouble, streams bool) {
-	p := s.begin().ready()
-	waiting := s.waiting("waits", 3)
-	late := s.lateClients(5)
-	r, err := client(t).Get("http://" + s.listen + "/-/ready") // those before it have been accepted then
+func runDisturbance(t *testing.T, fixture *gatewayFixture, disturbance disturbance, streams bool) {
+	proc := fixture.startProcess().waitReady()
+	waiting := fixture.startWaiting("waits", 3)
+	late := fixture.openLateClients(5)
+	r, err := newClient(t).Get("http://" + fixture.listenAddr + "/-/ready") // after this answer, the connections above have been accepted
 	if err != nil || r.StatusCode != http.StatusOK {
 		t.Fatalf("%v, %v", r, err)
 	}
 	r.Body.Close()
-	if trouble.before != nil {
-		trouble.before(s, p)
+	if disturbance.before != nil {
+		disturbance.before(fixture, proc)
 	}
-	if trouble.stops > 0 {
-		p.cmd.Process.Signal(syscall.SIGSTOP)
+	if disturbance.stopDuration > 0 {
+		proc.cmd.Process.Signal(syscall.SIGSTOP)
 	}
-	d := p.stop()
-	if trouble.stops > 0 {
-		d.clients.Go(func() {
-			d.wait(trouble.stops)
-			p.cmd.Process.Signal(syscall.SIGCONT)
+	restart := proc.startRestart()
+	if disturbance.stopDuration > 0 {
+		restart.clients.Go(func() {
+			restart.waitUntil(disturbance.stopDuration)
+			proc.cmd.Process.Signal(syscall.SIGCONT)
 		})
 	}
-	if trouble.after != nil {
-		d.clients.Go(func() { trouble.after(d, s) })
+	if disturbance.after != nil {
+		restart.clients.Go(func() { disturbance.after(restart, fixture) })
 	}
 	for id, c := range waiting {
-		d.follow(id, c)
+		restart.awaitOutcome(id, c)
 	}
-	d.writeLate(late, 400*time.Millisecond)
-	results := d.kill()
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	restart.writeLateRequests(late, 400*time.Millisecond)
+	results := restart.killAndCollect()
+	fixture.mu.Lock()
+	defer fixture.mu.Unlock()
 	for id, o := range results {
 		late := !strings.HasPrefix(id, "waits")
 		switch {
-		case !late && streams: // begun before, and cut by the kill: nobody can finish it
-		case !o.settled():
-			t.Errorf("%s, written %v after SIGTERM, has no answer: %v", id, o.sent.Sub(d.told), o.err)
-		case late && s.sends[id]+s.readsOut[id] > 0:
-			t.Errorf("%s, written %v after SIGTERM, was sent to an engine", id, o.sent.Sub(d.told))
-		case !late && s.freed[id] == 0:
-			t.Errorf("%s: nothing was released for it", id)
+		case !late && streams: // started before, and broken off by the kill: nobody can finish it
+		case !o.resolved():
+			t.Errorf("%s, written %v after SIGTERM, has no answer: %v", id, o.sentAt.Sub(restart.signaledAt), o.err)
+		case late && fixture.decodeAttempts[id]+fixture.prefillAttempts[id] > 0:
+			t.Errorf("%s, written %v after SIGTERM, was sent to an engine", id, o.sentAt.Sub(restart.signaledAt))
+		case !late && fixture.releases[id] == 0:
+			t.Errorf("%s: no hold was released", id)
 		}
-		if s.sends[id] > 1 && s.fault != engineRefuses {
-			t.Errorf("order %s was sent %d times", id, s.sends[id])
+		if fixture.decodeAttempts[id] > 1 && fixture.decodeFault != engineRejects {
+			t.Errorf("order %s was sent %d times", id, fixture.decodeAttempts[id])
 		}
 	}
 }
 
-// A process that is told to end before it serves ends, and takes no client.
-func TestShutdown_ToldBeforeReady(t *testing.T) {
-	s := newSite(t)
-	old := s.begin().ready()
-	s.silent = true
-	early := s.begin() // it waits for the older process to take note of it, and for a list
-	until(t, "the older process sees the new one", func() bool { return old.logged("count=2") })
-	early.term()
-	early.ended()
-	if early.logged("msg=serving") || !early.logged("told to end before it served") {
-		t.Error("it has served")
+// A process that gets SIGTERM before it serves must exit without serving any client.
+func TestShutdown_SignalBeforeServing(t *testing.T) {
+	fixture := newGatewayFixture(t)
+	old := fixture.startProcess().waitReady()
+	fixture.silentDiscovery = true
+	early := fixture.startProcess() // it waits until the older process has seen it, and for a membership
+	waitFor(t, "the older process sees the new one", func() bool { return old.logContains("count=2") })
+	early.sigterm()
+	early.waitForExit()
+	if early.logContains("msg=serving") || !early.logContains("told to end before it served") {
+		t.Error("the process served")
 	}
-	until(t, "the older process is alone", func() bool { return old.logged("count=1") })
-	close(s.step)
-	r, err := s.send(client(t), "after")
+	waitFor(t, "the older process is alone", func() bool { return old.logContains("count=1") })
+	close(fixture.nextPiece)
+	response, err := fixture.sendOrder(newClient(t), "after")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.whole(r)
-	s.once(1)
+	fixture.checkAnswer(response)
+	fixture.checkSentOnce(1)
 }
 
-// A new configuration that comes while the process ends is still read: what was taken goes on,
-// and engines still drain.
-func TestShutdown_NewConfigurationIsRead(t *testing.T) {
-	s := newSite(t)
-	p := s.begin().ready()
-	waiting := s.waiting("streams", 1)
-	d := p.stop()
-	d.follow("streams-0", waiting["streams-0"])
-	until(t, "that it is told to end", func() bool { return p.logged("shutdown: told to end") })
-	config, err := os.ReadFile(p.config)
+// A new configuration during shutdown must still be applied: accepted requests continue, and
+// engines may drain.
+func TestShutdown_ReloadWhileDraining(t *testing.T) {
+	fixture := newGatewayFixture(t)
+	proc := fixture.startProcess().waitReady()
+	waiting := fixture.startWaiting("streams", 1)
+	restart := proc.startRestart()
+	restart.awaitOutcome("streams-0", waiting["streams-0"])
+	waitFor(t, "the process shuts down", func() bool { return proc.logContains("shutdown: told to end") })
+	config, err := os.ReadFile(proc.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	moved := discoveryKey.ReplaceAll(config, fmt.Appendf(nil, `"discovery":%q`, s.discovery()))
-	if err := os.WriteFile(p.config, moved, 0o600); err != nil {
+	moved := discoveryKey.ReplaceAll(config, fmt.Appendf(nil, `"discovery":%q`, fixture.startDiscovery()))
+	if err := os.WriteFile(proc.configPath, moved, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p.cmd.Process.Signal(syscall.SIGHUP)
-	until(t, "that discovery has moved", func() bool { return p.logged("discovery: moved") })
-	close(s.step)
-	d.settled(d.kill())
-	s.once(1)
+	proc.cmd.Process.Signal(syscall.SIGHUP)
+	waitFor(t, "discovery's address changes", func() bool { return proc.logContains("discovery: moved") })
+	close(fixture.nextPiece)
+	restart.checkResolved(restart.killAndCollect())
+	fixture.checkSentOnce(1)
 }
 
 var discoveryKey = regexp.MustCompile(`"discovery":"127[^"]*"`)
--- a/cmd/ashwood/upgrade_test.go
+++ b/cmd/ashwood/upgrade_test.go
@@ -13,55 +13,55 @@
 	"testing"
 )
 
-// An answer that has begun outlives the process that began it: the newer one goes on with
-// it and then keeps the client's connection. A third does the same for the second.
-func TestAnswersOutliveTheirProcess(t *testing.T) {
-	s := newSite(t)
-	a := s.begin().ready()
-	c := client(t)
-	r, err := s.send(c, "a1")
+// A started answer must survive its process: a newer process continues it and then keeps the
+// client's connection. A third process does the same for the second.
+func TestHandover_ConsecutiveUpgrades(t *testing.T) {
+	fixture := newGatewayFixture(t)
+	current := fixture.startProcess().waitReady()
+	c := newClient(t)
+	response, err := fixture.sendOrder(c, "a1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, next := range []string{"b", "c"} { // an upgrade on top of an upgrade
-		b := s.begin().ready()
-		until(t, "the older process yields", func() bool { return a.logged("newer_one_serves=true") })
-		a.term()
-		until(t, "the older process has an heir", func() bool { return a.logged("a newer process goes on") })
-		s.step <- struct{}{}
-		a.ended()
-		until(t, next+" takes the answer over", func() bool { return b.logged("msg=adopted") })
-		if got := b.ask("vars"); !strings.Contains(got, "app.open_requests:1|g\n") {
-			t.Errorf("%s: %s", next, got)
+	for _, name := range []string{"b", "c"} { // two upgrades during one answer
+		newer := fixture.startProcess().waitReady()
+		waitFor(t, "the older process sees the newer one serve", func() bool { return current.logContains("newer_one_serves=true") })
+		current.sigterm()
+		waitFor(t, "the older process hands over", func() bool { return current.logContains("a newer process goes on") })
+		fixture.nextPiece <- struct{}{}
+		current.waitForExit()
+		waitFor(t, name+" takes over the answer", func() bool { return newer.logContains("msg=adopted") })
+		if got := newer.callAdmin("vars"); !strings.Contains(got, "app.open_requests:1|g\n") {
+			t.Errorf("%s: %s", name, got)
 		}
-		a = b
+		current = newer
 	}
-	close(s.step)
-	s.whole(r)
+	close(fixture.nextPiece)
+	fixture.checkAnswer(response)
 	reused := false
 	ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { reused = i.Reused }})
-	req, _ := http.NewRequestWithContext(ctx, "GET", "http://"+s.listen+"/-/ready", nil)
+	req, _ := http.NewRequestWithContext(ctx, "GET", "http://"+fixture.listenAddr+"/-/ready", nil)
 	if r, err := c.Do(req); err != nil || r.StatusCode != 200 || !reused {
 		t.Errorf("on the same connection (reused: %v): %v, %v", reused, r, err)
 	}
-	if got := a.ask("vars"); !strings.Contains(got, "app.fulfilled.send-order:1|c\n") || !strings.Contains(got, "app.open_requests:0|g\n") {
+	if got := current.callAdmin("vars"); !strings.Contains(got, "app.fulfilled.send-order:1|c\n") || !strings.Contains(got, "app.open_requests:0|g\n") {
 		t.Error(got)
 	}
-	s.once(1)
+	fixture.checkSentOnce(1)
 }
 
-// While one process takes another's place, every request on a new connection is answered,
-// and none is sent twice; a kept connection is told to close after its answer.
-func TestNobodyIsTurnedBackWhileVersionsChange(t *testing.T) {
-	s := newSite(t)
-	close(s.step)
-	old := s.begin().ready()
-	kept := client(t)
-	r, err := s.send(kept, "kept-1")
+// During an upgrade, every request on a new connection must be answered and none sent twice. A
+// kept connection must close after its next answer.
+func TestUpgrade_NoRequestRefused(t *testing.T) {
+	fixture := newGatewayFixture(t)
+	close(fixture.nextPiece)
+	old := fixture.startProcess().waitReady()
+	kept := newClient(t)
+	response, err := fixture.sendOrder(kept, "kept-1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.whole(r)
+	fixture.checkAnswer(response)
 	stop := make(chan struct{})
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -79,13 +79,13 @@
 					return
 				default:
 				}
-				c := &http.Client{Transport: &http.Transport{}, Timeout: patience}
-				r, err := s.send(c, fmt.Sprintf("w%d-%d", who, n))
+				c := &http.Client{Transport: &http.Transport{}, Timeout: testTimeout}
+				response, err := fixture.sendOrder(c, fmt.Sprintf("w%d-%d", who, n))
 				if err != nil {
-					t.Errorf("turned back: %v", err)
+					t.Errorf("refused: %v", err)
 					return
 				}
-				s.whole(r)
+				fixture.checkAnswer(response)
 				c.CloseIdleConnections()
 				mu.Lock()
 				sent++
@@ -93,128 +93,129 @@
 			}
 		})
 	}
-	fresh := s.begin().ready()
-	until(t, "the old process yields", func() bool { return old.logged("newer_one_serves=true") })
-	if r, err = s.send(kept, "kept-2"); err != nil {
+	fresh := fixture.startProcess().waitReady()
+	waitFor(t, "the old process sees the new one serve", func() bool { return old.logContains("newer_one_serves=true") })
+	if response, err = fixture.sendOrder(kept, "kept-2"); err != nil {
 		t.Fatal(err)
 	}
-	s.whole(r)
-	if !r.Close {
-		t.Error("a kept connection is not told to close")
+	fixture.checkAnswer(response)
+	if !response.Close {
+		t.Error("no Connection: close on a kept connection")
 	}
-	old.term()
-	old.ended()
+	old.sigterm()
+	old.waitForExit()
 	mu.Lock()
 	before := sent
 	mu.Unlock()
-	until(t, "requests after the old process's end", func() bool { mu.Lock(); defer mu.Unlock(); return sent > before+20 })
+	waitFor(t, "requests are served after the old process exits", func() bool { mu.Lock(); defer mu.Unlock(); return sent > before+20 })
 	halt()
-	s.once(sent + 1)
-	if got := fresh.ask("vars"); !strings.Contains(got, "app.faulted.send-order:0|c\n") || !strings.Contains(got, "app.throttled.send-order:0|c\n") {
+	fixture.checkSentOnce(sent + 1)
+	if got := fresh.callAdmin("vars"); !strings.Contains(got, "app.faulted.send-order:0|c\n") || !strings.Contains(got, "app.throttled.send-order:0|c\n") {
 		t.Error(got)
 	}
 }
 
-// A new process that is killed, before its yes or after, leaves the old one as it was; an
-// old one that is killed outright leaves a file that disturbs nobody.
-func TestEitherProcessMayBeKilled(t *testing.T) {
-	s := newSite(t)
-	close(s.step)
-	if err := os.WriteFile(filepath.Join(s.tmp, "ashwood-stale"), []byte("{"), 0o600); err != nil {
+// A new process that is killed, before it serves or after, must leave the old one as it was. An
+// old process that is killed leaves a stale file, which must not matter.
+func TestUpgrade_EitherProcessKilled(t *testing.T) {
+	fixture := newGatewayFixture(t)
+	close(fixture.nextPiece)
+	if err := os.WriteFile(filepath.Join(fixture.tempDir, "ashwood-stale"), []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	old := s.begin().ready()
+	old := fixture.startProcess().waitReady()
 	answered := func(id string, closes bool) {
 		t.Helper()
-		r, err := s.send(client(t), id)
+		response, err := fixture.sendOrder(newClient(t), id)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s.whole(r); r.Close != closes {
-			t.Errorf("%s: the connection closes: %v", id, r.Close)
+		if fixture.checkAnswer(response); response.Close != closes {
+			t.Errorf("%s: the connection closes: %v", id, response.Close)
 		}
 	}
-	early := s.begin()
-	until(t, "the old process sees the new one", func() bool { return old.logged("count=2") })
+	early := fixture.startProcess()
+	waitFor(t, "the old process sees the new one", func() bool { return old.logContains("count=2") })
 	early.cmd.Process.Kill()
 	<-early.done
-	until(t, "the old process is alone", func() bool { return old.logged("count=1") })
+	waitFor(t, "the old process is alone", func() bool { return old.logContains("count=1") })
 	answered("k1", false)
-	late := s.begin().ready()
-	until(t, "the old process yields", func() bool { return old.logged("newer_one_serves=true") })
-	for n := range 12 { // new connections come to the newer one alone
+	late := fixture.startProcess().waitReady()
+	waitFor(t, "the old process sees the new one serve", func() bool { return old.logContains("newer_one_serves=true") })
+	for n := range 12 { // all new connections go to the newer process
 		answered(fmt.Sprint("n", n), false)
 	}
-	if got := late.ask("vars"); !strings.Contains(got, "app.fulfilled.send-order:12|c\n") {
+	if got := late.callAdmin("vars"); !strings.Contains(got, "app.fulfilled.send-order:12|c\n") {
 		t.Error(got)
 	}
 	late.cmd.Process.Kill()
 	<-late.done
-	until(t, "the old process has taken all back", func() bool { return strings.Count(old.text(), "count=1") >= 2 })
+	waitFor(t, "the old process is alone again", func() bool { return strings.Count(old.logText(), "count=1") >= 2 })
 	answered("k2", false)
-	fresh := s.begin().ready()
+	fresh := fixture.startProcess().waitReady()
 	old.cmd.Process.Kill()
 	<-old.done
-	until(t, "the new process is alone", func() bool { return fresh.logged("count=1") })
+	waitFor(t, "the new process is alone", func() bool { return fresh.logContains("count=1") })
 	answered("k3", false)
-	s.once(15)
-	entries, err := filepath.Glob(filepath.Join(s.tmp, "ashwood-*", "*.member"))
+	fixture.checkSentOnce(15)
+	entries, err := filepath.Glob(filepath.Join(fixture.tempDir, "ashwood-*", "*.member"))
 	if err != nil || len(entries) != 1 {
-		t.Errorf("files left: %v, %v", entries, err)
+		t.Errorf("member files left: %v, %v", entries, err)
 	}
 }
 
-// What has no answer when the old process's time is up is ended, and nothing stays held.
-func TestWhatHasNotBegunIsEndedBeforeTheKill(t *testing.T) {
-	s := newSite(t)
-	s.reads = make(chan struct{})
-	old := s.begin().ready()
+// A request without an answer must be ended when the old process's time is up, and its holds
+// must be released.
+func TestUpgrade_UnstartedAnswerEnded(t *testing.T) {
+	fixture := newGatewayFixture(t)
+	fixture.finishPrefill = make(chan struct{})
+	old := fixture.startProcess().waitReady()
 	answer := make(chan *http.Response, 1)
 	go func() {
-		r, err := s.send(client(t), "held")
+		response, err := fixture.sendOrder(newClient(t), "held")
 		if err != nil {
 			t.Error(err)
 		}
-		answer <- r
+		answer <- response
 	}()
-	<-s.begun // the read is out, and stays so
-	s.begin().ready()
-	until(t, "the old process yields", func() bool { return old.logged("newer_one_serves=true") })
-	old.term()
+	<-fixture.started // prefill is in flight, and stays so
+	fixture.startProcess().waitReady()
+	waitFor(t, "the old process sees the new one serve", func() bool { return old.logContains("newer_one_serves=true") })
+	old.sigterm()
 	r := <-answer
 	if r == nil || r.StatusCode < 500 {
 		t.Fatalf("%v", r)
 	}
 	r.Body.Close()
-	old.ended()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.freed["held"] == 0 || s.sends["held"] > 0 {
-		t.Errorf("released %d times, sent %d times", s.freed["held"], s.sends["held"])
+	old.waitForExit()
+	fixture.mu.Lock()
+	defer fixture.mu.Unlock()
+	if fixture.releases["held"] == 0 || fixture.decodeAttempts["held"] > 0 {
+		t.Errorf("released %d times, sent %d times", fixture.releases["held"], fixture.decodeAttempts["held"])
 	}
 }
 
-// An answer that was handed over is its new process's alone: when that is killed, the client
-// sees it broken, without the last chunk, and nobody sends the order again.
-func TestAnAnswerDiesWithTheProcessThatHasIt(t *testing.T) {
-	s := newSite(t)
-	old := s.begin().ready()
-	r, err := s.send(client(t), "d1")
+// An answer that was handed over belongs to the newer process alone: when that is killed, the
+// client sees a broken answer without its last chunk, and no process sends the order again.
+func TestHandover_NewerProcessKilled(t *testing.T) {
+	fixture := newGatewayFixture(t)
+	old := fixture.startProcess().waitReady()
+	response, err := fixture.sendOrder(newClient(t), "d1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh := s.begin().ready()
-	old.term()
-	until(t, "the old process has an heir", func() bool { return old.logged("a newer process goes on") })
-	s.step <- struct{}{}
-	until(t, "the answer is taken over", func() bool { return fresh.logged("msg=adopted") })
-	old.ended()
+	fresh := fixture.startProcess().waitReady()
+	old.sigterm()
+	waitFor(t, "the old process hands over", func() bool { return old.logContains("a newer process goes on") })
+	fixture.nextPiece <- struct{}{}
+	waitFor(t, "the newer process takes over the answer", func() bool { return fresh.logContains("msg=adopted") })
+	old.waitForExit()
 	fresh.cmd.Process.Kill()
 	<-fresh.done
-	body, err := io.ReadAll(r.Body)
-	r.Body.Close()
-	if err == nil || !strings.HasPrefix(strings.Join(pieces, ""), string(body)) || len(body) == 0 {
+	body, err := io.ReadAll(response.Body)
+	response.Body.Close()
+	if err == nil || !strings.HasPrefix(strings.Join(answerPieces, ""), string(body)) || len(body) == 0 {
 		t.Errorf("%q, %v", body, err)
 	}
-	s.once(1)
+	fixture.checkSentOnce(1)
 }
--- a/cmd/ashwood/versions.go
+++ b/cmd/ashwood/versions.go
@@ -205,8 +205,8 @@
 
 // Run runs the source and watches for its first update.
 func (s *firstUpdateSource) Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error {
-	return s.Source.Run(ctx, func(form ashwood.ListForm, list []ashwood.Server) {
-		update(form, list)
+	return s.Source.Run(ctx, func(form ashwood.ListForm, servers []ashwood.Server) {
+		update(form, servers)
 		s.once.Do(func() { close(s.received) })
 	})
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -95,6 +95,6 @@
 	held := d.callers.Len()
 	d.mu.Unlock()
 	if held > testMaxCallers {
-		t.Errorf("%d callers are held, want at most %d", held, testMaxCallers)
+		t.Errorf("%d callers are held at once", held)
 	}
 }
