--- a/cmd/ashwood/admin_test.go
+++ b/cmd/ashwood/admin_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	fixture.checkAnswer(response)
-	dial := func(addr string, n int) {
+	dialMany := func(addr string, n int) {
 		for range n {
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
@@ -35,9 +35,9 @@
 			t.Cleanup(func() { c.Close() })
 		}
 	}
-	dial(proc.adminAddr, 40)
-	dial(fixture.listenAddr, 4*sockets)
-	dial(proc.adminAddr, 40)
+	dialMany(proc.adminAddr, 40)
+	dialMany(fixture.listenAddr, 4*sockets)
+	dialMany(proc.adminAddr, 40)
 	if got := proc.callAdmin("check"); got != "YES\n" {
 		t.Errorf("check: %q", got)
 	}
--- a/cmd/ashwood/site_test.go
+++ b/cmd/ashwood/site_test.go
@@ -43,10 +43,10 @@
 	prefillAttempts map[string]int
 	// silentDiscovery has discovery answer nothing.
 	silentDiscovery bool
-	// discoveryStops close a discovery service: its listener and its connections.
+	// discoveryStops stop the discovery services: each closes a listener and its connections.
 	discoveryStops []func()
-	nextPiece      chan struct{} // lets the decode engine send one more piece; closed = all
-	finishPrefill  chan struct{} // lets one prefill finish; nil = all finish at once
+	nextPiece      chan struct{} // lets the decode engine send one more piece; closed = all pieces without waiting
+	finishPrefill  chan struct{} // lets one prefill finish; nil = prefill finishes immediately
 	decodeFault    engineFault   // fault of the decode engine
 	started        chan string   // ids of requests that reached prefill or whose answer has started
 }
@@ -218,8 +218,8 @@
 
 // stopDiscovery stops discovery for all processes.
 func (f *gatewayFixture) stopDiscovery() {
-	for _, away := range f.discoveryStops {
-		away()
+	for _, stop := range f.discoveryStops {
+		stop()
 	}
 }
 
--- a/cmd/ashwood/trouble_test.go
+++ b/cmd/ashwood/trouble_test.go
@@ -38,8 +38,8 @@
 // disturbance is what happens to a process around SIGTERM.
 type disturbance struct {
 	name         string
-	before       func(fixture *gatewayFixture, p *process)              // SIGTERM
-	after        func(restart *plannedRestart, fixture *gatewayFixture) // SIGTERM, in a goroutine of its own
+	before       func(fixture *gatewayFixture, p *process)              // called before SIGTERM
+	after        func(restart *plannedRestart, fixture *gatewayFixture) // called after SIGTERM, in a goroutine of its own
 	stopDuration time.Duration                                          // how long the process is stopped; SIGTERM is sent within that time
 }
 
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -12,21 +12,21 @@
 const testMaxCallers = 16
 
 // startServer runs a server on loopback until the test ends.
-func startServer(t *testing.T, wait time.Duration) (d *Server, addr string) {
+func startServer(t *testing.T, lineTimeout time.Duration) (server *Server, addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d = New(slog.New(slog.DiscardHandler), map[string]Handler{
+	server = New(slog.New(slog.DiscardHandler), map[string]Handler{
 		"check": func() string { return "YES\n" },
 		"vars":  func() string { return "YES\na:1|c\nEND\n" },
 		"oops":  func() string { panic("panic in a call") },
 	}, testMaxCallers)
-	d.lineTimeout = wait
-	go d.Serve(l)
-	t.Cleanup(d.Close)
-	return d, l.Addr().String()
+	server.lineTimeout = lineTimeout
+	go server.Serve(l)
+	t.Cleanup(server.Close)
+	return server, l.Addr().String()
 }
 
 func dial(t *testing.T, addr string) net.Conn {
@@ -82,7 +82,7 @@
 // Callers that connect and send nothing must not keep out one that sends a line. The line
 // timeout is an hour here, so that only the eviction of the oldest caller makes room.
 func TestServer_SilentCallers(t *testing.T) {
-	d, addr := startServer(t, time.Hour)
+	server, addr := startServer(t, time.Hour)
 	for range 5 * testMaxCallers {
 		dial(t, addr)
 	}
@@ -91,9 +91,9 @@
 	if got, err := io.ReadAll(c); string(got) != "YES\n" {
 		t.Errorf("%q, %v", got, err)
 	}
-	d.mu.Lock()
-	held := d.callers.Len()
-	d.mu.Unlock()
+	server.mu.Lock()
+	held := server.callers.Len()
+	server.mu.Unlock()
 	if held > testMaxCallers {
 		t.Errorf("%d callers are held at once", held)
 	}
