--- a/admission_test.go
+++ b/admission_test.go
@@ -23,9 +23,9 @@
 	}
 	for _, tt := range tests {
 		n := newNode(t, set, reader("r1"), writer("w1", 0))
-		n.s.servers["r1"].queue = 1000
+		n.s.servers["r1"].queuedTokens = 1000
 		for i := 0; i < 10; i++ {
-			n.s.pace[reading].Observe(0, tt.wait, 1000)
+			n.s.stageLatency[stagePrefill].Observe(0, tt.wait, 1000)
 		}
 		n.do(Request{ID: "a", Class: tt.class, Session: 1, PromptTokens: 16, TimeLeft: 5 * time.Second})
 		if _, got := pick[Refuse](n); got != tt.refused {
@@ -42,17 +42,17 @@
 		id := fmt.Sprint("q", i)
 		n.ask(id, uint64(i), 0)
 		n.now += 100 * ms
-		n.do(Gone{RequestID(id)})
+		n.do(ClientDisconnected{RequestID(id)})
 	}
-	if p := time.Second - time.Duration(n.s.impatience[""]); p > 300*ms {
+	if p := time.Second - time.Duration(n.s.tenantImpatience[""]); p > 300*ms {
 		t.Errorf("patience still %v after ten clients left at 100ms", p)
 	}
 	for i := 0; i < 20; i++ {
-		n.s.reqs["x"] = &request{attempts: []*attempt{{srv: n.s.servers["w1"], write: true, out: true}},
+		n.s.requests["x"] = &trackedRequest{attempts: []*trackedAttempt{{server: n.s.servers["w1"], decodes: true, inFlight: true}},
 			class: n.s.classes["chat"]}
-		n.do(First{ID: "x", Server: "w1", Latency: 10 * ms})
+		n.do(AnswerStarted{ID: "x", Server: "w1", Latency: 10 * ms})
 	}
-	if p := time.Second - time.Duration(n.s.impatience[""]); p < 900*ms {
+	if p := time.Second - time.Duration(n.s.tenantImpatience[""]); p < 900*ms {
 		t.Errorf("patience only %v after twenty answers", p)
 	}
 }
@@ -64,11 +64,11 @@
 		id := RequestID(fmt.Sprint("q", i))
 		n.do(Request{ID: id, Class: "chat", Tenant: "hasty", Session: 1, PromptTokens: 16, TimeLeft: 5 * time.Second})
 		n.now += 10 * ms
-		n.do(Gone{id})
+		n.do(ClientDisconnected{id})
 	}
-	n.s.servers["r1"].queue = 1000
+	n.s.servers["r1"].queuedTokens = 1000
 	for i := 0; i < 10; i++ {
-		n.s.pace[reading].Observe(n.now, 500*ms, 1000)
+		n.s.stageLatency[stagePrefill].Observe(n.now, 500*ms, 1000)
 	}
 	for tenant, want := range map[string]bool{"hasty": true, "calm": false} {
 		n.do(Request{ID: RequestID(tenant), Class: "chat", Tenant: tenant, Session: 1, PromptTokens: 16,
@@ -83,10 +83,10 @@
 	set := settings()
 	set.Tenants, set.OverShareWorth = []Tenant{{"big", 0.5, 1}, {"small", 0.5, 100}}, 0.1
 	n := newNode(t, set, reader("r1"), writer("w1", 0))
-	n.s.servers["r1"].queue = 1000
+	n.s.servers["r1"].queuedTokens = 1000
 	for i := 0; i < 10; i++ {
-		n.s.pace[reading].Observe(0, 800*ms, 1000)
-		n.s.asked["big"].Add(n.now, time.Second, 5)
+		n.s.stageLatency[stagePrefill].Observe(0, 800*ms, 1000)
+		n.s.tenantRate["big"].Add(n.now, time.Second, 5)
 	}
 	for tenant, want := range map[string]bool{"big": true, "small": false} {
 		n.do(Request{ID: RequestID(tenant), Class: "chat", Tenant: tenant, Session: 1, PromptTokens: 16,
@@ -118,7 +118,7 @@
 		n.ask("a", 1, 0)
 		n.now += 5 * time.Second
 		x, _ := pick[SetTimer](n) // its deadline
-		n.do(Timer{x.Token})
+		n.do(TimerFired{x.Token})
 		want := map[bool]time.Duration{true: 500 * ms}[allowed]
 		if r, ok := pick[Refuse](n); !ok || r.RetryAfter != want {
 			t.Errorf("allowed %v: %v", allowed, n.out)
@@ -151,9 +151,9 @@
 				n.sentTo("r1")
 				return
 			}
-			lacks[Attempt](n)
-			lacks[Ahead](n)
-			if refusal, ok := pick[Refuse](n); !ok || refusal.Why != WhyTooLong {
+			lacks[Send](n)
+			lacks[Reserve](n)
+			if refusal, ok := pick[Refuse](n); !ok || refusal.Reason != ReasonPromptTooLong {
 				t.Errorf("actions %v", n.out)
 			}
 		})
@@ -174,9 +174,9 @@
 		set.Reports = ReportNone
 		set.Classes[0].AimPer1K = tt.per1K
 		n := newNode(t, set, reader("r1"), writer("w1", 0))
-		n.s.servers["r1"].queue = 1000
+		n.s.servers["r1"].queuedTokens = 1000
 		for range 10 {
-			n.s.pace[reading].Observe(0, tt.wait, 6000)
+			n.s.stageLatency[stagePrefill].Observe(0, tt.wait, 6000)
 		}
 		n.do(Request{ID: "a", Class: "chat", Session: 1, PromptTokens: 5000, TimeLeft: 5 * time.Second})
 		if _, got := pick[Refuse](n); got != tt.refused {
--- a/choose.go
+++ b/choose.go
@@ -12,22 +12,22 @@
 // pool lists the servers of a stage that a request may use: the one whose single
 // trial is due, writers in slow start that may get a send (readers are chosen by what they
 // have kept), else the trusted, else, when none is left, all.
-func (s *Scheduler) pool(r *request, match func(Role) bool) (good []*server) {
-	var rest, due []*server
-	for _, v := range s.order {
-		switch z := v.path; {
+func (s *Scheduler) eligibleServers(r *trackedRequest, match func(Role) bool) (good []*trackedServer) {
+	var rest, due []*trackedServer
+	for _, v := range s.sortedServers {
+		switch z := v.zonePath; {
 		case !match(v.role) || !s.usable(r, v):
-		case s.trusted(v) && s.set.Nodes > manyNodes && s.inSlowStart(v) && v.role != RoleRead:
+		case s.healthy(v) && s.settings.Nodes > manyNodes && s.inSlowStart(v) && v.role != RoleRead:
 			due = append(due, v)
-		case s.trusted(v) && s.now >= v.refuses[r.kind()] && !(r.near && v.Zone != s.set.Zone):
+		case s.healthy(v) && s.now >= v.rejectsUntil[r.throttleKey()] && !(r.stayInZone && v.Zone != s.settings.Zone):
 			good = append(good, v)
-		case !s.trusted(v) && (v.due(s.now) || !v.ejected) && (z.due(s.now) || !z.ejected) && len(r.attempts) <= 1:
-			return []*server{v}
+		case !s.healthy(v) && (v.trialDue(s.now) || !v.ejected) && (z.trialDue(s.now) || !z.ejected) && len(r.attempts) <= 1:
+			return []*trackedServer{v}
 		default:
 			rest = append(rest, v)
 		}
 	}
-	for _, some := range [][]*server{due, good} {
+	for _, some := range [][]*trackedServer{due, good} {
 		if len(some) > 0 {
 			return some
 		}
@@ -37,25 +37,25 @@
 
 // pickReader is the design's reader rule. Without a reader, a mixed server
 // serves in one stage, and failing that a writer where writers read.
-func (s *Scheduler) pickReader(r *request) (v *server, write bool) {
-	if p := s.pool(r, reads); len(p) > 0 {
-		return s.byPrefix(r, s.paired(r, s.answering(p))), false
+func (s *Scheduler) pickPrefill(r *trackedRequest) (v *trackedServer, write bool) {
+	if p := s.eligibleServers(r, isPrefill); len(p) > 0 {
+		return s.pickByPrefix(r, s.withDecodeMemoryInCell(r, s.answeringProbes(p))), false
 	}
-	if p := s.pool(r, mixed); len(p) > 0 {
-		return s.byPrefix(r, p), true
+	if p := s.eligibleServers(r, isMixed); len(p) > 0 {
+		return s.pickByPrefix(r, p), true
 	}
-	if p := s.pool(r, writes); s.set.WritersRead && len(p) > 0 {
-		return s.roomiest(p, nil), true
+	if p := s.eligibleServers(r, canDecode); s.settings.DecodeCanPrefill && len(p) > 0 {
+		return s.pickByFreeMemory(p, nil), true
 	}
 	return nil, false
 }
 
 // answering leaves of a pool the servers that answer probes at once, where there are any: one that
 // does not has more work waiting than any report tells, or a path that would be as slow.
-func (s *Scheduler) answering(pool []*server) []*server {
-	prompt := slices.DeleteFunc(slices.Clone(pool), func(v *server) bool {
-		asked := s.now - v.polled
-		return v.polled > v.reportAt && asked >= probeWait && asked < backoffFirst
+func (s *Scheduler) answeringProbes(pool []*trackedServer) []*trackedServer {
+	prompt := slices.DeleteFunc(slices.Clone(pool), func(v *trackedServer) bool {
+		asked := s.now - v.loadProbedAt
+		return v.loadProbedAt > v.reportAt && asked >= loadProbeWait && asked < minBackoff
 	})
 	if len(prompt) == 0 {
 		return pool
@@ -66,10 +66,10 @@
 // paired leaves of a pool the readers in whose cell a writer has room, near to the
 // best anywhere, while states that leave their cell are slow to move: all of a
 // cell's share its one link, which clogs where its writers are gone or full.
-func (s *Scheduler) paired(r *request, pool []*server) []*server {
-	hasRoom := s.cellsWithRoom(r, func(role Role) bool { return role == RoleWrite })
-	near := slices.DeleteFunc(slices.Clone(pool), func(v *server) bool { return !hasRoom(v) })
-	if len(near) == 0 || s.transferDelay() < transferLimit*float64(s.minAim) {
+func (s *Scheduler) withDecodeMemoryInCell(r *trackedRequest, pool []*trackedServer) []*trackedServer {
+	hasRoom := s.cellsWithMemory(r, func(role Role) bool { return role == RoleWrite })
+	near := slices.DeleteFunc(slices.Clone(pool), func(v *trackedServer) bool { return !hasRoom(v) })
+	if len(near) == 0 || s.transferDelay() < maxTransferDelay*float64(s.minAim) {
 		return pool
 	}
 	return near
@@ -77,31 +77,31 @@
 
 // cellsWithRoom tells of a server whether writers of its cell, of some roles, have room near to
 // the best anywhere.
-func (s *Scheduler) cellsWithRoom(r *request, match func(Role) bool) func(*server) bool {
-	room, best, cells := s.rooms(RoleWrite), 0.0, map[int]float64{}
-	for _, w := range s.order {
-		if match(w.role) && s.trusted(w) && s.usable(r, w) {
+func (s *Scheduler) cellsWithMemory(r *trackedRequest, match func(Role) bool) func(*trackedServer) bool {
+	room, best, cells := s.freeMemory(RoleWrite), 0.0, map[int]float64{}
+	for _, w := range s.sortedServers {
+		if match(w.role) && s.healthy(w) && s.usable(r, w) {
 			cells[w.Cell] = max(cells[w.Cell], room(w))
 			best = max(best, room(w))
 		}
 	}
-	return func(v *server) bool { return cells[v.Cell] >= best*nearRoom }
+	return func(v *trackedServer) bool { return cells[v.Cell] >= best*minNearMemory }
 }
 
 // detours gives what a reader's place costs a request, in unfinished reads behind which it rather
 // waits: another zone is crossed to, and a state leaves its cell where no writer there has room.
-func (s *Scheduler) detours(r *request) func(*server) float64 {
-	read := s.pace[reading].Y
+func (s *Scheduler) detourCost(r *trackedRequest) func(*trackedServer) float64 {
+	read := s.stageLatency[stagePrefill].Mean
 	if read <= 0 {
-		return func(*server) float64 { return 0 }
+		return func(*trackedServer) float64 { return 0 }
 	}
-	patience, hasRoom := slightWait*float64(s.minAim)/read, s.cellsWithRoom(r, writes)
-	return func(v *server) (cost float64) {
-		if v.Zone != s.set.Zone {
+	patience, hasRoom := negligibleWait*float64(s.minAim)/read, s.cellsWithMemory(r, canDecode)
+	return func(v *trackedServer) (cost float64) {
+		if v.Zone != s.settings.Zone {
 			cost += patience
 		}
 		if !hasRoom(v) {
-			cost += moveWait * patience
+			cost += transferWaitFactor * patience
 		}
 		return cost
 	}
@@ -110,81 +110,81 @@
 // counts estimates the unfinished reads at readers on the fleet's scale, or
 // what is reported if that is more and new, and how far chance may put it off. Of
 // many nodes, own counts are chance: reports tell, with age the less, and the mean.
-func (s *Scheduler) counts(role Role) (count func(*server) float64, chance float64) {
-	mean, _ := s.mean(role, func(v *server) (float64, bool) { return float64(v.reads), true })
-	told, heard := s.mean(role, func(v *server) (float64, bool) { return s.running(v), len(v.report) > 0 })
-	if s.set.Nodes > manyNodes && heard > 0 {
-		return func(v *server) float64 {
+func (s *Scheduler) loadEstimate(role Role) (count func(*trackedServer) float64, chance float64) {
+	mean, _ := s.meanOver(role, func(v *trackedServer) (float64, bool) { return float64(v.pendingPrefills), true })
+	told, heard := s.meanOver(role, func(v *trackedServer) (float64, bool) { return s.reportedLoad(v), len(v.report) > 0 })
+	if s.settings.Nodes > manyNodes && heard > 0 {
+		return func(v *trackedServer) float64 {
 			if len(v.report) == 0 {
 				return told
 			}
-			return told + (s.running(v)-told)*math.Exp(-float64(s.now-v.reportAt)/float64(4*s.minAim))
+			return told + (s.reportedLoad(v)-told)*math.Exp(-float64(s.now-v.reportAt)/float64(4*s.minAim))
 		}, 1
 	}
-	return func(v *server) float64 {
-		n := trend.Fleet(s.set.Nodes, float64(v.reads), mean, 1)
-		if len(v.report) > 0 && s.now-v.reportAt < probeEvery {
-			n = max(n*(1-s.crowd), s.running(v))
+	return func(v *trackedServer) float64 {
+		n := trend.FleetTotal(s.settings.Nodes, float64(v.pendingPrefills), mean, 1)
+		if len(v.report) > 0 && s.now-v.reportAt < loadProbeInterval {
+			n = max(n*(1-s.unseenShare), s.reportedLoad(v))
 		}
 		return n
-	}, s.crowd * float64(s.set.Nodes-1) * mean / math.Sqrt(1+mean)
+	}, s.unseenShare * float64(s.settings.Nodes-1) * mean / math.Sqrt(1+mean)
 }
 
 // byPrefix is the gap test, then matches up to the cap, then the fewest-running
 // server, or one nearer to the node and to a writer with room that has few more. A reader
 // among the prefix's homes counts as holding it: all nodes send there, so that it does whether
 // this node has or not.
-func (s *Scheduler) byPrefix(r *request, pool []*server) *server {
-	count, chance := s.counts(pool[0].role)
+func (s *Scheduler) pickByPrefix(r *trackedRequest, pool []*trackedServer) *trackedServer {
+	count, chance := s.loadEstimate(pool[0].role)
 	key := cmp.Or(r.Prefix, r.Session)
-	fewest, best := pool[0], (*server)(nil)
+	fewest, best := pool[0], (*trackedServer)(nil)
 	var sum, sq, most, top float64
 	for _, v := range pool {
 		n, least := count(v), count(fewest)
 		sum, sq, most = sum+n, sq+n*n, max(most, n)
-		if here := v.Zone == s.set.Zone; n < least || n == least && (here && fewest.Zone != s.set.Zone ||
-			here == (fewest.Zone == s.set.Zone) && v.score(key) > fewest.score(key)) {
+		if here := v.Zone == s.settings.Zone; n < least || n == least && (here && fewest.Zone != s.settings.Zone ||
+			here == (fewest.Zone == s.settings.Zone) && v.rendezvousWeight(key) > fewest.rendezvousWeight(key)) {
 			fewest = v
 		}
 	}
-	if most-count(fewest) > max(countGap, deviations*chance) {
+	if most-count(fewest) > max(maxLoadGap, loadDeviations*chance) {
 		return fewest
 	}
 	n := float64(len(pool))
-	limit := sum/n + deviations*max(math.Sqrt(max(sq/n-sum/n*sum/n, 0)), chance)
-	homes, detour := s.homes(r, pool), s.detours(r)
-	load := func(v *server) float64 { return count(v) + detour(v) }
+	limit := sum/n + loadDeviations*max(math.Sqrt(max(sq/n-sum/n*sum/n, 0)), chance)
+	homes, detour := s.affinityTargets(r, pool), s.detourCost(r)
+	load := func(v *trackedServer) float64 { return count(v) + detour(v) }
 	for _, v := range pool {
-		share := s.share(r, v, homes)
+		share := s.assumedMatch(r, v, homes)
 		if share == 0 || count(v) > limit+1e-9 || best != nil && share < top {
 			continue
 		}
 		if best == nil || share > top || load(v) < load(best)-chance ||
-			load(v) <= load(best)+chance && s.closer(r, v, best) {
+			load(v) <= load(best)+chance && s.isCloser(r, v, best) {
 			best, top = v, share
 		}
 	}
-	return s.orSlowStart(cmp.Or(best, fewest), pool, func(v *server) float64 {
-		work := count(v)*s.prompt + r.PromptTokens - s.share(r, v, homes)
+	return s.preferSlowStart(cmp.Or(best, fewest), pool, func(v *trackedServer) float64 {
+		work := count(v)*s.meanPromptTokens + r.PromptTokens - s.assumedMatch(r, v, homes)
 		if v == homes[0] {
-			work = count(v) * s.prompt // little of the prompt is new where the session has been before
+			work = count(v) * s.meanPromptTokens // little of the prompt is new where the session has been before
 		}
 		return work
 	})
 }
 
 // closer prefers, of two readers that are alike, the one in the node's zone, then the session's.
-func (s *Scheduler) closer(r *request, v, other *server) bool {
-	here := v.Zone == s.set.Zone
-	if here != (other.Zone == s.set.Zone) {
+func (s *Scheduler) isCloser(r *trackedRequest, v, other *trackedServer) bool {
+	here := v.Zone == s.settings.Zone
+	if here != (other.Zone == s.settings.Zone) {
 		return here
 	}
-	return v.score(r.Session) > other.score(r.Session)
+	return v.rendezvousWeight(r.Session) > other.rendezvousWeight(r.Session)
 }
 
 // share is how much of a prompt a reader holds, in tokens, a home at least the shared prefix.
-func (s *Scheduler) share(r *request, v *server, homes []*server) float64 {
-	tokens, _ := s.match(r, v)
+func (s *Scheduler) assumedMatch(r *trackedRequest, v *trackedServer, homes []*trackedServer) float64 {
+	tokens, _ := s.matchPrefix(r, v)
 	if slices.Contains(homes, v) {
 		return max(tokens, r.PrefixTokens, 1)
 	}
@@ -194,10 +194,10 @@
 // orSlowStart leaves a choice for a reader in slow start that has been heard from just now and would
 // be sooner done: what a choice keeps of a prompt is worth the tokens that need not be read, no more.
 // Others that are idle are not taken so: one that fails at once is idle too.
-func (s *Scheduler) orSlowStart(choice *server, pool []*server, work func(*server) float64) *server {
-	least := work(choice) * max(s.set.Rules.ColdFrom, leastStartSpeed)
+func (s *Scheduler) preferSlowStart(choice *trackedServer, pool []*trackedServer, work func(*trackedServer) float64) *trackedServer {
+	least := work(choice) * max(s.settings.Rules.SlowStartCapacity, minSlowStartSpeed)
 	for _, v := range pool {
-		if s.inSlowStart(v) && s.now-v.reportAt < probeEvery && work(v) < least {
+		if s.inSlowStart(v) && s.now-v.reportAt < loadProbeInterval && work(v) < least {
 			choice, least = v, work(v)
 		}
 	}
@@ -206,8 +206,8 @@
 
 // candidates are the readers to ask before a choice: the prefix's homes, and one in slow start,
 // drawn, which few prompts would lead to.
-func (s *Scheduler) candidates(r *request, pool []*server) []*server {
-	candidates := s.homes(r, pool)
+func (s *Scheduler) probeCandidates(r *trackedRequest, pool []*trackedServer) []*trackedServer {
+	candidates := s.affinityTargets(r, pool)
 	for _, i := range s.rng.Perm(len(pool)) {
 		if s.inSlowStart(pool[i]) {
 			return append(candidates, pool[i])
@@ -220,57 +220,57 @@
 // among more readers the more traffic begins with it. Many nodes see too little of that, and where
 // no load is told nothing else shows that a home is overrun: it has a good part of them at once.
 // A node has one home in its own zone and one elsewhere: less leaves the zone, and one cut off serves itself.
-func (s *Scheduler) homes(r *request, pool []*server) []*server {
+func (s *Scheduler) affinityTargets(r *trackedRequest, pool []*trackedServer) []*trackedServer {
 	uses, n := 0.0, float64(len(pool))
 	for _, v := range pool {
-		uses += s.table.Used(v.runs, prefix.Key{Hash: r.Prefix})
+		uses += s.prefixTable.UsesOf(v.prefixRuns, prefix.Key{Hash: r.Prefix})
 	}
-	want, need := 2, spread*n*max(uses-1, 0)/(s.table.Uses()+n) // what was seen once may be chance
-	if s.set.Nodes > manyNodes && s.set.Reports == ReportNone {
-		want = max(want, int(n*blindShare))
+	want, need := 2, affinitySpread*n*max(uses-1, 0)/(s.prefixTable.TotalUses()+n) // what was seen once may be chance
+	if s.settings.Nodes > manyNodes && s.settings.Reports == ReportNone {
+		want = max(want, int(n*minBlindAffinity))
 	}
 	for float64(want) < need {
 		want *= 2 // so that nodes mostly agree and a session finds its earlier turns
 	}
-	near, far := s.byZone(pool)
+	near, far := s.splitByZone(pool)
 	if len(near) == 0 || len(far) == 0 {
-		return r.homesIn(pool, want, 2)
+		return r.affinityTargetsIn(pool, want, 2)
 	}
 	part := max(want/2, 1)
-	return append(r.homesIn(near, part, 1), r.homesIn(far, part, 1)...)
+	return append(r.affinityTargetsIn(near, part, 1), r.affinityTargetsIn(far, part, 1)...)
 }
 
 // pickWriter is the design's writer rule: the holder, else the roomiest.
-func (s *Scheduler) pickWriter(r *request, reader *server) *server {
-	h := r.ahead
-	if r.state != nil && h != nil && h.listed && !r.tried[h] && r.mayRunOn(h, s.now) && s.slowStartAllows(h, r) {
+func (s *Scheduler) pickDecode(r *trackedRequest, reader *trackedServer) *trackedServer {
+	h := r.reservation
+	if r.stateHolder != nil && h != nil && h.active && !r.tried[h] && r.mayRunOn(h, s.now) && s.slowStartAllows(h, r) {
 		return h
 	}
-	return s.roomiest(s.soonest(r, s.pool(r, writes), reader), reader)
+	return s.pickByFreeMemory(s.soonestToStart(r, s.eligibleServers(r, canDecode), reader), reader)
 }
 
 // soonest leaves of a pool the writers that are expected to begin an answer hardly later than the first
 // of them would: room in memory tells nothing of what waits for a slot, or to be read.
-func (s *Scheduler) soonest(r *request, pool []*server, reader *server) []*server {
-	wait := func(v *server) float64 { return s.delay(v, stageOf(true, reader, v), r.PromptTokens) }
+func (s *Scheduler) soonestToStart(r *trackedRequest, pool []*trackedServer, reader *trackedServer) []*trackedServer {
+	wait := func(v *trackedServer) float64 { return s.expectedDelay(v, stageOf(true, reader, v), r.PromptTokens) }
 	least := math.Inf(1)
 	for _, v := range pool {
 		least = min(least, wait(v))
 	}
-	limit := least + slightWait*float64(s.minAim)
-	return slices.DeleteFunc(slices.Clone(pool), func(v *server) bool { return wait(v) > limit })
+	limit := least + negligibleWait*float64(s.minAim)
+	return slices.DeleteFunc(slices.Clone(pool), func(v *trackedServer) bool { return wait(v) > limit })
 }
 
 // roomiest prefers the reader's cell, then its zone, while room there is not
 // far below the best anywhere. Equals are drawn for, or all nodes would follow
 // one old report to the same writer. Many nodes know so little of a writer that
 // each would take those with the largest memory: they draw for all, by their room.
-func (s *Scheduler) roomiest(pool []*server, reader *server) *server {
+func (s *Scheduler) pickByFreeMemory(pool []*trackedServer, reader *trackedServer) *trackedServer {
 	if len(pool) == 0 {
 		return nil
 	}
-	room := s.rooms(pool[0].role)
-	var best [3]*server // anywhere, in the zone, in the cell
+	room := s.freeMemory(pool[0].role)
+	var best [3]*trackedServer // anywhere, in the zone, in the cell
 	var most, sum [3]float64
 	first := s.rng.Intn(len(pool))
 	for i := range pool {
@@ -281,7 +281,7 @@
 			if more {
 				most[near] = n
 			}
-			if sum[near] += max(n, 1); s.set.Nodes > manyNodes {
+			if sum[near] += max(n, 1); s.settings.Nodes > manyNodes {
 				more = s.rng.Float64()*sum[near] < max(n, 1)
 			}
 			if more {
@@ -293,7 +293,7 @@
 		}
 	}
 	for near := 2; near > 0; near-- {
-		if best[near] != nil && most[near] >= max(most[0], 0)*nearRoom {
+		if best[near] != nil && most[near] >= max(most[0], 0)*minNearMemory {
 			return best[near]
 		}
 	}
@@ -303,23 +303,23 @@
 // rooms estimates the memory free at writers, less where one is slow: the lower
 // of what it reported less prompts sent since, and of what own requests suggest.
 // With age its cell's mean counts instead: some cells have too few writers.
-func (s *Scheduler) rooms(role Role) func(*server) float64 {
-	wanted := func(v *server) (float64, bool) { // held, and waited for
+func (s *Scheduler) freeMemory(role Role) func(*trackedServer) float64 {
+	wanted := func(v *trackedServer) (float64, bool) { // held, and waited for
 		x, ok := v.report[ReportMemory]
-		return x + v.report[ReportQueue]*s.prompt/max(v.memory, 1), ok
+		return x + v.report[ReportQueue]*s.meanPromptTokens/max(v.memoryTokens, 1), ok
 	}
-	used, heard := s.mean(role, wanted)
-	held, _ := s.mean(role, func(v *server) (float64, bool) { return v.held, true })
-	cell, told := s.byCell(role, wanted)
-	return func(v *server) float64 {
-		room := v.memory - trend.Fleet(s.set.Nodes, v.held, held, s.prompt)
+	used, heard := s.meanOver(role, wanted)
+	held, _ := s.meanOver(role, func(v *trackedServer) (float64, bool) { return v.decodeTokens, true })
+	cell, told := s.sumByCell(role, wanted)
+	return func(v *trackedServer) float64 {
+		room := v.memoryTokens - trend.FleetTotal(s.settings.Nodes, v.decodeTokens, held, s.meanPromptTokens)
 		if heard > 0 {
 			x := (cell[v.Cell] + used) / (told[v.Cell] + 1)
 			if own, ok := wanted(v); ok {
 				x += (own - x) * math.Exp(-float64(s.now-v.reportAt)/float64(4*s.minAim))
 			}
-			room = min(v.memory-v.held, v.memory*(1-x)-v.sentSince)
+			room = min(v.memoryTokens-v.decodeTokens, v.memoryTokens*(1-x)-v.sentSinceReport)
 		}
-		return min(room, room/max(v.ratio, 1))
+		return min(room, room/max(v.latencyRatio, 1))
 	}
 }
--- a/cmd/ashwood/daemon.go
+++ b/cmd/ashwood/daemon.go
@@ -163,7 +163,7 @@
 	d.phase.set(stopping)
 	noticedAt := d.clock.Now()
 	lifetime := d.notice.lifetime(d.cfg.Settings)
-	d.log.Info("shutdown: told to end", "take_ms", lifetime.TakeUntil-d.clock.Now(), "answer_ms", lifetime.AnswerBy-d.clock.Now())
+	d.log.Info("shutdown: told to end", "take_ms", lifetime.AdmitUntil-d.clock.Now(), "answer_ms", lifetime.AnswerBy-d.clock.Now())
 	d.processes.announce(handover.Leaving)
 	for _, f := range d.fronts {
 		f.drain()
@@ -174,7 +174,7 @@
 	for _, f := range d.fronts {
 		go f.stopAccepting()
 	}
-	d.reloadUntil(d.timerChannel(lifetime.TakeUntil))
+	d.reloadUntil(d.timerChannel(lifetime.AdmitUntil))
 	d.log.Info("shutdown: drain period is over, no new requests are accepted")
 
 	errs := make([]error, len(d.fronts))
--- a/cmd/ashwood/fronts.go
+++ b/cmd/ashwood/fronts.go
@@ -33,7 +33,7 @@
 	writeMetrics      func(io.Writer) error
 	setProcesses      func(processes int)                    // scales limits down to this process's share of the machine's
 	disableKeepAlives func(bool)                             // while a newer process serves, so that clients reconnect to it
-	setHandover       func(platform.Give)                    // has started answers handed over to another process
+	setHandover       func(platform.HandoverFunc)            // has started answers handed over to another process
 	adopt             func([]byte, net.Conn, net.Conn) error // continues another process's answer
 	setLifetime       func(lifecycle.Lifetime)
 }
@@ -46,13 +46,13 @@
 	sockets := float64(cfg.Limits.Sockets)
 	options := []router.Option{router.WithClock(c), router.WithLogger(log)}
 	discovery := router.NewPlatform(cfg.Discovery, options...)
-	discovery.Fleet(cfg.Settings, cfg.Seed)
+	discovery.Configure(cfg.Settings, cfg.Seed)
 	known := cfg.KnownMembership.Engines
 	if len(known) > 0 {
-		discovery.Known(cfg.KnownMembership.Generation)
+		discovery.ResumeFrom(cfg.KnownMembership.Generation)
 	}
 	source := &firstUpdateSource{Source: discovery, received: make(chan struct{})}
-	requestRouter, err := router.New(router.Config{Settings: cfg.Settings, Seed: cfg.Seed, Known: known, Limits: limitConfig},
+	requestRouter, err := router.New(router.Config{Settings: cfg.Settings, Seed: cfg.Seed, LastKnownEngines: known, Limits: limitConfig},
 		append(options, router.WithSource(source), router.WithTransport(router.HTTPEngines(int(sockets*engineSocketShare))))...)
 	if err != nil {
 		return front{}, err
@@ -80,16 +80,16 @@
 			err := server.Shutdown(context.Background())
 			return errors.Join(err, requestRouter.Shutdown(context.Background()))
 		},
-		reload: func(cfg config.Config) { discovery.Move(cfg.Discovery) }, writeMetrics: requestRouter.Vars,
+		reload: func(cfg config.Config) { discovery.SetAddress(cfg.Discovery) }, writeMetrics: requestRouter.WriteMetrics,
 		setProcesses: func(processes int) {
-			requestRouter.Share(processes)
-			server.Share(processes)
-			discovery.Share(processes)
+			requestRouter.SetProcesses(processes)
+			server.SetProcesses(processes)
+			discovery.SetProcesses(processes)
 		},
-		disableKeepAlives: server.Yield, setHandover: server.Give, adopt: server.Adopt,
+		disableKeepAlives: server.DisableKeepAlives, setHandover: server.SetHandover, adopt: server.Adopt,
 		setLifetime: func(lifetime lifecycle.Lifetime) {
-			requestRouter.EndBy(lifetime)
-			server.EndBy(clock.Duration(lifetime.AnswerBy - c.Now()))
+			requestRouter.SetLifetime(lifetime)
+			server.ExpireReadsAfter(clock.Duration(lifetime.AnswerBy - c.Now()))
 		},
 	}, nil
 }
@@ -123,7 +123,7 @@
 			return requestRouter.Shutdown(context.Background())
 		},
 		reload:       func(config.Config) {}, // its engines don't come from the platform's discovery
-		writeMetrics: requestRouter.Vars, setProcesses: requestRouter.Share, disableKeepAlives: func(bool) {}, setHandover: func(platform.Give) {},
-		setLifetime: requestRouter.EndBy,
+		writeMetrics: requestRouter.WriteMetrics, setProcesses: requestRouter.SetProcesses, disableKeepAlives: func(bool) {}, setHandover: func(platform.HandoverFunc) {},
+		setLifetime: requestRouter.SetLifetime,
 	}, nil
 }
--- a/cmd/ashwood/notice.go
+++ b/cmd/ashwood/notice.go
@@ -164,7 +164,7 @@
 	for _, class := range settings.Classes {
 		longestDeadline = max(longestDeadline, clock.Millis(class.Deadline))
 	}
-	return lifecycle.Told(n.signaledAt, longestDeadline)
+	return lifecycle.AfterSignal(n.signaledAt, longestDeadline)
 }
 
 // close stops the heartbeat.
--- a/cmd/ashwood/notice_test.go
+++ b/cmd/ashwood/notice_test.go
@@ -29,7 +29,7 @@
 	} {
 		manual := clock.NewManual(10000)
 		n := newShutdownNotice(context.Background(), manual)
-		if l := n.lifetime(settings); !l.Takes(1e12) {
+		if l := n.lifetime(settings); !l.Admits(1e12) {
 			t.Errorf("%s: before a signal, the lifetime is %+v", tt.name, l)
 		}
 		n.stopTimer() // timers don't fire while a process is stopped
--- a/cmd/ashwood/versions.go
+++ b/cmd/ashwood/versions.go
@@ -71,7 +71,7 @@
 	}
 	startedAt := g.clock.Now()
 	for ctx.Err() == nil && g.clock.Now()-startedAt < acknowledgeTimeout {
-		if members, _ := g.group.Members(); handover.Noted(g.group.Self().Name, members) {
+		if members, _ := g.group.Members(); handover.NotedByAll(g.group.Self().Name, members) {
 			break
 		}
 		clock.Wait(ctx, g.clock, refreshInterval/10)
@@ -112,12 +112,12 @@
 		g.log.Warn("upgrade: can't read which other processes there are", "err", err)
 		return
 	}
-	if plan := handover.Decide(g.group.Self().Name, members); plan != g.plan {
+	if plan := handover.MakePlan(g.group.Self().Name, members); plan != g.plan {
 		g.plan = plan
 		g.applyShare()
-		g.log.Info("upgrade: processes of this gateway", "count", plan.Processes, "newer_one_serves", plan.Yield)
+		g.log.Info("upgrade: processes of this gateway", "count", plan.Processes, "newer_one_serves", plan.Superseded)
 	}
-	if err := g.group.Note(members); err != nil {
+	if err := g.group.NoteMembers(members); err != nil {
 		g.log.Warn("upgrade: can't publish this process's state", "err", err)
 	}
 }
@@ -127,7 +127,7 @@
 	debug.SetMemoryLimit(g.memoryBytes / int64(g.plan.Processes))
 	for _, f := range g.fronts {
 		f.setProcesses(g.plan.Processes)
-		f.disableKeepAlives(g.plan.Yield)
+		f.disableKeepAlives(g.plan.Superseded)
 	}
 }
 
@@ -136,7 +136,7 @@
 	if g.group == nil {
 		return
 	}
-	if err := g.group.Tell(s); err != nil {
+	if err := g.group.SetState(s); err != nil {
 		g.log.Warn("upgrade: can't publish this process's state", "err", err)
 	}
 }
@@ -169,7 +169,7 @@
 	if err != nil {
 		g.log.Warn("upgrade: can't read which other processes there are", "err", err)
 	}
-	successor, ok := handover.Heir(g.group.Self().Name, members)
+	successor, ok := handover.Successor(g.group.Self().Name, members)
 	if !ok {
 		return
 	}
@@ -204,8 +204,8 @@
 }
 
 // Run runs the source and watches for its first update.
-func (s *firstUpdateSource) Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error {
-	return s.Source.Run(ctx, func(form ashwood.ListForm, servers []ashwood.Server) {
+func (s *firstUpdateSource) Run(ctx context.Context, update func(ashwood.MembershipForm, []ashwood.Server)) error {
+	return s.Source.Run(ctx, func(form ashwood.MembershipForm, servers []ashwood.Server) {
 		update(form, servers)
 		s.once.Do(func() { close(s.received) })
 	})
--- a/cold_test.go
+++ b/cold_test.go
@@ -30,12 +30,12 @@
 			t.Run(fmt.Sprintf("%d gateways, %d starts, %v a second", nodes, starts, perSecond), func(t *testing.T) {
 				t.Parallel()
 				set := nodesOf(nodes)
-				set.Rules = Rules{FallMultiple: 2.5, FallWindow: time.Second, ColdFrom: 0.31, ColdTime: 12 * time.Second, Release: time.Second}
-				n := set.Rules.FallMultiple * set.Rules.ColdFrom * perSecond / readers / load * spare * set.Rules.FallWindow.Seconds()
+				set.Rules = Rules{SlowStartMultiple: 2.5, SlowStartWindow: time.Second, SlowStartCapacity: 0.31, SlowStartDuration: 12 * time.Second, ReleaseTimeout: time.Second}
+				n := set.Rules.SlowStartMultiple * set.Rules.SlowStartCapacity * perSecond / readers / load * spare * set.Rules.SlowStartWindow.Seconds()
 				worst, total := 0, 0
 				for seed := range seeds {
 					for id, sent := range slowStartSends(t, set, int64(seed), perSecond, readers, starts) {
-						in := mostWithin(sent, set.Rules.FallWindow)
+						in := mostWithin(sent, set.Rules.SlowStartWindow)
 						worst, total = max(worst, in), total+len(sent)
 						if float64(in) > slowStartLimit(n) {
 							t.Errorf("seed %d, %s: %d sends in a window, at most %.1f", seed, id, in, slowStartLimit(n))
@@ -44,7 +44,7 @@
 				}
 				each := float64(total) / float64(seeds*starts)
 				t.Logf("%d seeds: at most %d sends in a window of %.1f allowed, %.0f a start", seeds, worst, slowStartLimit(n), each)
-				if least := set.Rules.ColdTime.Seconds() / 2; each < least {
+				if least := set.Rules.SlowStartDuration.Seconds() / 2; each < least {
 					t.Errorf("%.1f sends to a server in slow start, at least %.1f wanted", each, least)
 				}
 			})
@@ -82,13 +82,13 @@
 	prefixes := []uint64{r.Uint64(), r.Uint64(), r.Uint64()}
 	sent := map[ServerID][]time.Duration{}
 	now := time.Hour
-	for k := 0; now < begun+set.Rules.ColdTime; k++ {
+	for k := 0; now < begun+set.Rules.SlowStartDuration; k++ {
 		now += time.Duration(r.ExpFloat64() / perSecond * float64(time.Second))
 		for i, gateway := range gateways {
 			gateway.now = now
 			notices[i] = slices.DeleteFunc(notices[i], func(n notice) bool {
 				if now >= n.at {
-					gateway.do(Members{Form: ListPatch, Entries: []Server{n.server}})
+					gateway.do(MembershipUpdate{Form: MembershipDelta, Entries: []Server{n.server}})
 				}
 				return now >= n.at
 			})
@@ -100,16 +100,16 @@
 			key = r.Uint64()
 		}
 		gateway.ask(id, key, 0)
-		read, ok := pick[Attempt](gateway)
+		read, ok := pick[Send](gateway)
 		if !ok {
 			continue
 		}
 		if gateway.s.servers[read.Server].Started > 0 {
 			sent[read.Server] = append(sent[read.Server], now)
 		}
-		gateway.end(id, 0, string(read.Server), Parsed)
-		if write, ok := pick[Attempt](gateway); ok {
-			gateway.do(Outcome{ID: RequestID(id), Attempt: 1, Server: write.Server, Status: Served, Done: true, Latency: 9 * ms})
+		gateway.end(id, 0, string(read.Server), StatusPrefilled)
+		if write, ok := pick[Send](gateway); ok {
+			gateway.do(Outcome{ID: RequestID(id), Attempt: 1, Server: write.Server, Status: StatusServed, RequestDone: true, Latency: 9 * ms})
 		}
 	}
 	return sent
@@ -164,25 +164,25 @@
 					v := reader("r0")
 					v.Started = now
 					o.now = now
-					o.do(Members{Form: ListPatch, Entries: []Server{v}})
+					o.do(MembershipUpdate{Form: MembershipDelta, Entries: []Server{v}})
 				}
 			}
 			id := fmt.Sprint("q", k)
 			n.ask(id, uint64(k), 0)
-			a, ok := pick[Attempt](n)
+			a, ok := pick[Send](n)
 			if !ok {
 				continue
 			}
 			if count > 0 && a.Server == "r0" {
 				sent = append(sent, now)
 			}
-			n.end(id, 0, string(a.Server), Parsed)
-			if b, ok := pick[Attempt](n); ok {
-				n.do(Outcome{ID: RequestID(id), Attempt: 1, Server: b.Server, Status: Served, Done: true, Latency: 9 * ms})
+			n.end(id, 0, string(a.Server), StatusPrefilled)
+			if b, ok := pick[Send](n); ok {
+				n.do(Outcome{ID: RequestID(id), Attempt: 1, Server: b.Server, Status: StatusServed, RequestDone: true, Latency: 9 * ms})
 			}
 		}
-		worst := mostWithin(sent, set.Rules.FallWindow)
-		limit := set.Rules.FallMultiple * set.Rules.ColdFrom * perSecond / 6
+		worst := mostWithin(sent, set.Rules.SlowStartWindow)
+		limit := set.Rules.SlowStartMultiple * set.Rules.SlowStartCapacity * perSecond / 6
 		if nodes > manyNodes { // and what the rule grants to chance
 			n := limit * 6 / 5 // which peers finish beside one that gets less
 			limit = n + 2*math.Sqrt(n) + 2
--- a/detour_test.go
+++ b/detour_test.go
@@ -38,21 +38,21 @@
 			set.Reports = ReportNone
 			n := newNode(t, set, detourFleet()...)
 			if tt.read > 0 {
-				n.s.pace[reading].Observe(n.now, tt.read, 320)
+				n.s.stageLatency[stagePrefill].Observe(n.now, tt.read, 320)
 			}
-			for _, v := range n.s.order {
+			for _, v := range n.s.sortedServers {
 				switch string(v.ID) {
 				case tt.full:
-					v.held, v.sentSince = v.memory, v.memory
+					v.decodeTokens, v.sentSinceReport = v.memoryTokens, v.memoryTokens
 				case "ra":
-					v.reads = tt.ahead
+					v.pendingPrefills = tt.ahead
 				}
 			}
-			r := &request{
+			r := &trackedRequest{
 				Request: Request{ID: "q", Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 320},
-				class:   n.s.classes["chat"], tried: map[*server]bool{},
+				class:   n.s.classes["chat"], tried: map[*trackedServer]bool{},
 			}
-			if got := n.s.byPrefix(r, n.s.pool(r, reads)); string(got.ID) != tt.want {
+			if got := n.s.pickByPrefix(r, n.s.eligibleServers(r, isPrefill)); string(got.ID) != tt.want {
 				t.Errorf("read at %s, want %s", got.ID, tt.want)
 			}
 		})
@@ -78,18 +78,18 @@
 		t.Run(fmt.Sprint(tt), func(t *testing.T) {
 			set := settings()
 			set.Kinds[2].MemoryTokens = 2 * set.Kinds[1].MemoryTokens
-			mixed := Server{ID: "mixed", Zone: "a", Kind: "mixed", State: StateOn}
+			mixed := Server{ID: "mixed", Zone: "a", Kind: "mixed", State: StateActive}
 			n := newNode(t, set, reader("ra"), writer("wa", 0), mixed)
 			for tokens := 320.0; tokens < 30000; tokens *= 2 {
-				n.s.pace[writing].Observe(n.now, time.Duration(tokens/50)*ms, tokens)
+				n.s.stageLatency[stageDecode].Observe(n.now, time.Duration(tokens/50)*ms, tokens)
 			}
-			for _, v := range n.s.order {
-				v.queue = tt.waiting[string(v.ID)]
+			for _, v := range n.s.sortedServers {
+				v.queuedTokens = tt.waiting[string(v.ID)]
 			}
-			r := &request{
-				Request: Request{ID: "q", Session: 1, PromptTokens: 320}, class: n.s.classes["chat"], tried: map[*server]bool{},
+			r := &trackedRequest{
+				Request: Request{ID: "q", Session: 1, PromptTokens: 320}, class: n.s.classes["chat"], tried: map[*trackedServer]bool{},
 			}
-			if got := n.s.pickWriter(r, n.s.servers["ra"]); string(got.ID) != tt.want {
+			if got := n.s.pickDecode(r, n.s.servers["ra"]); string(got.ID) != tt.want {
 				t.Errorf("answered at %s, want %s", got.ID, tt.want)
 			}
 		})
--- a/ending.go
+++ b/ending.go
@@ -11,30 +11,30 @@
 
 // ending cuts the deadlines of all requests, those to come too, to the node's own. Told again,
 // only an earlier time counts.
-func (s *Scheduler) ending(e Ending) {
-	if e.At >= s.endsAt {
+func (s *Scheduler) handleShutdown(e Shutdown) {
+	if e.Deadline >= s.shutdownAt {
 		return
 	}
-	s.endsAt = e.At
-	for _, r := range s.reqs {
-		r.deadline = min(r.deadline, s.endsAt)
+	s.shutdownAt = e.Deadline
+	for _, r := range s.requests {
+		r.deadline = min(r.deadline, s.shutdownAt)
 	}
-	s.after(max(s.endsAt-s.now, 0), timer{what: endRequests})
+	s.setTimer(max(s.shutdownAt-s.now, 0), pendingTimer{purpose: timerShutdown})
 }
 
 // endRequests gives up each request whose answer has not begun, whether or not an attempt is
 // out for it. One at a writer may run yet; a read has no effect, however it ends.
-func (s *Scheduler) endRequests() {
-	for _, id := range slices.Sorted(maps.Keys(s.reqs)) {
-		r := s.reqs[id]
+func (s *Scheduler) giveUpUnanswered() {
+	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
+		r := s.requests[id]
 		if r.done {
 			continue
 		}
 		for _, a := range r.attempts {
-			if a.out && a.write && r.ran == nil {
-				r.ran = a
+			if a.inFlight && a.decodes && r.firstRun == nil {
+				r.firstRun = a
 			}
 		}
-		s.giveUp(r, WhyEnding)
+		s.giveUp(r, ReasonShutdown)
 	}
 }
--- a/ending_test.go
+++ b/ending_test.go
@@ -16,24 +16,24 @@
 	n := newNode(t, settings(), reader("r"), writer("w", 0))
 	n.askClass("early", "pay")
 	n.now += 100 * ms
-	n.do(Ending{At: n.now + 3*time.Second})
-	n.do(Ending{At: n.now + 4*time.Second}) // told again
+	n.do(Shutdown{Deadline: n.now + 3*time.Second})
+	n.do(Shutdown{Deadline: n.now + 4*time.Second}) // told again
 	n.askClass("late", "chat")
-	if a, ok := pick[Attempt](n); !ok || a.Timeout != 3*time.Second {
+	if a, ok := pick[Send](n); !ok || a.Timeout != 3*time.Second {
 		t.Errorf("a request that comes after: %v", n.out)
 	}
 	n.now += time.Second
-	n.end("early", 0, "r", Parsed)
-	if a, ok := pick[Attempt](n); !ok || a.Timeout != 2*time.Second {
+	n.end("early", 0, "r", StatusPrefilled)
+	if a, ok := pick[Send](n); !ok || a.Timeout != 2*time.Second {
 		t.Errorf("a further attempt of one that was there: %v", n.out)
 	}
 	n.now += 2 * time.Second
-	n.end("late", 0, "r", Parsed)
-	lacks[Attempt](n)
+	n.end("late", 0, "r", StatusPrefilled)
+	lacks[Send](n)
 	wants[Refuse](n)
 	wants[Release](n)
 	n.askClass("later", "chat")
-	lacks[Attempt](n)
+	lacks[Send](n)
 	wants[Refuse](n)
 }
 
@@ -53,16 +53,16 @@
 		n := newNode(t, settings(), reader("r"), writer("w", 0))
 		n.askClass("a", tt.class)
 		if tt.writing {
-			n.end("a", 0, "r", Parsed)
+			n.end("a", 0, "r", StatusPrefilled)
 			n.sentTo("w")
 		}
-		n.do(Ending{At: n.now + 3*time.Second})
+		n.do(Shutdown{Deadline: n.now + 3*time.Second})
 		set, ok := pick[SetTimer](n)
 		if !ok {
 			t.Fatalf("%s: no timer in %v", tt.name, n.out)
 		}
 		n.now = set.At
-		n.do(Timer{Token: set.Token})
+		n.do(TimerFired{Token: set.Token})
 		if _, refused := pick[Refuse](n); refused != tt.refused {
 			t.Errorf("%s: %v", tt.name, n.out)
 		}
@@ -71,7 +71,7 @@
 		}
 		wants[Cancel](n)
 		wants[Release](n)
-		n.do(Timer{Token: set.Token})
+		n.do(TimerFired{Token: set.Token})
 		lacks[Refuse](n)
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -18,13 +18,13 @@
 		panic(err)
 	}
 	now := time.Duration(0)
-	s.Handle(now, ashwood.Members{Form: ashwood.ListWhole, Entries: []ashwood.Server{
-		{ID: "reader-1", Kind: "prefill", State: ashwood.StateOn},
-		{ID: "writer-1", Kind: "decode", State: ashwood.StateOn},
+	s.Handle(now, ashwood.MembershipUpdate{Form: ashwood.MembershipSnapshot, Entries: []ashwood.Server{
+		{ID: "reader-1", Kind: "prefill", State: ashwood.StateActive},
+		{ID: "writer-1", Kind: "decode", State: ashwood.StateActive},
 	}}, nil)
 	show := func(out []ashwood.Action) {
 		for _, a := range out {
-			if a, ok := a.(ashwood.Attempt); ok {
+			if a, ok := a.(ashwood.Send); ok {
 				fmt.Println("send", a.ID, "to", a.Server)
 			}
 		}
@@ -33,7 +33,7 @@
 		ID: "a", Class: "chat", Session: 7, PromptTokens: 900, TimeLeft: 5 * time.Second,
 	}, nil))
 	now += 80 * time.Millisecond
-	show(s.Handle(now, ashwood.Outcome{ID: "a", Server: "reader-1", Status: ashwood.Parsed}, nil))
+	show(s.Handle(now, ashwood.Outcome{ID: "a", Server: "reader-1", Status: ashwood.StatusPrefilled}, nil))
 	// Output:
 	// send a to reader-1
 	// send a to writer-1
--- a/facade_test.go
+++ b/facade_test.go
@@ -22,12 +22,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Update(ListWhole, list)
+	r.Update(MembershipSnapshot, list)
 	return r, c
 }
 
-func call(id, class string) Call {
-	return Call{ID: RequestID(id), Class: class, Session: 1, PromptTokens: 320, Remaining: 3000}
+func call(id, class string) RequestInfo {
+	return RequestInfo{ID: RequestID(id), Class: class, Session: 1, PromptTokens: 320, Remaining: 3000}
 }
 
 // same compares steps, their contexts aside.
@@ -44,22 +44,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	same(t, Step{Kind: StepSend, Engine: reader("r1"), Reads: true, Timeout: 3000, Place: writer("w1", 0)}, step)
+	same(t, Step{Kind: StepSend, Engine: reader("r1"), Prefill: true, Timeout: 3000, ReserveAt: writer("w1", 0)}, step)
 	if _, err := r.Pick(context.Background(), call("a", "chat")); !errors.Is(err, ErrDuplicate) {
 		t.Error(err)
 	}
-	if next, ok := r.Place("a", 0, "w1", true); ok {
+	if next, ok := r.ReportReservation("a", 0, "w1", true); ok {
 		t.Errorf("another place at %s", next.ID)
 	}
 	c.now += 80.25
 	same(t, Step{Kind: StepSend, Attempt: 1, Engine: writer("w1", 0), Timeout: 2919.75},
-		r.Report("a", 0, Result{Status: Parsed}))
-	if !r.Begun("a", 1) || r.Begun("a", 1) {
+		r.ReportResult("a", 0, Result{Status: StatusPrefilled}))
+	if !r.AnswerStarted("a", 1) || r.AnswerStarted("a", 1) {
 		t.Error("an answer begins once")
 	}
-	same(t, Step{Kind: StepOver}, r.Report("a", 1, Result{Status: Served}))
-	if len(r.flights) != 0 || len(r.sched.reqs) != 0 {
-		t.Errorf("left: %v, %v", r.flights, r.sched.reqs)
+	same(t, Step{Kind: StepDone}, r.ReportResult("a", 1, Result{Status: StatusServed}))
+	if len(r.flights) != 0 || len(r.scheduler.requests) != 0 {
+		t.Errorf("left: %v, %v", r.flights, r.scheduler.requests)
 	}
 }
 
@@ -77,7 +77,7 @@
 	for wait := r.Tick(); wait < 1e9; wait = r.Tick() {
 		c.now += wait
 	}
-	same(t, Step{Kind: StepRefuse, Release: true, RetryAfter: 400, Why: WhyNoReader}, <-steps)
+	same(t, Step{Kind: StepRefuse, Release: true, RetryAfter: 400, Reason: ReasonNoPrefillServer}, <-steps)
 	if c.now > 1e12+3000 {
 		t.Errorf("refused after %v ms", c.now-1e12)
 	}
@@ -91,14 +91,14 @@
 	step, _ := r.Pick(ctx, call("a", "pay"))
 	leave()
 	<-step.Context.Done()
-	if r.Begun("a", 0) {
+	if r.AnswerStarted("a", 0) {
 		t.Error("an answer begins for nobody")
 	}
-	same(t, Step{Kind: StepOver, Release: true}, r.Report("a", 0, Result{Status: CalledOff}))
+	same(t, Step{Kind: StepDone, Release: true}, r.ReportResult("a", 0, Result{Status: StatusCancelled}))
 	step, _ = r.Pick(ctx, call("b", "pay")) // it had left before
-	same(t, Step{Kind: StepOver, Release: true}, step)
-	if len(r.flights) != 0 || len(r.sched.reqs) != 0 {
-		t.Errorf("left: %v, %v", r.flights, r.sched.reqs)
+	same(t, Step{Kind: StepDone, Release: true}, step)
+	if len(r.flights) != 0 || len(r.scheduler.requests) != 0 {
+		t.Errorf("left: %v, %v", r.flights, r.scheduler.requests)
 	}
 }
 
@@ -109,7 +109,7 @@
 	for step.Context.Err() == nil && c.now < 1e12+2900 {
 		c.now += r.Tick()
 	}
-	next := r.Report("a", 0, Result{Status: CalledOff})
+	next := r.ReportResult("a", 0, Result{Status: StatusCancelled})
 	if step.Context.Err() == nil || next.Kind != StepSend || next.Engine.ID == step.Engine.ID {
 		t.Errorf("after %s: %+v", step.Engine.ID, next)
 	}
@@ -118,9 +118,9 @@
 // Stray reports must neither panic nor act.
 func TestStrayReports(t *testing.T) {
 	r, _ := newRouter(t, settings(), reader("r1"), writer("w1", 0))
-	same(t, Step{Kind: StepOver}, r.Report("none", 0, Result{Status: Parsed}))
-	same(t, Step{Kind: StepOver}, r.Next("none"))
-	if _, ok := r.Place("none", 0, "w1", true); ok || r.Begun("none", 0) || r.Accepts("none") {
+	same(t, Step{Kind: StepDone}, r.ReportResult("none", 0, Result{Status: StatusPrefilled}))
+	same(t, Step{Kind: StepDone}, r.Next("none"))
+	if _, ok := r.ReportReservation("none", 0, "w1", true); ok || r.AnswerStarted("none", 0) || r.Accepts("none") {
 		t.Error("acted for a request or a server that is not known")
 	}
 	if _, err := r.Pick(context.Background(), call("a", "nosuch")); !errors.Is(err, ErrUnknownClass) {
--- a/fairness_test.go
+++ b/fairness_test.go
@@ -52,16 +52,16 @@
 	gateway.now = s.now
 	for _, action := range gateway.do(e) {
 		switch a := action.(type) {
-		case Attempt:
-			s.attempt(gateway, a, len(gateway.s.reqs[a.ID].attempts)-1)
-		case Ahead:
-			s.after(ms, func() { s.tell(gateway, PlaceNote{ID: a.ID, Server: a.Server, Held: true}) })
+		case Send:
+			s.attempt(gateway, a, len(gateway.s.requests[a.ID].attempts)-1)
+		case Reserve:
+			s.after(ms, func() { s.tell(gateway, ReservationResult{ID: a.ID, Server: a.Server, Held: true}) })
 		case Probe:
 			s.after(2*ms, func() {
-				s.tell(gateway, Probed{Server: a.Server, Status: Served, Report: s.report(a.Server)})
+				s.tell(gateway, ProbeResult{Server: a.Server, Status: StatusServed, Report: s.report(a.Server)})
 			})
 		case SetTimer:
-			heap.Push(&s.agenda, occasion{a.At, func() { s.tell(gateway, Timer{a.Token}) }})
+			heap.Push(&s.agenda, occasion{a.At, func() { s.tell(gateway, TimerFired{a.Token}) }})
 		case Cancel:
 			s.called[fmt.Sprint(a.ID, a.Attempt)] = true
 		case Refuse:
@@ -70,11 +70,11 @@
 	}
 }
 
-func (s *simulation) attempt(gateway *node, a Attempt, number int) {
-	request := gateway.s.reqs[a.ID]
+func (s *simulation) attempt(gateway *node, a Send, number int) {
+	request := gateway.s.requests[a.ID]
 	if gateway.s.servers[a.Server].role != RoleRead {
 		s.after(5*ms, func() {
-			s.tell(gateway, Outcome{ID: a.ID, Attempt: number, Server: a.Server, Status: Served, Done: true, Latency: 5 * ms})
+			s.tell(gateway, Outcome{ID: a.ID, Attempt: number, Server: a.Server, Status: StatusServed, RequestDone: true, Latency: 5 * ms})
 		})
 		return
 	}
@@ -83,9 +83,9 @@
 	s.free[a.Server] = max(s.free[a.Server], s.now) + time.Duration(tokens/s.speed*float64(time.Second))
 	heap.Push(&s.agenda, occasion{s.free[a.Server], func() {
 		s.waiting[a.Server] -= tokens
-		status := Parsed
+		status := StatusPrefilled
 		if s.called[fmt.Sprint(a.ID, number)] {
-			status = CalledOff
+			status = StatusCancelled
 		}
 		s.tell(gateway, Outcome{
 			ID: a.ID, Attempt: number, Server: a.Server, Status: status, Latency: s.now - begun, Report: s.report(a.Server),
--- a/flight.go
+++ b/flight.go
@@ -7,48 +7,48 @@
 
 // flight is a request on its way through the router.
 type flight struct {
-	ctx     context.Context
-	ready   chan struct{} // something below has changed
-	step    Step          // the next one; Kind 0 = not known yet
-	place   Server        // a place to ask for while a read is out
-	release bool
-	over    bool
-	out     int // attempts
-	sent    []float64
-	cancel  []context.CancelFunc
+	ctx            context.Context
+	changed        chan struct{} // something below has changed
+	nextStep       Step          // the next one; Kind 0 = not known yet
+	reserveNext    Server        // a place to ask for while a read is out
+	releasePending bool
+	done           bool
+	inFlight       int // attempts
+	sentAt         []float64
+	cancels        []context.CancelFunc
 }
 
 // wait gives a flight's next step once there is one.
-func (t *Router) wait(id RequestID, f *flight) Step {
+func (t *Router) waitForStep(id RequestID, f *flight) Step {
 	for {
-		if step := t.step(id, f); step.Kind != 0 {
+		if step := t.takeStep(id, f); step.Kind != 0 {
 			return step
 		}
 		select {
-		case <-f.ready:
+		case <-f.changed:
 		case <-f.ctx.Done():
 		}
 	}
 }
 
 // step gives a flight's next step, without a kind as long as there is none.
-func (t *Router) step(id RequestID, f *flight) Step {
+func (t *Router) takeStep(id RequestID, f *flight) Step {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.leave(id, f)
-	step := f.step
+	t.checkDisconnect(id, f)
+	step := f.nextStep
 	switch {
 	case step.Kind != 0:
-	case f.over:
-		step.Kind = StepOver
-	case f.release:
+	case f.done:
+		step.Kind = StepDone
+	case f.releasePending:
 		step.Kind = StepRelease
 	default:
 		return step
 	}
-	step.Release = f.release
-	f.step, f.release = Step{}, false
-	if f.over && f.out == 0 {
+	step.Release = f.releasePending
+	f.nextStep, f.releasePending = Step{}, false
+	if f.done && f.inFlight == 0 {
 		delete(t.flights, id)
 	}
 	return step
@@ -56,55 +56,55 @@
 
 // leave tells the module that a request's client has left. A step not yet
 // taken up is dropped, its attempt reported as never sent.
-func (t *Router) leave(id RequestID, f *flight) {
-	if f.over || f.ctx.Err() == nil {
+func (t *Router) checkDisconnect(id RequestID, f *flight) {
+	if f.done || f.ctx.Err() == nil {
 		return
 	}
-	f.over = true
-	t.handle(Gone{id})
-	t.drop(id, f)
+	f.done = true
+	t.handle(ClientDisconnected{id})
+	t.dropStep(id, f)
 }
 
 // drop takes back a step that has not been taken up, and reports its attempt as never sent.
-func (t *Router) drop(id RequestID, f *flight) {
-	step := f.step
-	f.step = Step{}
+func (t *Router) dropStep(id RequestID, f *flight) {
+	step := f.nextStep
+	f.nextStep = Step{}
 	if step.Kind != StepSend {
 		return
 	}
-	f.out--
-	f.cancel[step.Attempt]()
-	t.handle(Outcome{ID: id, Attempt: step.Attempt, Server: step.Engine.ID, Status: NotSent, Done: true})
+	f.inFlight--
+	f.cancels[step.Attempt]()
+	t.handle(Outcome{ID: id, Attempt: step.Attempt, Server: step.Engine.ID, Status: StatusNotSent, RequestDone: true})
 }
 
 // handle puts an event to the module and turns its actions into steps.
 func (t *Router) handle(e Event) {
-	for _, a := range t.sched.Handle(t.now(), e, nil) {
+	for _, a := range t.scheduler.Handle(t.now(), e, nil) {
 		switch a := a.(type) {
-		case Attempt:
-			t.send(a)
-		case Ahead:
+		case Send:
+			t.startAttempt(a)
+		case Reserve:
 			if f := t.flights[a.ID]; f != nil {
-				place := t.sched.servers[a.Server].Server
-				if f.step.Kind == StepSend {
-					f.step.Place = place
+				place := t.scheduler.servers[a.Server].Server
+				if f.nextStep.Kind == StepSend {
+					f.nextStep.ReserveAt = place
 				} else {
-					f.place = place
+					f.reserveNext = place
 				}
 			}
 		case Release:
 			if f := t.flights[a.ID]; f != nil {
-				f.release = true
-				f.signal()
+				f.releasePending = true
+				f.notify()
 			}
 		case Cancel:
 			if f := t.flights[a.ID]; f != nil {
-				f.cancel[a.Attempt]()
+				f.cancels[a.Attempt]()
 			}
 		case Refuse:
-			t.final(a.ID, Step{Kind: StepRefuse, RetryAfter: millis(a.RetryAfter), Why: a.Why})
+			t.finish(a.ID, Step{Kind: StepRefuse, RetryAfter: millis(a.RetryAfter), Reason: a.Reason})
 		case Fail:
-			t.final(a.ID, Step{Kind: StepFail, Why: a.Why})
+			t.finish(a.ID, Step{Kind: StepFail, Reason: a.Reason})
 		case SetTimer:
 			heap.Push(&t.timers, a)
 			if t.timers[0] == a {
@@ -114,42 +114,42 @@
 				}
 			}
 		case Probe:
-			t.probe(t.sched.servers[a.Server].Server)
+			t.probe(t.scheduler.servers[a.Server].Server)
 		}
 	}
 }
 
-func (t *Router) send(a Attempt) {
+func (t *Router) startAttempt(a Send) {
 	f := t.flights[a.ID]
 	ctx, cancel := context.WithCancel(f.ctx)
-	v := t.sched.servers[a.Server]
-	r := t.sched.reqs[a.ID]
+	v := t.scheduler.servers[a.Server]
+	r := t.scheduler.requests[a.ID]
 	once, until := v.role != RoleRead && r.class.Effect == SideEffect, 0.0
-	if v.role != RoleRead && r.class.Effect == Token && r.ran != nil {
-		until = millis(r.ran.sent + r.class.Window)
+	if v.role != RoleRead && r.class.Effect == TokenEffect && r.firstRun != nil {
+		until = millis(r.firstRun.sentAt + r.class.Window)
 	}
-	f.step = Step{
-		Kind: StepSend, Attempt: len(f.sent), Engine: v.Server, Reads: v.role == RoleRead, Once: once, Until: until,
+	f.nextStep = Step{
+		Kind: StepSend, Attempt: len(f.sentAt), Engine: v.Server, Prefill: v.role == RoleRead, NonRepeatable: once, SendBefore: until,
 		Timeout: millis(a.Timeout), Context: ctx,
 	}
-	f.sent, f.cancel, f.out = append(f.sent, t.clock.Now()), append(f.cancel, cancel), f.out+1
-	f.signal()
+	f.sentAt, f.cancels, f.inFlight = append(f.sentAt, t.clock.Now()), append(f.cancels, cancel), f.inFlight+1
+	f.notify()
 }
 
-func (t *Router) final(id RequestID, step Step) {
+func (t *Router) finish(id RequestID, step Step) {
 	f := t.flights[id]
 	if f == nil {
 		return
 	}
-	f.over = true
-	t.drop(id, f) // a node that ends gives up requests whose attempts are out
-	f.step = step
-	f.signal()
+	f.done = true
+	t.dropStep(id, f) // a node that ends gives up requests whose attempts are out
+	f.nextStep = step
+	f.notify()
 }
 
-func (f *flight) signal() {
+func (f *flight) notify() {
 	select {
-	case f.ready <- struct{}{}:
+	case f.changed <- struct{}{}:
 	default:
 	}
 }
--- a/gateway/fallback.go
+++ b/gateway/fallback.go
@@ -25,14 +25,14 @@
 	if o.fallback.Len() == 0 {
 		o.g.log.Info("engines that hold take no release; all are asked in turn", "id", id, "engines", len(o.listed))
 	}
-	o.fallback.Wait(o.g.clock.Now(), id, unanswered)
+	o.fallback.Add(o.g.clock.Now(), id, unanswered)
 }
 
 // passOnRepeats has other engines make the repeats that could not be made at their own, as any engine releases what all hold; the
 // lock is held.
 func (o *owner) passOnRepeats() {
-	for _, r := range o.ledger.Repeats() {
-		if o.fallback.Waits(r.Request) {
+	for _, r := range o.ledger.TakeRepeats() {
+		if o.fallback.Waiting(r.Request) {
 			continue
 		}
 		o.waitForOthers(r.Request, nil)
@@ -55,7 +55,7 @@
 
 // askOthers makes the calls for what waits that are due, with the lock held, and gives in how many ms to look again.
 func (o *owner) askOthers() (next float64) {
-	calls, next := o.fallback.Due(o.g.clock.Now(), o.candidates)
+	calls, next := o.fallback.NextCalls(o.g.clock.Now(), o.candidates)
 	for _, c := range calls {
 		ctx, cancel := context.WithCancelCause(context.Background())
 		o.asked[c] = cancel
@@ -82,7 +82,7 @@
 	err := o.try(ctx, cancel, c.Engine, c.Request, 1, releaseWait)
 	o.mu.Lock()
 	delete(o.asked, c)
-	end := release.CallMade
+	end := release.CallAnswered
 	switch {
 	case err == nil:
 		o.dropFallback(c.Request)
@@ -90,7 +90,7 @@
 		end = release.CallUnanswered
 	default:
 		end = release.CallFailed
-		if context.Cause(ctx) != errWithdrawn && !errors.Is(err, ErrLocal) { // a call that was ended or failed here tells nothing of its engine
+		if context.Cause(ctx) != errWithdrawn && !errors.Is(err, ErrLocalFailure) { // a call that was ended or failed here tells nothing of its engine
 			o.fallback.Unreachable(c.Engine.ID)
 		}
 	}
@@ -140,7 +140,7 @@
 		return
 	}
 	for _, v := range told {
-		o.ledger.Resumed(o.g.clock.Now(), release.Key{Engine: v.ID, Request: id})
+		o.ledger.RequestArrived(o.g.clock.Now(), release.Key{Engine: v.ID, Request: id})
 	}
 	o.act()
 }
--- a/gateway/fallback_engine_test.go
+++ b/gateway/fallback_engine_test.go
@@ -32,7 +32,7 @@
 func TestHolds_EngineThatIsWaitedFor(t *testing.T) {
 	sends := func(_ *Gateway, h *holds, _ ashwood.ServerID) { h.pause(true) }
 	leaves := func(g *Gateway, _ *holds, id ashwood.ServerID) {
-		g.Update(ashwood.ListPatch, []ashwood.Server{{ID: id, Kind: "w", State: ashwood.StateOff}})
+		g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: id, Kind: "w", State: ashwood.StateRemoved}})
 	}
 	for name, tt := range map[string]struct {
 		hangs     bool
--- a/gateway/fallback_test.go
+++ b/gateway/fallback_test.go
@@ -22,8 +22,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range engines {
-		v := ashwood.Server{ID: ashwood.ServerID(fmt.Sprint("e", i)), Kind: "w", Zone: fmt.Sprint("z", i%3), State: ashwood.StateOn}
-		g.Update(ashwood.ListPatch, []ashwood.Server{v})
+		v := ashwood.Server{ID: ashwood.ServerID(fmt.Sprint("e", i)), Kind: "w", Zone: fmt.Sprint("z", i%3), State: ashwood.StateActive}
+		g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{v})
 		p.silent[v.ID] = 1e6
 		list = append(list, v.ID)
 	}
@@ -336,8 +336,8 @@
 				held(g, "q", "r1", "w1").release(true)
 				time.Sleep(10 * time.Millisecond)
 				if started > 0 {
-					anew := ashwood.Server{ID: "r1", Kind: "r", State: ashwood.StateOn, Started: clock.Duration(g.clock.Now())}
-					g.Update(ashwood.ListPatch, []ashwood.Server{anew})
+					anew := ashwood.Server{ID: "r1", Kind: "r", State: ashwood.StateActive, Started: clock.Duration(g.clock.Now())}
+					g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{anew})
 				}
 				if d := p.wantNext(t, string(fleet[0])); d > ruleTime {
 					t.Errorf("told after %v", d)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -46,7 +46,7 @@
 
 // New makes a gateway. Run must be running for it to serve.
 func New(set ashwood.Settings, seed int64, transport Transport, c Clock, log *slog.Logger) (*Gateway, error) {
-	g := &Gateway{transport: transport, clock: c, log: log, holdTime: clock.Millis(set.Rules.Release), probes: set.Limits.Probes}
+	g := &Gateway{transport: transport, clock: c, log: log, holdTime: clock.Millis(set.Rules.ReleaseTimeout), probes: set.Limits.Probes}
 	names := make([]string, len(set.Classes))
 	for i, class := range set.Classes {
 		names[i] = class.Name
@@ -90,7 +90,7 @@
 }
 
 // Update tells the gateway of news of the list of engines.
-func (g *Gateway) Update(form ashwood.ListForm, list []ashwood.Server) {
+func (g *Gateway) UpdateMembership(form ashwood.MembershipForm, list []ashwood.Server) {
 	g.router.Update(form, list)
 	g.owner.update(form, list)
 	if g.log.Enabled(context.Background(), slog.LevelDebug) {
@@ -108,28 +108,28 @@
 func (g *Gateway) Holds() (open int, oldest float64) { return g.holdLog.figures() }
 
 // Engines counts the engines in the list and those avoided now; see ashwood.Router.
-func (g *Gateway) Engines() (listed, avoided int) { return g.router.Engines() }
+func (g *Gateway) Engines() (listed, avoided int) { return g.router.CountEngines() }
 
 // Share says how many processes count as this one gateway; see ashwood.Router.
-func (g *Gateway) Share(processes int) { g.router.Share(processes) }
+func (g *Gateway) SetProcesses(processes int) { g.router.SetProcesses(processes) }
 
 // EndBy tells by when, in ms of the clock, each request must have its answer, because the
 // process ends then; see ashwood.Router.
-func (g *Gateway) EndBy(at float64) {
+func (g *Gateway) SetAnswerDeadline(at float64) {
 	g.endsAt.Store(math.Float64bits(at))
-	g.router.EndBy(at)
+	g.router.ShutdownBy(at)
 }
 
 // TurnAway tells of a request that a front refuses by itself for want of room, and gives
 // how long its client is to stay away, as Pause does.
 func (g *Gateway) TurnAway(class string) float64 {
 	g.metrics.RequestEnded(class, metrics.Throttled)
-	return g.Pause()
+	return g.RetryAfter()
 }
 
 // Pause is how long in ms a client is to stay away that a front must refuse by
 // itself, for want of room; 0 = no advice.
-func (g *Gateway) Pause() float64 { return g.router.Pause() }
+func (g *Gateway) RetryAfter() float64 { return g.router.RetryAfter() }
 
 // Serve takes a request to its final answer, or to the beginning of one. When
 // ctx ends, the client has left; ctx bounds a served stream too, which the
@@ -141,12 +141,12 @@
 		s.class, s.begun = req.Class, begun
 	}
 	g.log.Debug("answer", "id", req.ID, "class", req.Class, "kind", reply.Kind, "ms", g.clock.Now()-begun,
-		"why", reply.Why, "err", err)
+		"why", reply.Reason, "err", err)
 	return reply, err
 }
 
 func (g *Gateway) serve(ctx context.Context, req *Request) (Reply, error) {
-	step, err := g.router.Pick(ctx, req.Call)
+	step, err := g.router.Pick(ctx, req.RequestInfo)
 	if err != nil {
 		return Reply{}, err
 	}
@@ -168,7 +168,7 @@
 			reason = "after " + statusName(ans.Status)
 			if answered(ans.Status) {
 				g.owner.heard(step.Engine)
-			} else if ans.Status != ashwood.NotSent && ans.Status != ashwood.CalledOff {
+			} else if ans.Status != ashwood.StatusNotSent && ans.Status != ashwood.StatusCancelled {
 				g.owner.unheard(step.Engine, "attempt", false)
 			}
 			if ans.Err != nil {
@@ -181,36 +181,36 @@
 		case ashwood.StepRelease:
 			step, planned = g.router.Next(req.ID), g.clock.Now()
 		case ashwood.StepRefuse:
-			return Reply{Kind: Refused, RetryAfter: step.RetryAfter, Why: step.Why, Err: last}, nil
+			return Reply{Kind: Refused, RetryAfter: step.RetryAfter, Reason: step.Reason, Err: last}, nil
 		case ashwood.StepFail:
-			return Reply{Kind: Failed, Why: step.Why, Err: last}, nil
+			return Reply{Kind: Failed, Reason: step.Reason, Err: last}, nil
 		default:
-			return Reply{Kind: Gone, Err: ErrClientGone}, nil
+			return Reply{Kind: ClientGone, Err: ErrClientGone}, nil
 		}
 	}
 }
 
 // attempt sends a request once. It gives either a begun answer's stream or,
 // after it has reported how the attempt ended, the next step.
-func (g *Gateway) attempt(ctx context.Context, req *Request, step ashwood.Step, h *holds) (Answer, ashwood.Step) {
+func (g *Gateway) attempt(ctx context.Context, req *Request, step ashwood.Step, h *holds) (AttemptResult, ashwood.Step) {
 	begun := g.clock.Now()
 	actx, cancel := context.WithCancelCause(step.Context)
-	stop := g.clock.AfterFunc(step.Timeout, func() { cancel(ErrTimedOut) })
+	stop := g.clock.AfterFunc(step.Timeout, func() { cancel(ErrFirstTokenTimeout) })
 	ans := g.transport.Send(actx, Attempt{
-		Request: req, Engine: step.Engine, Reads: step.Reads, Once: step.Once, Remaining: step.Timeout,
-		Ready: func() bool {
-			late := step.Until > 0 && g.clock.Now() >= step.Until
+		Request: req, Engine: step.Engine, Prefill: step.Prefill, NonIdempotent: step.NonRepeatable, Remaining: step.Timeout,
+		MayWrite: func() bool {
+			late := step.SendBefore > 0 && g.clock.Now() >= step.SendBefore
 			if late || actx.Err() != nil || !g.router.Accepts(step.Engine.ID) {
 				return false
 			}
 			h.pause(true)
 			return true
 		},
-		Sent: func() {
+		OnSent: func() {
 			g.record(req, step, reqlog.Sent, "")
-			h.sent(step.Engine, step.Reads)
+			h.sent(step.Engine, step.Prefill)
 			g.metrics.AttemptRelayed(req.Class)
-			if step.Place.ID != "" {
+			if step.ReserveAt.ID != "" {
 				g.spawn(func() { g.reserve(actx, step, h) })
 			}
 		},
@@ -218,35 +218,35 @@
 	inTime := stop() && actx.Err() == nil
 	g.log.Debug("attempt", "id", req.ID, "class", req.Class, "engine", step.Engine.ID, "kind", step.Engine.Kind,
 		"attempt", step.Attempt, "status", ans.Status, "ms", g.clock.Now()-begun, "err", ans.Err)
-	if ans.Status == ashwood.Served {
-		if inTime && g.router.Begun(req.ID, step.Attempt) {
+	if ans.Status == ashwood.StatusServed {
+		if inTime && g.router.AnswerStarted(req.ID, step.Attempt) {
 			h.begin()
 			ans.Stream = &stream{Stream: ans.Stream, g: g, ctx: ctx, id: req.ID, attempt: step.Attempt, engine: step.Engine, pulse: g.pulses.enter(step.Engine.ID), cancel: cancel}
 			return ans, ashwood.Step{}
 		}
 		ans.Stream.Close()
-		ans.Stream, ans.Status = nil, ashwood.ConnectionLost
+		ans.Stream, ans.Status = nil, ashwood.StatusConnectionLost
 	}
 	// An attempt that was given up may have run, unless its last byte never left.
-	if ans.Status == ashwood.ConnectionLost && !inTime {
-		ans.Status = ashwood.CalledOff
-		if errors.Is(context.Cause(actx), ErrTimedOut) {
-			ans.Status, ans.Err = ashwood.NoAnswer, ErrTimedOut
+	if ans.Status == ashwood.StatusConnectionLost && !inTime {
+		ans.Status = ashwood.StatusCancelled
+		if errors.Is(context.Cause(actx), ErrFirstTokenTimeout) {
+			ans.Status, ans.Err = ashwood.StatusTimedOut, ErrFirstTokenTimeout
 		}
 	}
 	cancel(nil)
 	switch ans.Status {
-	case ashwood.NoConnection, ashwood.NotSent:
+	case ashwood.StatusConnectFailed, ashwood.StatusNotSent:
 		h.pause(false)
-	case ashwood.TurnedAway, ashwood.ServerError:
+	case ashwood.StatusRejected, ashwood.StatusServerError:
 		h.turnedAway()
 	default:
 		h.ended(answered(ans.Status))
 	}
-	if ans.Status == ashwood.ConnectionLost || ans.Status == ashwood.CalledOff || ans.Status == ashwood.NoAnswer {
+	if ans.Status == ashwood.StatusConnectionLost || ans.Status == ashwood.StatusCancelled || ans.Status == ashwood.StatusTimedOut {
 		h.doubt(step.Engine)
 	}
-	return ans, g.router.Report(req.ID, step.Attempt, ans.Result)
+	return ans, g.router.ReportResult(req.ID, step.Attempt, ans.Result)
 }
 
 // record logs what has become of a request's attempt, with the time that its engine is told.
@@ -274,23 +274,23 @@
 // statusName names how an attempt ended, for records.
 func statusName(s ashwood.Status) string {
 	switch s {
-	case ashwood.Served:
+	case ashwood.StatusServed:
 		return "served"
-	case ashwood.ServerError:
+	case ashwood.StatusServerError:
 		return "server error"
-	case ashwood.TurnedAway:
+	case ashwood.StatusRejected:
 		return "turned away"
-	case ashwood.NoAnswer:
+	case ashwood.StatusTimedOut:
 		return "no answer"
-	case ashwood.NoConnection:
+	case ashwood.StatusConnectFailed:
 		return "no connection"
-	case ashwood.ConnectionLost:
+	case ashwood.StatusConnectionLost:
 		return "connection lost"
-	case ashwood.CalledOff:
+	case ashwood.StatusCancelled:
 		return "cancelled"
-	case ashwood.NotSent:
+	case ashwood.StatusNotSent:
 		return "not sent"
-	case ashwood.Parsed:
+	case ashwood.StatusPrefilled:
 		return "prompt read"
 	}
 	return "unknown"
@@ -298,7 +298,7 @@
 
 // answered tells whether an attempt's end shows that its engine runs and is heard.
 func answered(s ashwood.Status) bool {
-	return s == ashwood.Served || s == ashwood.Parsed || s == ashwood.TurnedAway || s == ashwood.ServerError
+	return s == ashwood.StatusServed || s == ashwood.StatusPrefilled || s == ashwood.StatusRejected || s == ashwood.StatusServerError
 }
 
 // reserve asks for places ahead while a read is out. Each writer is let go of by
@@ -307,36 +307,36 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	defer g.clock.AfterFunc(reserveWait, cancel)()
-	for v, ok := step.Place, true; ok; {
+	for v, ok := step.ReserveAt, true; ok; {
 		ready := func() bool { return reading.Err() == nil && g.router.Accepts(v.ID) }
 		asked := g.clock.Now()
 		place := g.transport.Reserve(ctx, v, h.id, ready)
 		g.log.Debug("place", "id", h.id, "engine", v.ID, "answer", int(place))
 		switch place {
-		case PlaceHeld, PlaceRefused:
+		case ReserveHeld, ReserveRefused:
 			g.owner.heard(v)
 		}
-		if place == PlaceUnknown && ctx.Err() != nil { // given up; an answer that tells nothing ends the call
+		if place == ReserveUnknown && ctx.Err() != nil { // given up; an answer that tells nothing ends the call
 			h.doubt(v)
 			g.live.unanswered(v.ID, "reservation")
 		}
 		switch {
-		case place != PlaceHeld && place != PlaceUnknown:
+		case place != ReserveHeld && place != ReserveUnknown:
 		case reading.Err() != nil:
 			h.addLate(v)
 		default:
 			h.reserved(v, asked, reservationAnswer(place, ctx.Err() != nil))
 		}
-		if place == PlaceUnknown || place == PlaceUnasked {
+		if place == ReserveUnknown || place == ReserveNotSent {
 			return
 		}
-		v, ok = g.router.Place(h.id, step.Attempt, v.ID, place == PlaceHeld)
+		v, ok = g.router.ReportReservation(h.id, step.Attempt, v.ID, place == ReserveHeld)
 	}
 }
 
-func reservationAnswer(place Place, givenUp bool) reservation {
+func reservationAnswer(place ReserveResult, givenUp bool) reservation {
 	switch {
-	case place == PlaceHeld:
+	case place == ReserveHeld:
 		return reservationHeld
 	case givenUp:
 		return reservationNoAnswer
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -14,7 +14,7 @@
 )
 
 func request(class string) *Request {
-	return &Request{Call: ashwood.Call{ID: "q", Class: class, PromptTokens: 64, Remaining: 3000}}
+	return &Request{RequestInfo: ashwood.RequestInfo{ID: "q", Class: class, PromptTokens: 64, Remaining: 3000}}
 }
 
 func serve(t *testing.T, g *Gateway, ctx context.Context, class string) Reply {
@@ -45,8 +45,8 @@
 }
 
 func TestServedAnswerPassesAllPieces(t *testing.T) {
-	p := &peer{place: PlaceHeld, answers: map[ashwood.ServerID][]Answer{
-		"r1": {answer(ashwood.Parsed)}, "w1": {streams(io.EOF, "a", "b")}}}
+	p := &peer{place: ReserveHeld, answers: map[ashwood.ServerID][]AttemptResult{
+		"r1": {answer(ashwood.StatusPrefilled)}, "w1": {streams(io.EOF, "a", "b")}}}
 	g, _ := start(t, p)
 	r := serve(t, g, context.Background(), "order")
 	got := ""
@@ -71,8 +71,8 @@
 
 // A choice that waits for a load goes on after 12 ms without the news.
 func TestProbesAreCarriedOutBesideTheRequest(t *testing.T) {
-	p := &peer{nodes: 4, place: PlaceHeld, answers: map[ashwood.ServerID][]Answer{
-		"r1": {answer(ashwood.Parsed)}, "w1": {streams(io.EOF, "a")}}}
+	p := &peer{nodes: 4, place: ReserveHeld, answers: map[ashwood.ServerID][]AttemptResult{
+		"r1": {answer(ashwood.StatusPrefilled)}, "w1": {streams(io.EOF, "a")}}}
 	in(t, p, func(t *testing.T, g *Gateway) {
 		begun := time.Now()
 		end := make(chan Reply, 1)
@@ -99,18 +99,18 @@
 func TestOrderIsSentAgainOnlyOnProof(t *testing.T) {
 	for _, tt := range []struct {
 		first ashwood.Status
-		kind  Kind
+		kind  ReplyKind
 		sends []string
 	}{
-		{ashwood.ConnectionLost, Failed, []string{"send r1", "send w1"}},
-		{ashwood.ServerError, Failed, []string{"send r1", "send w1"}},
-		{ashwood.NoConnection, Served, []string{"send r1", "send w1", "send w2"}},
-		{ashwood.TurnedAway, Served, []string{"send r1", "send w1", "send w2"}},
+		{ashwood.StatusConnectionLost, Failed, []string{"send r1", "send w1"}},
+		{ashwood.StatusServerError, Failed, []string{"send r1", "send w1"}},
+		{ashwood.StatusConnectFailed, Served, []string{"send r1", "send w1", "send w2"}},
+		{ashwood.StatusRejected, Served, []string{"send r1", "send w1", "send w2"}},
 	} {
-		p := &peer{place: PlaceUnknown, answers: map[ashwood.ServerID][]Answer{ // so that w1 comes first
-			"r1": {answer(ashwood.Parsed)}, "w1": {answer(tt.first)}, "w2": {streams(io.EOF, "a")}}}
+		p := &peer{place: ReserveUnknown, answers: map[ashwood.ServerID][]AttemptResult{ // so that w1 comes first
+			"r1": {answer(ashwood.StatusPrefilled)}, "w1": {answer(tt.first)}, "w2": {streams(io.EOF, "a")}}}
 		g, _ := start(t, p)
-		g.Update(ashwood.ListPatch, []ashwood.Server{{ID: "w2", Kind: "w", Cell: 1, State: ashwood.StateOn}})
+		g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "w2", Kind: "w", Cell: 1, State: ashwood.StateActive}})
 		r := serve(t, g, context.Background(), "order")
 		if diff := cmp.Diff(tt.sends, p.sends()); r.Kind != tt.kind || diff != "" {
 			t.Errorf("after %v: kind %v, want %v\n%s", tt.first, r.Kind, tt.kind, diff)
@@ -124,19 +124,19 @@
 // While connections to writers fail to come up, nothing is out: the state goes
 // within its time, and what is sent after that is read anew.
 func TestStateIsLetGoWhileConnectsFail(t *testing.T) {
-	noState := answer(ashwood.TurnedAway)
-	noState.Note = 1
-	p := &peer{noteFrees: true, place: PlaceUnasked, answers: map[ashwood.ServerID][]Answer{
-		"r1": {answer(ashwood.Parsed), answer(ashwood.Parsed)}, "w1": {answer(ashwood.NoConnection), streams(io.EOF, "a")},
-		"w2": {answer(ashwood.NoConnection)}, "w3": {noState}}}
+	noState := answer(ashwood.StatusRejected)
+	noState.Detail = 1
+	p := &peer{noteFrees: true, place: ReserveNotSent, answers: map[ashwood.ServerID][]AttemptResult{
+		"r1": {answer(ashwood.StatusPrefilled), answer(ashwood.StatusPrefilled)}, "w1": {answer(ashwood.StatusConnectFailed), streams(io.EOF, "a")},
+		"w2": {answer(ashwood.StatusConnectFailed)}, "w3": {noState}}}
 	g, c := start(t, p)
 	p.before = func(v ashwood.Server) {
 		if v.ID == "w1" || v.ID == "w2" {
 			c.Advance(250)
 		}
 	}
-	g.Update(ashwood.ListPatch, []ashwood.Server{
-		{ID: "w2", Kind: "w", Cell: 1, State: ashwood.StateOn}, {ID: "w3", Kind: "w", Cell: 1, Zone: "far", State: ashwood.StateOn}})
+	g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{
+		{ID: "w2", Kind: "w", Cell: 1, State: ashwood.StateActive}, {ID: "w3", Kind: "w", Cell: 1, Zone: "far", State: ashwood.StateActive}})
 	ended := make(chan Reply, 1)
 	go func() { ended <- serve(t, g, context.Background(), "order") }()
 	var r Reply
@@ -155,7 +155,7 @@
 // A client that leaves while an attempt is out ends it, and what may be held
 // is let go of, even where the first call does not get through.
 func TestClientGoneLetsGo(t *testing.T) {
-	p := &peer{place: PlaceUnknown, answers: map[ashwood.ServerID][]Answer{}, refuse: map[ashwood.ServerID]int{"r1": 1}}
+	p := &peer{place: ReserveUnknown, answers: map[ashwood.ServerID][]AttemptResult{}, refuse: map[ashwood.ServerID]int{"r1": 1}}
 	g := startAt(t, p, SystemClock()) // the second try comes after a pause
 	ctx, leave := context.WithCancel(context.Background())
 	done := make(chan Reply)
@@ -163,7 +163,7 @@
 	<-p.hanging
 	<-p.asked
 	leave()
-	if r := <-done; r.Kind != Gone {
+	if r := <-done; r.Kind != ClientGone {
 		t.Errorf("kind %v", r.Kind)
 	}
 	p.wantFreed(t, "w1", "r1")
@@ -173,7 +173,7 @@
 // have run, a refusal with a pause for one whose last byte has not left.
 func TestTimeOut(t *testing.T) {
 	for _, unsent := range []bool{false, true} {
-		p := &peer{place: PlaceRefused, answers: map[ashwood.ServerID][]Answer{"r1": {answer(ashwood.Parsed)}}}
+		p := &peer{place: ReserveRefused, answers: map[ashwood.ServerID][]AttemptResult{"r1": {answer(ashwood.StatusPrefilled)}}}
 		g, c := start(t, p)
 		done := make(chan Reply)
 		p.unsent = unsent
@@ -193,16 +193,16 @@
 
 // A server that starts to drain between the choice and the first byte gets nothing.
 func TestDrainIsSeenAtTheMomentOfWriting(t *testing.T) {
-	p := &peer{place: PlaceRefused, answers: map[ashwood.ServerID][]Answer{
-		"r1": {answer(ashwood.Parsed)}, "w1": {streams(io.EOF, "a")}, "w2": {streams(io.EOF, "a")}}}
+	p := &peer{place: ReserveRefused, answers: map[ashwood.ServerID][]AttemptResult{
+		"r1": {answer(ashwood.StatusPrefilled)}, "w1": {streams(io.EOF, "a")}, "w2": {streams(io.EOF, "a")}}}
 	g, _ := start(t, p)
-	g.Update(ashwood.ListPatch, []ashwood.Server{{ID: "w2", Kind: "w", State: ashwood.StateOn}})
+	g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "w2", Kind: "w", State: ashwood.StateActive}})
 	var drained ashwood.ServerID
 	p.before = func(v ashwood.Server) {
 		if v.Kind == "w" && drained == "" {
 			drained = v.ID
-			v.State = ashwood.StateFading
-			g.Update(ashwood.ListPatch, []ashwood.Server{v})
+			v.State = ashwood.StateDraining
+			g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{v})
 		}
 	}
 	r := serve(t, g, context.Background(), "order")
@@ -215,8 +215,8 @@
 // A stream that breaks is not ended as if it were whole.
 func TestBrokenStreamIsPassedOnAsBroken(t *testing.T) {
 	broken := errors.New("reset")
-	p := &peer{place: PlaceRefused, answers: map[ashwood.ServerID][]Answer{
-		"r1": {answer(ashwood.Parsed)}, "w1": {streams(broken, "a")}}}
+	p := &peer{place: ReserveRefused, answers: map[ashwood.ServerID][]AttemptResult{
+		"r1": {answer(ashwood.StatusPrefilled)}, "w1": {streams(broken, "a")}}}
 	g, _ := start(t, p)
 	r := serve(t, g, context.Background(), "chat")
 	if piece, err := r.Stream.Next(); string(piece) != "a" || err != nil {
--- a/gateway/holds_test.go
+++ b/gateway/holds_test.go
@@ -122,8 +122,8 @@
 	p := &peer{silent: map[ashwood.ServerID]int{"r1": 1e6, "w1": 1e6}}
 	in(t, p, func(t *testing.T, g *Gateway) {
 		for _, id := range []ashwood.ServerID{"w3", "w2"} {
-			v := ashwood.Server{ID: id, Kind: "w", Zone: "another", State: ashwood.StateOn}
-			g.Update(ashwood.ListPatch, []ashwood.Server{v})
+			v := ashwood.Server{ID: id, Kind: "w", Zone: "another", State: ashwood.StateActive}
+			g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{v})
 			g.owner.heard(v)
 		}
 		held(g, "q", "r1", "w1").release(true)
@@ -148,14 +148,14 @@
 	in(t, p, func(t *testing.T, g *Gateway) {
 		g.owner.zone = "home"
 		for i, zone := range []string{"cut", "cut", "cut", "off", "home"} {
-			v := ashwood.Server{ID: ashwood.ServerID(fmt.Sprint("w", i+2)), Kind: "w", Zone: zone, State: ashwood.StateOn}
-			g.Update(ashwood.ListPatch, []ashwood.Server{v})
+			v := ashwood.Server{ID: ashwood.ServerID(fmt.Sprint("w", i+2)), Kind: "w", Zone: zone, State: ashwood.StateActive}
+			g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{v})
 			if zone != "home" {
 				p.silent[v.ID] = 1e6
 				g.owner.heard(v)
 			}
 		}
-		g.Update(ashwood.ListPatch, []ashwood.Server{{ID: "w1", Kind: "w", State: ashwood.StateOff}})
+		g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "w1", Kind: "w", State: ashwood.StateRemoved}})
 		h := held(g, "q")
 		h.add(ashwood.Server{ID: "r1", Zone: "cut"}, holdAttempt)
 		h.release(true)
@@ -167,8 +167,8 @@
 
 // The time of what is held runs on in the middle of a connect that does not come up.
 func TestStateIsLetGoInMidConnect(t *testing.T) {
-	p := &peer{place: PlaceUnasked, answers: map[ashwood.ServerID][]Answer{
-		"r1": {answer(ashwood.Parsed)}, "w1": {answer(ashwood.NoConnection)}}}
+	p := &peer{place: ReserveNotSent, answers: map[ashwood.ServerID][]AttemptResult{
+		"r1": {answer(ashwood.StatusPrefilled)}, "w1": {answer(ashwood.StatusConnectFailed)}}}
 	in(t, p, func(t *testing.T, g *Gateway) {
 		p.before = func(v ashwood.Server) {
 			if v.ID == "w1" {
@@ -206,8 +206,8 @@
 	} {
 		p := &peer{silent: map[ashwood.ServerID]int{"w1": 1e6}}
 		in(t, p, func(t *testing.T, g *Gateway) {
-			v := ashwood.Server{ID: "w2", Kind: "w", Zone: "another", State: ashwood.StateOn}
-			g.Update(ashwood.ListPatch, []ashwood.Server{v, {ID: "r1", Kind: "r", State: ashwood.StateOff}})
+			v := ashwood.Server{ID: "w2", Kind: "w", Zone: "another", State: ashwood.StateActive}
+			g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{v, {ID: "r1", Kind: "r", State: ashwood.StateRemoved}})
 			late(held(g, "q"), ashwood.Server{ID: "w1"})
 			if d := p.wantNext(t, "w2"); d > releaseWait*time.Millisecond {
 				t.Errorf("%s: after %v", name, d)
@@ -223,14 +223,14 @@
 	for _, tt := range []struct {
 		name  string
 		class string
-		w1    []Answer // none = hang until the time is up
+		w1    []AttemptResult // none = hang until the time is up
 		want  map[string]int
 	}{
 		{"given up", "order", nil, map[string]int{"r1": 4, "w1": 3}}, // r1 once more while the attempt is out
-		{"connection lost", "order", []Answer{answer(ashwood.ConnectionLost)}, map[string]int{"r1": 3, "w1": 3}},
-		{"answered", "order", []Answer{answer(ashwood.ServerError)}, map[string]int{"r1": 1, "w1": 1}},
+		{"connection lost", "order", []AttemptResult{answer(ashwood.StatusConnectionLost)}, map[string]int{"r1": 3, "w1": 3}},
+		{"answered", "order", []AttemptResult{answer(ashwood.StatusServerError)}, map[string]int{"r1": 1, "w1": 1}},
 	} {
-		p := &peer{place: PlaceUnasked, answers: map[ashwood.ServerID][]Answer{"r1": {answer(ashwood.Parsed)}, "w1": tt.w1}}
+		p := &peer{place: ReserveNotSent, answers: map[ashwood.ServerID][]AttemptResult{"r1": {answer(ashwood.StatusPrefilled)}, "w1": tt.w1}}
 		in(t, p, func(t *testing.T, g *Gateway) {
 			serve(t, g, t.Context(), tt.class)
 			time.Sleep((releaseWait + againFirst + againNext) * time.Millisecond)
@@ -263,7 +263,7 @@
 // A read may have ended well as its connection broke: its reader is told. A whole list, as
 // after a reload, takes nothing back of what is owed to an engine that is on it.
 func TestLostReadAndReload(t *testing.T) {
-	p := &peer{place: PlaceUnasked, silent: map[ashwood.ServerID]int{"r1": 1e6}, answers: map[ashwood.ServerID][]Answer{"r1": {answer(ashwood.ConnectionLost)}}}
+	p := &peer{place: ReserveNotSent, silent: map[ashwood.ServerID]int{"r1": 1e6}, answers: map[ashwood.ServerID][]AttemptResult{"r1": {answer(ashwood.StatusConnectionLost)}}}
 	in(t, p, func(t *testing.T, g *Gateway) {
 		ctx, leave := context.WithCancel(t.Context())
 		end := make(chan Reply)
@@ -273,10 +273,10 @@
 		}()
 		<-p.hanging // sent there again
 		leave()
-		if r := <-end; r.Kind != Gone {
+		if r := <-end; r.Kind != ClientGone {
 			t.Errorf("kind %v", r.Kind)
 		}
-		g.Update(ashwood.ListWhole, []ashwood.Server{{ID: "r1", Kind: "r", State: ashwood.StateOn}})
+		g.UpdateMembership(ashwood.MembershipSnapshot, []ashwood.Server{{ID: "r1", Kind: "r", State: ashwood.StateActive}})
 		time.Sleep(10 * time.Millisecond) // of the test's clock: the call is out
 		p.hear("r1")
 		p.wantFreed(t, "r1")
@@ -289,7 +289,7 @@
 		p := &peer{silent: map[ashwood.ServerID]int{"r1": 1e6}}
 		in(t, p, func(t *testing.T, g *Gateway) {
 			if answersBy > 0 {
-				g.EndBy(g.clock.Now() + answersBy)
+				g.SetAnswerDeadline(g.clock.Now() + answersBy)
 			}
 			held(g, "q", "r1").release(true)
 			begun := time.Now()
@@ -306,9 +306,9 @@
 func TestStoppedAnswerIsToldFromAHang(t *testing.T) {
 	for waits, want := range map[float64]time.Duration{0: stopWait + stopLook, 5: stallWait} {
 		stalled := &stalls{pieces: pieces{left: []string{"a"}}, waiting: make(chan struct{})}
-		p := &peer{nodes: 300, place: PlaceRefused, load: ashwood.Report{ashwood.ReportQueue: waits, ashwood.ReportInFlight: 9},
-			answers: map[ashwood.ServerID][]Answer{
-				"r1": {answer(ashwood.Parsed)}, "w1": {{Result: ashwood.Result{Status: ashwood.Served}, Stream: stalled}}}}
+		p := &peer{nodes: 300, place: ReserveRefused, load: ashwood.Report{ashwood.ReportQueue: waits, ashwood.ReportInFlight: 9},
+			answers: map[ashwood.ServerID][]AttemptResult{
+				"r1": {answer(ashwood.StatusPrefilled)}, "w1": {{Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: stalled}}}}
 		synctest.Test(t, func(t *testing.T) {
 			g := startAt(t, p, SystemClock())
 			p.probed = make(chan string, 99)
@@ -333,9 +333,9 @@
 // A place call that comes to its writer after the answer's first token holds a
 // place that this token did not let go of.
 func TestLatePlaceIsLetGo(t *testing.T) {
-	for _, place := range []Place{PlaceHeld, PlaceUnknown} {
-		p := &peer{place: place, answer: make(chan struct{}), answers: map[ashwood.ServerID][]Answer{
-			"r1": {answer(ashwood.Parsed)}, "w1": {streams(io.EOF, "a")}}}
+	for _, place := range []ReserveResult{ReserveHeld, ReserveUnknown} {
+		p := &peer{place: place, answer: make(chan struct{}), answers: map[ashwood.ServerID][]AttemptResult{
+			"r1": {answer(ashwood.StatusPrefilled)}, "w1": {streams(io.EOF, "a")}}}
 		g, _ := start(t, p)
 		r := serve(t, g, context.Background(), "chat")
 		close(p.answer)
--- a/gateway/holds_time_test.go
+++ b/gateway/holds_time_test.go
@@ -183,15 +183,15 @@
 func TestHolds_PlaceBesideAReadWithoutAnswer(t *testing.T) {
 	for name, tt := range map[string]struct {
 		peer     *peer
-		place    Place
+		place    ReserveResult
 		late     bool
 		released time.Duration // 0 = while the read is out it is not
 	}{
-		"no sign":        {&peer{nodes: 2, mute: true}, PlaceHeld, false, (500 + arrivalWait) * time.Millisecond},
-		"a sign":         {&peer{nodes: 2}, PlaceHeld, false, 0},
-		"no read known":  {&peer{nodes: 2}, PlaceUnknown, false, 500 * time.Millisecond},
-		"no probes":      {&peer{}, PlaceHeld, false, 0},
-		"no word at all": {&peer{}, PlaceUnknown, true, 500 * time.Millisecond},
+		"no sign":        {&peer{nodes: 2, mute: true}, ReserveHeld, false, (500 + arrivalWait) * time.Millisecond},
+		"a sign":         {&peer{nodes: 2}, ReserveHeld, false, 0},
+		"no read known":  {&peer{nodes: 2}, ReserveUnknown, false, 500 * time.Millisecond},
+		"no probes":      {&peer{}, ReserveHeld, false, 0},
+		"no word at all": {&peer{}, ReserveUnknown, true, 500 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			in(t, tt.peer, func(t *testing.T, g *Gateway) {
@@ -213,10 +213,10 @@
 // An attempt tells its engine what its client has left when it is sent, not when it was decided
 // upon: releases before it take their time.
 func TestServe_TimeToldBehindASlowRelease(t *testing.T) {
-	p := &peer{place: PlaceUnasked, silent: map[ashwood.ServerID]int{"r1": 9, "r2": 9, "w1": 9}, answers: map[ashwood.ServerID][]Answer{
-		"r1": {answer(ashwood.Parsed)}, "w1": {{Result: ashwood.Result{Status: ashwood.TurnedAway, Note: 1}}}}}
+	p := &peer{place: ReserveNotSent, silent: map[ashwood.ServerID]int{"r1": 9, "r2": 9, "w1": 9}, answers: map[ashwood.ServerID][]AttemptResult{
+		"r1": {answer(ashwood.StatusPrefilled)}, "w1": {{Result: ashwood.Result{Status: ashwood.StatusRejected, Detail: 1}}}}}
 	in(t, p, func(t *testing.T, g *Gateway) {
-		g.Update(ashwood.ListPatch, []ashwood.Server{{ID: "r2", Kind: "r", State: ashwood.StateOn}})
+		g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "r2", Kind: "r", State: ashwood.StateActive}})
 		begun := time.Now()
 		p.before = func(ashwood.Server) { time.Sleep(300 * time.Millisecond) } // as reads take
 		go g.Serve(t.Context(), request("chat"))
@@ -322,17 +322,17 @@
 // told again. By reading, beside the mend of seed 406: every answer took the repeats back. Here r1 is lost and told at 0, and then
 // leaves the list; r2 turns the request away at 0, 40, 120, 280 and 600 ms, and nothing was told to r1 in between.
 func TestServe_TurnedAwayTakesNothing(t *testing.T) {
-	p := &peer{place: PlaceUnasked, noteFrees: true, answers: map[ashwood.ServerID][]Answer{
-		"r1": {answer(ashwood.ConnectionLost)},
-		"r2": slices.Repeat([]Answer{answer(ashwood.TurnedAway)}, 9),
+	p := &peer{place: ReserveNotSent, noteFrees: true, answers: map[ashwood.ServerID][]AttemptResult{
+		"r1": {answer(ashwood.StatusConnectionLost)},
+		"r2": slices.Repeat([]AttemptResult{answer(ashwood.StatusRejected)}, 9),
 	}}
 	in(t, p, func(t *testing.T, g *Gateway) {
 		p.before = func(v ashwood.Server) {
 			if v.ID == "r2" {
-				g.Update(ashwood.ListPatch, []ashwood.Server{{ID: "r1", Kind: "r", State: ashwood.StateOff}})
+				g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "r1", Kind: "r", State: ashwood.StateRemoved}})
 			}
 		}
-		g.Update(ashwood.ListPatch, []ashwood.Server{{ID: "r2", Kind: "r", State: ashwood.StateOn}})
+		g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "r2", Kind: "r", State: ashwood.StateActive}})
 		g.Serve(t.Context(), request("chat"))
 		told, calls := 0, p.sends()
 		for slices.Contains(calls, "send r2") && calls[len(calls)-1] != "send r2" { // what comes behind the last is the end's
--- a/gateway/liveness_test.go
+++ b/gateway/liveness_test.go
@@ -41,8 +41,8 @@
 	p := &peer{local: 4 * silentAfter}
 	in(t, p, func(t *testing.T, g *Gateway) {
 		p.freed = make(chan string, 9)
-		w1 := ashwood.Server{ID: "w1", Kind: "w", State: ashwood.StateOn}
-		g.Update(ashwood.ListPatch, []ashwood.Server{w1})
+		w1 := ashwood.Server{ID: "w1", Kind: "w", State: ashwood.StateActive}
+		g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{w1})
 		g.owner.heard(w1)
 		for range silentAfter {
 			g.ask(w1, probeWait)
--- a/gateway/others.go
+++ b/gateway/others.go
@@ -25,13 +25,13 @@
 // whatever engine: where none of them could be told in time, others are told in
 // their place, and theirs stays owed.
 func (o *owner) settle(id ashwood.RequestID, engines []ashwood.Server, doubtful bool) (wait func()) {
-	ends, slow := make(chan release.End, len(engines)), make(chan struct{})
+	ends, slow := make(chan release.EndReason, len(engines)), make(chan struct{})
 	patience := float64(releaseWait)
 	if o.failing(engines) {
 		patience = 0
 	}
 	stop := o.g.clock.AfterFunc(patience, func() { close(slow) })
-	o.owe(id, engines, doubtful, func(end release.End) { ends <- end })
+	o.owe(id, engines, doubtful, func(end release.EndReason) { ends <- end })
 	return func() {
 		defer stop()
 		o.awaitReleases(id, engines, ends, slow)
@@ -39,7 +39,7 @@
 }
 
 // awaitReleases waits for releases, and has other engines told if they are too slow.
-func (o *owner) awaitReleases(id ashwood.RequestID, engines []ashwood.Server, ends <-chan release.End, slow <-chan struct{}) {
+func (o *owner) awaitReleases(id ashwood.RequestID, engines []ashwood.Server, ends <-chan release.EndReason, slow <-chan struct{}) {
 	told, open := false, len(engines)
 	for waiting := true; waiting && open > 0; {
 		select {
@@ -58,7 +58,7 @@
 		return
 	}
 	o.mu.Lock()
-	if !anyCounts(ends) && slices.ContainsFunc(engines, func(v ashwood.Server) bool { return o.ledger.Unmade(release.Key{Engine: v.ID, Request: id}) }) {
+	if !anyCounts(ends) && slices.ContainsFunc(engines, func(v ashwood.Server) bool { return o.ledger.Undelivered(release.Key{Engine: v.ID, Request: id}) }) {
 		o.waitForOthers(id, unanswered)
 	}
 	o.act()
@@ -66,10 +66,10 @@
 
 // counts tells whether a release with such an end has let go of what all engines hold, or need not any more. One that has started
 // anew holds nothing itself; others may.
-func counts(end release.End) bool { return end == release.Made || end == release.Withdrawn }
+func counts(end release.EndReason) bool { return end == release.Delivered || end == release.Withdrawn }
 
 // anyCounts looks at the ends of releases so far.
-func anyCounts(ends <-chan release.End) bool {
+func anyCounts(ends <-chan release.EndReason) bool {
 	for {
 		select {
 		case end := <-ends:
@@ -84,7 +84,7 @@
 
 // tellOthers has some engines told in place of these, and tells whether any of all has been; if not, it gives the
 // others that it was written to without an answer. While others are being searched for anyway, it leaves the request to that.
-func (o *owner) tellOthers(id ashwood.RequestID, engines []ashwood.Server, ends <-chan release.End) (told bool, unanswered []ashwood.ServerID) {
+func (o *owner) tellOthers(id ashwood.RequestID, engines []ashwood.Server, ends <-chan release.EndReason) (told bool, unanswered []ashwood.ServerID) {
 	not, silent := map[ashwood.ServerID]bool{}, map[string]bool{}
 	ask := engines
 	for n := 0; n < rounds && !o.searching(); n++ {
--- a/gateway/owner.go
+++ b/gateway/owner.go
@@ -46,11 +46,11 @@
 	// fallback holds what no engine has taken, and found the calls out for it.
 	fallback *release.Fallback
 	asked    map[release.FallbackCall]context.CancelCauseFunc
-	ended    map[release.Key][]func(release.End)     // to be called when a release is owed no more
-	calls    map[release.Key]context.CancelCauseFunc // those out
-	recent   []ashwood.Server                        // that have answered, and nothing failed since, the latest first
-	listed   map[ashwood.ServerID]ashwood.Server     // that may be sent to, as last told
-	zone     string                                  // of this gateway
+	ended    map[release.Key][]func(release.EndReason) // to be called when a release is owed no more
+	calls    map[release.Key]context.CancelCauseFunc   // those out
+	recent   []ashwood.Server                          // that have answered, and nothing failed since, the latest first
+	listed   map[ashwood.ServerID]ashwood.Server       // that may be sent to, as last told
+	zone     string                                    // of this gateway
 	rand     *rand.Rand
 	stop     func() bool   // the timer of the next call
 	idle     chan struct{} // closed when nothing is owed and the gateway ends
@@ -60,26 +60,26 @@
 	random := rand.New(rand.NewSource(seed))
 	fleetWait := releaseEach * float64(set.Nodes)
 	ledger := release.New(release.Config{
-		First: releaseFirst, Last: max(releaseLast, fleetWait), MaxAge: releaseAge, Most: releaseMost,
-		Again: []float64{againFirst, againNext}, Rand: random,
+		MinBackoff: releaseFirst, MaxBackoff: max(releaseLast, fleetWait), MaxAge: releaseAge, MaxPending: releaseMost,
+		RepeatDelays: []float64{againFirst, againNext}, Rand: random,
 	})
 	return &owner{
-		g: g, zone: set.Zone, rand: random, listed: map[ashwood.ServerID]ashwood.Server{}, ended: map[release.Key][]func(release.End){},
+		g: g, zone: set.Zone, rand: random, listed: map[ashwood.ServerID]ashwood.Server{}, ended: map[release.Key][]func(release.EndReason){},
 		calls: map[release.Key]context.CancelCauseFunc{}, asked: map[release.FallbackCall]context.CancelCauseFunc{}, stop: func() bool { return true },
 		ledger: ledger,
 		fallback: release.NewFallback(release.FallbackConfig{
-			AtOnce: searchAtOnce, Every: max(searchEvery, fleetWait), MaxAge: releaseAge, Most: releaseMost, Rand: random, Called: ledger.Owes, Owed: ledger.Unmade,
+			MaxSearchCalls: searchAtOnce, PassInterval: max(searchEvery, fleetWait), MaxAge: releaseAge, MaxWaiting: releaseMost, Rand: random, CalledElsewhere: ledger.HasPending, PendingAt: ledger.Undelivered,
 		}),
 	}
 }
 
 // owe has an engine told, from now on until it has been. ended is called, holding
 // no lock, once that is over. For doubtful, see release.Ledger.Owe.
-func (o *owner) owe(id ashwood.RequestID, engines []ashwood.Server, doubtful bool, ended func(release.End)) {
+func (o *owner) owe(id ashwood.RequestID, engines []ashwood.Server, doubtful bool, ended func(release.EndReason)) {
 	o.mu.Lock()
 	for _, v := range engines {
 		k := release.Key{Engine: v.ID, Request: id}
-		o.ledger.Owe(o.g.clock.Now(), v, id, doubtful)
+		o.ledger.Add(o.g.clock.Now(), v, id, doubtful)
 		o.ended[k] = append(o.ended[k], ended)
 	}
 	o.act()
@@ -113,7 +113,7 @@
 			continue
 		}
 		owed = true
-		if cancel := o.calls[k]; paused && cancel != nil && !o.ledger.Unmade(k) {
+		if cancel := o.calls[k]; paused && cancel != nil && !o.ledger.Undelivered(k) {
 			cancel(errWithdrawn)
 		}
 	}
@@ -125,45 +125,45 @@
 var errWithdrawn = errors.New("gateway: the request is there again")
 
 // update follows the list of engines.
-func (o *owner) update(form ashwood.ListForm, list []ashwood.Server) {
+func (o *owner) update(form ashwood.MembershipForm, list []ashwood.Server) {
 	o.mu.Lock()
 	now := o.g.clock.Now()
-	if form != ashwood.ListPatch {
+	if form != ashwood.MembershipDelta {
 		clear(o.listed)
 	}
 	for _, v := range list {
-		o.ledger.Started(now, v.ID, clock.Millis(v.Started))
-		if delete(o.listed, v.ID); v.State == ashwood.StateOn {
+		o.ledger.EngineRestarted(now, v.ID, clock.Millis(v.Started))
+		if delete(o.listed, v.ID); v.State == ashwood.StateActive {
 			o.listed[v.ID] = v
 		}
-		if v.State == ashwood.StateOff {
-			o.ledger.Left(v.ID)
+		if v.State == ashwood.StateRemoved {
+			o.ledger.EngineRemoved(v.ID)
 			o.fallback.Unreachable(v.ID)
 			o.g.live.forget(v.ID)
 		}
 	}
-	if form == ashwood.ListWhole {
+	if form == ashwood.MembershipSnapshot {
 		there := map[ashwood.ServerID]bool{}
 		for _, v := range list {
 			there[v.ID] = true
 		}
-		o.ledger.Missing(there)
-		o.fallback.Keep(there)
+		o.ledger.MarkAbsent(there)
+		o.fallback.RetainOnly(there)
 	}
 	o.act()
 }
 
 // act makes the calls that are due, with the lock held, which it gives back.
 func (o *owner) act() {
-	calls, next := o.ledger.Due(o.g.clock.Now())
-	ended := o.ledger.Ended()
+	calls, next := o.ledger.NextCalls(o.g.clock.Now())
+	ended := o.ledger.TakeEnded()
 	var after []func()
 	for _, e := range ended {
 		for _, tell := range o.ended[e.Key] {
-			after = append(after, func() { tell(e.End) })
+			after = append(after, func() { tell(e.Reason) })
 		}
 		delete(o.ended, e.Key)
-		if e.End == release.Made { // with which all is released, at whatever engine
+		if e.Reason == release.Delivered { // with which all is released, at whatever engine
 			o.dropFallback(e.Request)
 		}
 	}
@@ -196,9 +196,9 @@
 }
 
 // holdEnd is what the end of a release means for what was held.
-func holdEnd(e release.End) metrics.HoldEnd {
+func holdEnd(e release.EndReason) metrics.HoldEnd {
 	switch e {
-	case release.Made:
+	case release.Delivered:
 		return metrics.HoldReleased
 	case release.Withdrawn:
 		return metrics.HoldResent
@@ -209,14 +209,14 @@
 }
 
 // report logs how a release has ended, where not as on any day.
-func (o *owner) report(e release.Ended) {
-	o.g.holdLog.ended(e.Key, holdEnd(e.End))
-	switch e.End {
-	case release.TooOld, release.Crowded:
+func (o *owner) report(e release.EndedRelease) {
+	o.g.holdLog.ended(e.Key, holdEnd(e.Reason))
+	switch e.Reason {
+	case release.Expired, release.Evicted:
 		o.g.log.Warn("release given up", // the engine may go on holding something
-			"id", e.Request, "engine", e.Engine, "why", e.End.String(), "ms", e.Age)
+			"id", e.Request, "engine", e.Engine, "why", e.Reason.String(), "ms", e.Age)
 	default:
-		o.g.log.Debug("released", "id", e.Request, "engine", e.Engine, "end", e.End.String(), "ms", e.Age)
+		o.g.log.Debug("released", "id", e.Request, "engine", e.Engine, "end", e.Reason.String(), "ms", e.Age)
 	}
 }
 
@@ -226,11 +226,11 @@
 	o.mu.Lock()
 	delete(o.calls, c.Key)
 	if err != nil && context.Cause(ctx) == errWithdrawn {
-		o.ledger.Void(c)
+		o.ledger.Discard(c)
 	} else {
 		o.ledger.Done(o.g.clock.Now(), c, err == nil)
 	}
-	if err == nil && !o.ledger.Unmade(c.Key) { // with which all is released, at whatever engine
+	if err == nil && !o.ledger.Undelivered(c.Key) { // with which all is released, at whatever engine
 		o.dropFallback(c.Request)
 	}
 	o.act()
@@ -244,7 +244,7 @@
 	err := o.g.transport.Release(ctx, v, id, n > 0)
 	if err == nil {
 		o.answered(v)
-	} else if context.Cause(ctx) != errWithdrawn && !errors.Is(err, ErrLocal) {
+	} else if context.Cause(ctx) != errWithdrawn && !errors.Is(err, ErrLocalFailure) {
 		o.unheard(v, "release", errors.Is(err, ErrUnanswered))
 	}
 	o.g.log.Debug("release", "id", id, "engine", v.ID, "try", n, "ms", o.g.clock.Now()-begun, "err", err)
@@ -297,7 +297,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, v := range engines {
-		if o.ledger.Unmade(release.Key{Engine: v.ID, Request: id}) {
+		if o.ledger.Undelivered(release.Key{Engine: v.ID, Request: id}) {
 			left = append(left, v)
 		}
 	}
--- a/gateway/peer_test.go
+++ b/gateway/peer_test.go
@@ -19,8 +19,8 @@
 type peer struct {
 	mu        sync.Mutex
 	log       []string
-	answers   map[ashwood.ServerID][]Answer // by engine, in order; none left = hang until called off
-	place     Place
+	answers   map[ashwood.ServerID][]AttemptResult // by engine, in order; none left = hang until called off
+	place     ReserveResult
 	noteFrees bool                      // in the log, beside the sends
 	unsent    bool                      // a hanging attempt's last byte never leaves
 	hanging   chan struct{}             // gets a value when an attempt begins to hang
@@ -54,13 +54,13 @@
 	p.log = append(p.log, fmt.Sprintf(format, a...))
 }
 
-func (p *peer) Send(ctx context.Context, a Attempt) Answer {
+func (p *peer) Send(ctx context.Context, a Attempt) AttemptResult {
 	p.note("send %s", a.Engine.ID)
 	if p.before != nil {
 		p.before(a.Engine)
 	}
-	if !a.Ready() {
-		return Answer{Result: ashwood.Result{Status: ashwood.NotSent}}
+	if !a.MayWrite() {
+		return AttemptResult{Result: ashwood.Result{Status: ashwood.StatusNotSent}}
 	}
 	p.mu.Lock()
 	p.told = append(p.told, a.Remaining)
@@ -69,8 +69,8 @@
 		p.answers[a.Engine.ID] = list[1:]
 	}
 	p.mu.Unlock()
-	if !p.unsent && (len(list) == 0 || list[0].Status != ashwood.NoConnection) {
-		a.Sent()
+	if !p.unsent && (len(list) == 0 || list[0].Status != ashwood.StatusConnectFailed) {
+		a.OnSent()
 	}
 	if len(list) > 0 {
 		if s, ok := list[0].Stream.(*stalls); ok {
@@ -80,14 +80,14 @@
 	}
 	p.hanging <- struct{}{}
 	<-ctx.Done()
-	st := ashwood.ConnectionLost
+	st := ashwood.StatusConnectionLost
 	if p.unsent {
-		st = ashwood.NotSent
+		st = ashwood.StatusNotSent
 	}
-	return Answer{Result: ashwood.Result{Status: st}}
+	return AttemptResult{Result: ashwood.Result{Status: st}}
 }
 
-func (p *peer) Reserve(_ context.Context, _ ashwood.Server, _ ashwood.RequestID, _ func() bool) Place {
+func (p *peer) Reserve(_ context.Context, _ ashwood.Server, _ ashwood.RequestID, _ func() bool) ReserveResult {
 	p.asked <- struct{}{}
 	if p.answer != nil {
 		<-p.answer
@@ -101,7 +101,7 @@
 	if p.local > 0 {
 		p.local--
 		p.mu.Unlock()
-		return fmt.Errorf("no socket: %w", ErrLocal)
+		return fmt.Errorf("no socket: %w", ErrLocalFailure)
 	}
 	if p.silent[v.ID] > 0 {
 		p.silent[v.ID]--
@@ -140,13 +140,13 @@
 	local := p.local > 0
 	p.mu.Unlock()
 	if local {
-		return ashwood.NotSent, nil
+		return ashwood.StatusNotSent, nil
 	}
 	if p.mute {
 		<-ctx.Done()
-		return ashwood.ConnectionLost, nil
+		return ashwood.StatusConnectionLost, nil
 	}
-	return ashwood.Served, p.load
+	return ashwood.StatusServed, p.load
 }
 
 // pieces is a stream that ends with err.
@@ -168,9 +168,11 @@
 func (s *pieces) Report() ashwood.Report { return nil }
 func (s *pieces) Close() error           { s.closed = true; return nil }
 
-func answer(st ashwood.Status) Answer { return Answer{Result: ashwood.Result{Status: st}} }
-func streams(err error, left ...string) Answer {
-	return Answer{Result: ashwood.Result{Status: ashwood.Served}, Stream: &pieces{left: left, err: err}}
+func answer(st ashwood.Status) AttemptResult {
+	return AttemptResult{Result: ashwood.Result{Status: st}}
+}
+func streams(err error, left ...string) AttemptResult {
+	return AttemptResult{Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: &pieces{left: left, err: err}}
 }
 
 func start(t *testing.T, p *peer) (*Gateway, *clock.Manual) {
@@ -187,18 +189,18 @@
 		return ashwood.Class{Name: name, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: e}
 	}
 	g, err := New(ashwood.Settings{
-		Nodes: max(p.nodes, 1), Ahead: true, Reports: ashwood.ReportInline,
+		Nodes: max(p.nodes, 1), Reservations: true, Reports: ashwood.ReportInline,
 		Kinds: []ashwood.Kind{{Name: "r", Role: ashwood.RoleRead, MemoryTokens: 1e5}, {Name: "w", Role: ashwood.RoleWrite, MemoryTokens: 1e5}},
 		Classes: []ashwood.Class{class("chat", ashwood.Pure), class("order", ashwood.SideEffect), {
-			Name: "quote", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: ashwood.Token, Group: ashwood.ScopeAll, Window: time.Second}},
+			Name: "quote", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: ashwood.TokenEffect, Group: ashwood.ScopeAll, Window: time.Second}},
 		Limits: ashwood.Limits{MaxAttempts: 6, Cancel: true, Probes: p.nodes > 1, RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond},
-		Rules:  ashwood.Rules{Release: 500 * time.Millisecond},
+		Rules:  ashwood.Rules{ReleaseTimeout: 500 * time.Millisecond},
 	}, 1, p, c, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Update(ashwood.ListWhole, []ashwood.Server{
-		{ID: "r1", Kind: "r", State: ashwood.StateOn}, {ID: "w1", Kind: "w", State: ashwood.StateOn}})
+	g.UpdateMembership(ashwood.MembershipSnapshot, []ashwood.Server{
+		{ID: "r1", Kind: "r", State: ashwood.StateActive}, {ID: "w1", Kind: "w", State: ashwood.StateActive}})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go g.Run(ctx)
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -9,7 +9,7 @@
 // probe asks an engine for its load, for the decisions.
 func (g *Gateway) probe(v ashwood.Server) {
 	status, report := g.ask(v, probeWait)
-	g.router.Probed(v.ID, status, report)
+	g.router.ReportProbeResult(v.ID, status, report)
 }
 
 // ask probes an engine in so many ms at most.
@@ -22,7 +22,7 @@
 	switch {
 	case answered(status):
 		g.owner.heard(v)
-	case status == ashwood.NotSent && ctx.Err() == nil: // this machine could not ask
+	case status == ashwood.StatusNotSent && ctx.Err() == nil: // this machine could not ask
 	default:
 		g.owner.unheard(v, "probe", false)
 	}
@@ -35,14 +35,14 @@
 // engine that holds a place for the read knows of it, by the protocol.
 func (g *Gateway) arrived(out *outAttempt, known bool, by float64) bool {
 	switch {
-	case g.router.HeardAt(out.engine.ID) >= out.written+arrivalWait:
+	case g.router.LastResponseAt(out.engine.ID) >= out.written+arrivalWait:
 		return true
 	case !g.probes:
 		return known
 	}
 	status, report := g.ask(out.engine, max(min(probeWait, by-g.clock.Now()), 0))
 	if answered(status) {
-		g.router.Probed(out.engine.ID, status, report) // it need not be probed for the decisions as well
+		g.router.ReportProbeResult(out.engine.ID, status, report) // it need not be probed for the decisions as well
 	}
 	return answered(status)
 }
--- a/gateway/repeat_test.go
+++ b/gateway/repeat_test.go
@@ -94,7 +94,7 @@
 				time.Sleep(tt.after)
 				h.pause(true)
 				if tt.restarts {
-					g.Update(ashwood.ListPatch, []ashwood.Server{{ID: "r1", Kind: "r", State: ashwood.StateOn, Started: clock.Duration(g.clock.Now())}})
+					g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "r1", Kind: "r", State: ashwood.StateActive, Started: clock.Duration(g.clock.Now())}})
 				}
 				time.Sleep(2 * time.Second)
 				if told := p.toldSoFar(); len(told) > 0 {
@@ -139,10 +139,10 @@
 	for name, change := range map[string]func(*Gateway){
 		"dies": func(*Gateway) {},
 		"starts anew": func(g *Gateway) {
-			g.Update(ashwood.ListPatch, []ashwood.Server{{ID: "w1", Kind: "w", State: ashwood.StateOn, Started: clock.Duration(g.clock.Now())}})
+			g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "w1", Kind: "w", State: ashwood.StateActive, Started: clock.Duration(g.clock.Now())}})
 		},
 		"leaves": func(g *Gateway) {
-			g.Update(ashwood.ListPatch, []ashwood.Server{{ID: "w1", Kind: "w", State: ashwood.StateOff}})
+			g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{{ID: "w1", Kind: "w", State: ashwood.StateRemoved}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/gateway/stall_test.go
+++ b/gateway/stall_test.go
@@ -33,9 +33,9 @@
 func TestStalledStreamBreaks(t *testing.T) {
 	for _, works := range []bool{true, false} {
 		stalled := &stalls{pieces: pieces{left: []string{"a"}}, waiting: make(chan struct{})}
-		p := &peer{place: PlaceRefused, answers: map[ashwood.ServerID][]Answer{
-			"r1": {answer(ashwood.Parsed), answer(ashwood.Parsed)},
-			"w1": {{Result: ashwood.Result{Status: ashwood.Served}, Stream: stalled}, streams(io.EOF, "b")}}}
+		p := &peer{place: ReserveRefused, answers: map[ashwood.ServerID][]AttemptResult{
+			"r1": {answer(ashwood.StatusPrefilled), answer(ashwood.StatusPrefilled)},
+			"w1": {{Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: stalled}, streams(io.EOF, "b")}}}
 		g, c := start(t, p)
 		r := serve(t, g, context.Background(), "chat")
 		if piece, err := r.Stream.Next(); string(piece) != "a" || err != nil {
@@ -110,9 +110,9 @@
 	} {
 		stalled := &stalls{pieces: pieces{left: []string{"a", "b"}}}
 		going := &paced{}
-		p := &peer{nodes: 2, place: PlaceRefused, load: ashwood.Report{ashwood.ReportQueue: tt.queue}, answers: map[ashwood.ServerID][]Answer{
-			"r1": {answer(ashwood.Parsed), answer(ashwood.Parsed)},
-			"w1": {{Result: ashwood.Result{Status: ashwood.Served}, Stream: going}, {Result: ashwood.Result{Status: ashwood.Served}, Stream: stalled}}}}
+		p := &peer{nodes: 2, place: ReserveRefused, load: ashwood.Report{ashwood.ReportQueue: tt.queue}, answers: map[ashwood.ServerID][]AttemptResult{
+			"r1": {answer(ashwood.StatusPrefilled), answer(ashwood.StatusPrefilled)},
+			"w1": {{Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: going}, {Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: stalled}}}}
 		synctest.Test(t, func(t *testing.T) {
 			stalled.waiting, going.step, p.probed = make(chan struct{}), make(chan struct{}, 1), make(chan string, 99)
 			g := startAt(t, p, SystemClock())
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -37,13 +37,13 @@
 	case err == nil:
 		s.pieces++
 	case errors.Is(err, io.EOF):
-		s.end(ashwood.Served)
+		s.end(ashwood.StatusServed)
 	case s.ctx.Err() != nil:
-		s.end(ashwood.CalledOff)
+		s.end(ashwood.StatusCancelled)
 		err = ErrClientGone
 	default:
 		s.g.log.Debug("stream broke", "id", s.id, "err", err)
-		s.end(ashwood.ConnectionLost)
+		s.end(ashwood.StatusConnectionLost)
 	}
 	return piece, err
 }
@@ -66,7 +66,7 @@
 		}
 	}
 	look = func() {
-		stopped, ask := s.g.router.Stopped(s.id, s.attempt, s.engine.ID, since, s.pulse.at(), first)
+		stopped, ask := s.g.router.AnswerStalled(s.id, s.attempt, s.engine.ID, since, s.pulse.at(), first)
 		left := stallWait - (s.g.clock.Now() - since)
 		if stopped || left <= 0 {
 			s.cancel(ErrStalled)
@@ -88,17 +88,17 @@
 
 // Move hands the answer to another process. Here it ends as one that was called off,
 // which says nothing of its engine.
-func (s *stream) Move(give func(Live) error) error {
-	m, ok := s.Stream.(Movable)
+func (s *stream) HandOver(give func(HandoverState) error) error {
+	m, ok := s.Stream.(HandoverStream)
 	if !ok {
 		return fmt.Errorf("gateway: a stream of %T can't be moved", s.Stream)
 	}
-	err := m.Move(func(v Live) error {
-		v.ID, v.Class, v.Engine, v.Begun = s.id, s.class, s.engine, s.begun
+	err := m.HandOver(func(v HandoverState) error {
+		v.ID, v.Class, v.Engine, v.StartedAt = s.id, s.class, s.engine, s.begun
 		return give(v)
 	})
 	if err == nil {
-		s.end(ashwood.CalledOff)
+		s.end(ashwood.StatusCancelled)
 	}
 	return err
 }
@@ -106,20 +106,20 @@
 // Adopt goes on with an answer that another process has begun: make gives its stream,
 // which ctx bounds. The decisions have not heard of its request and are not asked about it;
 // what it tells of its engine at its end is.
-func (g *Gateway) Adopt(ctx context.Context, live Live, make func(context.Context, Transport) (Stream, error)) (Stream, error) {
+func (g *Gateway) Adopt(ctx context.Context, live HandoverState, make func(context.Context, Transport) (Stream, error)) (Stream, error) {
 	actx, cancel := context.WithCancelCause(ctx)
 	inner, err := make(actx, g.transport)
 	if err != nil {
 		cancel(nil)
 		return nil, err
 	}
-	g.log.Debug("adopted", "id", live.ID, "class", live.Class, "engine", live.Engine.ID, "ms", g.clock.Now()-live.Begun)
-	return &stream{Stream: inner, g: g, ctx: ctx, id: live.ID, engine: live.Engine, pulse: g.pulses.enter(live.Engine.ID), cancel: cancel, class: live.Class, begun: live.Begun, pieces: 2}, nil
+	g.log.Debug("adopted", "id", live.ID, "class", live.Class, "engine", live.Engine.ID, "ms", g.clock.Now()-live.StartedAt)
+	return &stream{Stream: inner, g: g, ctx: ctx, id: live.ID, engine: live.Engine, pulse: g.pulses.enter(live.Engine.ID), cancel: cancel, class: live.Class, begun: live.StartedAt, pieces: 2}, nil
 }
 
 // Close ends the engine's stream if it has not ended.
 func (s *stream) Close() error {
-	s.end(ashwood.CalledOff)
+	s.end(ashwood.StatusCancelled)
 	s.cancel(nil)
 	return s.Stream.Close()
 }
@@ -131,5 +131,5 @@
 	s.ended = true
 	s.g.pulses.leave(s.engine.ID)
 	s.g.log.Debug("end", "id", s.id, "class", s.class, "status", status, "ms", s.g.clock.Now()-s.begun)
-	s.g.router.Report(s.id, s.attempt, ashwood.Result{Status: status, Report: s.Stream.Report()})
+	s.g.router.ReportResult(s.id, s.attempt, ashwood.Result{Status: status, Report: s.Stream.Report()})
 }
--- a/harness_test.go
+++ b/harness_test.go
@@ -8,17 +8,17 @@
 // settings are those of a small two-stage fleet.
 func settings() Settings {
 	return Settings{
-		Nodes: 1, Zone: "a", Ahead: true, Reports: ReportInline,
-		Kinds: []Kind{{"reader", RoleRead, 100000}, {"writer", RoleWrite, 100000}, {"mixed", RoleBoth, 100000}},
+		Nodes: 1, Zone: "a", Reservations: true, Reports: ReportInline,
+		Kinds: []Kind{{"reader", RoleRead, 100000}, {"writer", RoleWrite, 100000}, {"mixed", RoleMixed, 100000}},
 		Classes: []Class{
 			{Name: "chat", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: Pure},
-			{Name: "order", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: Token,
+			{Name: "order", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: TokenEffect,
 				Group: ScopeCell, Window: 2 * time.Second},
 			{Name: "pay", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: SideEffect},
 		},
 		Limits: Limits{MaxAttempts: 4, Cancel: true, ConnectTimeout: 100 * ms},
-		Rules: Rules{FallMultiple: 2, FallWindow: time.Second, ColdFrom: 0.25, ColdTime: 10 * time.Second,
-			Release: time.Second},
+		Rules: Rules{SlowStartMultiple: 2, SlowStartWindow: time.Second, SlowStartCapacity: 0.25, SlowStartDuration: 10 * time.Second,
+			ReleaseTimeout: time.Second},
 	}
 }
 
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	n := &node{t: t, s: s, now: time.Hour}
-	n.do(Members{Form: ListStale, Entries: list})
+	n.do(MembershipUpdate{Form: MembershipStale, Entries: list})
 	return n
 }
 
@@ -53,10 +53,10 @@
 }
 
 func reader(id string) Server {
-	return Server{ID: ServerID(id), Zone: "a", Kind: "reader", State: StateOn}
+	return Server{ID: ServerID(id), Zone: "a", Kind: "reader", State: StateActive}
 }
 func writer(id string, cell int) Server {
-	return Server{ID: ServerID(id), Zone: "a", Cell: cell, Kind: "writer", State: StateOn}
+	return Server{ID: ServerID(id), Zone: "a", Cell: cell, Kind: "writer", State: StateActive}
 }
 
 func (n *node) ask(id string, session, prefix uint64) []Action {
@@ -80,7 +80,7 @@
 
 func (n *node) sentTo(want string) {
 	n.t.Helper()
-	if a, ok := pick[Attempt](n); string(a.Server) != want || ok != (want != "") {
+	if a, ok := pick[Send](n); string(a.Server) != want || ok != (want != "") {
 		n.t.Fatalf("sent to %q, want %q; actions %v", a.Server, want, n.out)
 	}
 }
--- a/health_test.go
+++ b/health_test.go
@@ -41,7 +41,7 @@
 		n.sentTo("r1")
 	}
 	for i := range 7 {
-		n.end(fmt.Sprint(i), 0, "r1", TurnedAway)
+		n.end(fmt.Sprint(i), 0, "r1", StatusRejected)
 		pauses[n.s.servers["r1"].pausedUntil-n.now] = true
 	}
 	if len(pauses) != 1 || pauses[0] {
@@ -52,7 +52,7 @@
 func fail(n *node, v string, times int) {
 	for i := 0; i < times; i++ {
 		n.s.now = n.now
-		n.s.judge(n.s.servers[ServerID(v)], &request{Request: Request{ID: "x"}}, false)
+		n.s.updateHealth(n.s.servers[ServerID(v)], &trackedRequest{Request: Request{ID: "x"}}, false)
 	}
 }
 
@@ -66,18 +66,18 @@
 	}
 	for i := uint64(0); i < 20; i++ {
 		n.ask(fmt.Sprint(i), i, 0)
-		if a, _ := pick[Attempt](n); a.Server == "r1" {
+		if a, _ := pick[Send](n); a.Server == "r1" {
 			t.Fatal("an ejected server was sent a request")
 		}
 	}
-	n.now += backoffFirst
+	n.now += minBackoff
 	n.ask("trial", 100, 0)
 	n.sentTo("r1")
 	n.ask("next", 101, 0)
-	if a, _ := pick[Attempt](n); a.Server == "r1" {
+	if a, _ := pick[Send](n); a.Server == "r1" {
 		t.Fatal("more than a single trial")
 	}
-	n.end("trial", 0, "r1", Parsed)
+	n.end("trial", 0, "r1", StatusPrefilled)
 	if n.s.servers["r1"].ejected {
 		t.Error("not readmitted after its trial")
 	}
@@ -91,7 +91,7 @@
 		}
 	}
 	gone := 0
-	for _, v := range n.s.order {
+	for _, v := range n.s.sortedServers {
 		if v.ejected {
 			gone++
 		}
@@ -114,12 +114,12 @@
 		fail(n, "f1", 1)
 		fail(n, "f2", 1)
 	}
-	if !n.s.zones["b"].ejected {
+	if !n.s.zonePaths["b"].ejected {
 		t.Error("the path to a lost zone is still trusted")
 	}
 	n = newNode(t, settings(), list...)
 	fail(n, "f1", 12)
-	if n.s.zones["b"].ejected {
+	if n.s.zonePaths["b"].ejected {
 		t.Error("one bad server condemns its zone")
 	}
 }
@@ -135,24 +135,24 @@
 		home := 0
 		for key := range uint64(20) {
 			set, list := settings(), []Server{reader("own")}
-			set.Nodes, set.Ahead = tt.nodes, false
+			set.Nodes, set.Reservations = tt.nodes, false
 			for i := range 20 {
 				far := reader(fmt.Sprint("far", i))
 				far.Zone = "b"
 				list = append(list, far)
 			}
 			n := newNode(t, set, list...)
-			for _, v := range n.s.order { // its own zone's is busy, so that it goes to another first
+			for _, v := range n.s.sortedServers { // its own zone's is busy, so that it goes to another first
 				v.report, v.reportAt = Report{ReportInFlight: 0}, n.now
 			}
 			n.s.servers["own"].report = Report{ReportInFlight: 10}
 			n.ask("q", key+1, key+1)
-			a, _ := pick[Attempt](n)
+			a, _ := pick[Send](n)
 			if a.Server == "own" {
 				t.Errorf("%d nodes: sent to the busy reader", tt.nodes)
 			}
-			n.do(Outcome{ID: "q", Server: a.Server, Status: NoConnection, Latency: tt.latency})
-			if a, _ := pick[Attempt](n); a.Server == "own" {
+			n.do(Outcome{ID: "q", Server: a.Server, Status: StatusConnectFailed, Latency: tt.latency})
+			if a, _ := pick[Send](n); a.Server == "own" {
 				home++
 			}
 		}
@@ -168,19 +168,19 @@
 	for _, busy := range []bool{false, true} {
 		n := newNode(t, settings(), reader("r1"), reader("r2"), writer("w1", 0))
 		n.ask("a", 1, 0)
-		a, _ := pick[Attempt](n)
+		a, _ := pick[Send](n)
 		v := n.s.servers[a.Server]
 		for i := 0; i < 2; i++ {
 			n.now += 500 * ms
 			if busy {
-				v.alive = n.now
+				v.lastProgressAt = n.now
 			}
-			n.s.now, n.s.out = n.now, nil
-			n.s.overdue(n.s.reqs["a"], 0)
-			n.out = n.s.out
+			n.s.now, n.s.actions = n.now, nil
+			n.s.handleOverdue(n.s.requests["a"], 0)
+			n.out = n.s.actions
 		}
-		if _, cancelled := pick[Cancel](n); cancelled == busy || (v.fail > 0) == busy {
-			t.Errorf("busy %v: cancelled %v, fail %v", busy, cancelled, v.fail)
+		if _, cancelled := pick[Cancel](n); cancelled == busy || (v.failureRate > 0) == busy {
+			t.Errorf("busy %v: cancelled %v, fail %v", busy, cancelled, v.failureRate)
 		}
 	}
 }
@@ -205,16 +205,16 @@
 			n.do(Request{ID: RequestID(id), Class: tt.class, PromptTokens: 320, TimeLeft: 5 * time.Second})
 			n.sentTo("r1")
 			if tt.writes {
-				n.end(id, 0, "r1", Parsed)
+				n.end(id, 0, "r1", StatusPrefilled)
 				n.sentTo("w1")
 			}
 			n.now += ms
 		}
 		answer := func(id string) {
 			if tt.writes {
-				n.do(First{ID: RequestID(id), Attempt: 1, Server: "w1", Latency: 50 * ms})
+				n.do(AnswerStarted{ID: RequestID(id), Attempt: 1, Server: "w1", Latency: 50 * ms})
 			} else {
-				n.end(id, 0, "r1", Parsed)
+				n.end(id, 0, "r1", StatusPrefilled)
 			}
 		}
 		if !tt.later {
@@ -225,14 +225,14 @@
 			send("other")
 		}
 		answer("other")
-		attempt := len(n.s.reqs["lost"].attempts) - 1
-		v := n.s.reqs["lost"].attempts[attempt].srv
+		attempt := len(n.s.requests["lost"].attempts) - 1
+		v := n.s.requests["lost"].attempts[attempt].server
 		n.now += 600 * ms
-		n.s.now, n.s.out = n.now, nil
-		n.s.overdue(n.s.reqs["lost"], attempt)
-		n.out = n.s.out
-		if _, got := pick[Cancel](n); got != tt.cancelled || v.fail > 0 {
-			t.Errorf("%s: cancelled %v, trust lost %v", tt.name, got, v.fail)
+		n.s.now, n.s.actions = n.now, nil
+		n.s.handleOverdue(n.s.requests["lost"], attempt)
+		n.out = n.s.actions
+		if _, got := pick[Cancel](n); got != tt.cancelled || v.failureRate > 0 {
+			t.Errorf("%s: cancelled %v, trust lost %v", tt.name, got, v.failureRate)
 		}
 	}
 }
@@ -242,24 +242,24 @@
 func TestSharedSlownessIsNoFaultOfOne(t *testing.T) {
 	for _, shared := range []bool{true, false} {
 		n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 0), writer("w3", 0))
-		n.s.pace[writing].Observe(n.now, 50*ms, 320)
+		n.s.stageLatency[stageDecode].Observe(n.now, 50*ms, 320)
 		for i, id := range []string{"a", "b", "c"} {
 			n.ask(id, uint64(i), 0)
-			n.end(id, 0, "r1", Parsed)
+			n.end(id, 0, "r1", StatusPrefilled)
 		}
-		out := func(id string) *attempt { return n.s.reqs[RequestID(id)].attempts[1] }
-		if out("a").srv == out("b").srv || out("b").srv == out("c").srv || out("a").srv == out("c").srv {
+		out := func(id string) *trackedAttempt { return n.s.requests[RequestID(id)].attempts[1] }
+		if out("a").server == out("b").server || out("b").server == out("c").server || out("a").server == out("c").server {
 			t.Fatal("not one attempt at each writer")
 		}
 		n.now += 600 * ms
 		if !shared {
-			out("b").srv.alive, out("c").srv.alive = n.now-ms, n.now-ms
+			out("b").server.lastProgressAt, out("c").server.lastProgressAt = n.now-ms, n.now-ms
 		}
-		n.s.now, n.s.out = n.now, nil
-		n.s.overdue(n.s.reqs["a"], 1)
-		n.out = n.s.out
-		if _, left := pick[Cancel](n); left == shared || out("a").srv.fail > 0 {
-			t.Errorf("shared %v: called off %v, trust lost %v", shared, left, out("a").srv.fail)
+		n.s.now, n.s.actions = n.now, nil
+		n.s.handleOverdue(n.s.requests["a"], 1)
+		n.out = n.s.actions
+		if _, left := pick[Cancel](n); left == shared || out("a").server.failureRate > 0 {
+			t.Errorf("shared %v: called off %v, trust lost %v", shared, left, out("a").server.failureRate)
 		}
 	}
 }
@@ -269,15 +269,15 @@
 	n := newNode(t, settings(), reader("r1"), reader("r2"), writer("w1", 0))
 	n.ask("a", 1, 0)
 	for range 30 {
-		n.s.pace[reading].Observe(n.now, 2*time.Second, 320)
+		n.s.stageLatency[stagePrefill].Observe(n.now, 2*time.Second, 320)
 	}
 	n.now += 1500 * ms
-	n.s.now, n.s.out = n.now, nil
-	n.s.overdue(n.s.reqs["a"], 0)
-	n.out = n.s.out
+	n.s.now, n.s.actions = n.now, nil
+	n.s.handleOverdue(n.s.requests["a"], 0)
+	n.out = n.s.actions
 	lacks[Cancel](n)
 	wants[SetTimer](n)
-	if r := n.s.servers["r1"].fail + n.s.servers["r2"].fail; r > 0 {
+	if r := n.s.servers["r1"].failureRate + n.s.servers["r2"].failureRate; r > 0 {
 		t.Errorf("trust lost: %v", r)
 	}
 }
--- a/homes_test.go
+++ b/homes_test.go
@@ -18,11 +18,11 @@
 		set := nodesOf(tt.nodes)
 		set.Reports = tt.reports
 		n := newNode(t, set, fleetOf(40, 40)...)
-		readers := n.s.pool(&request{Request: Request{ID: "q"}, class: n.s.classes["chat"]}, reads)
+		readers := n.s.eligibleServers(&trackedRequest{Request: Request{ID: "q"}, class: n.s.classes["chat"]}, isPrefill)
 		found := map[ServerID]bool{}
 		for session := range uint64(200) {
-			r := &request{Request: Request{ID: "q", Prefix: 7, Session: session + 1, PrefixTokens: 64, PromptTokens: 640}, class: n.s.classes["chat"]}
-			for _, v := range n.s.homes(r, readers) {
+			r := &trackedRequest{Request: Request{ID: "q", Prefix: 7, Session: session + 1, PrefixTokens: 64, PromptTokens: 640}, class: n.s.classes["chat"]}
+			for _, v := range n.s.affinityTargets(r, readers) {
 				found[v.ID] = true
 			}
 		}
@@ -43,11 +43,11 @@
 		set := nodesOf(100)
 		set.Reports = tt.reports
 		n := newNode(t, set, fleetOf(30, 30)...)
-		seen := map[*server]bool{}
+		seen := map[*trackedServer]bool{}
 		for i := 0; i < 200; i++ {
-			r := &request{Request: Request{Session: uint64(i), Prefix: uint64(i%share + 1), PrefixTokens: 160, PromptTokens: 320}}
-			homes := n.s.homes(r, n.s.pool(r, reads))
-			n.s.table.Record(n.now, homes[0].runs, r.parts(), false)
+			r := &trackedRequest{Request: Request{Session: uint64(i), Prefix: uint64(i%share + 1), PrefixTokens: 160, PromptTokens: 320}}
+			homes := n.s.affinityTargets(r, n.s.eligibleServers(r, isPrefill))
+			n.s.prefixTable.Record(n.now, homes[0].prefixRuns, r.prefixParts(), false)
 			if r.Prefix == 1 {
 				seen[homes[0]] = true
 			}
@@ -81,7 +81,7 @@
 			asked := 0
 			n.ask("q", 1, 7)
 			for range 3 {
-				if _, sent := pick[Attempt](n); sent {
+				if _, sent := pick[Send](n); sent {
 					break
 				}
 				var timer SetTimer
@@ -98,12 +98,12 @@
 					}
 				}
 				for _, id := range answered {
-					n.do(Probed{Server: id, Status: Served, Report: Report{ReportInFlight: 0, ReportQueue: 0}})
+					n.do(ProbeResult{Server: id, Status: StatusServed, Report: Report{ReportInFlight: 0, ReportQueue: 0}})
 				}
 				n.now = timer.At
-				n.do(Timer{timer.Token})
+				n.do(TimerFired{timer.Token})
 			}
-			attempt, sent := pick[Attempt](n)
+			attempt, sent := pick[Send](n)
 			if !sent || silent[attempt.Server] != tt.slow || asked == 0 {
 				t.Errorf("sent to %q (%v), asked %d, silent %v", attempt.Server, sent, asked, silent)
 			}
@@ -114,21 +114,21 @@
 // Where tokens are told, they are the load: few long prompts are more work than many short ones.
 func TestLoad_TokensCountBeforeRequests(t *testing.T) {
 	n := newNode(t, nodesOf(300), fleetOf(2, 2)...)
-	n.s.prompt = 1000
+	n.s.meanPromptTokens = 1000
 	short := Report{ReportInFlight: 9, ReportQueue: 8, ReportWaiting: 2}
 	long := Report{ReportInFlight: 2, ReportQueue: 1, ReportWaiting: 60}
 	for report, want := range map[*Report]float64{&short: 2, &long: 60, {ReportInFlight: 9, ReportQueue: 8}: 9, {}: 0} {
-		if got := n.s.running(&server{report: *report}); got != want {
+		if got := n.s.reportedLoad(&trackedServer{report: *report}); got != want {
 			t.Errorf("%v: load of %v requests, want %v", *report, got, want)
 		}
 	}
 	few := newNode(t, nodesOf(4), fleetOf(2, 2)...)
-	few.s.prompt = 1000
-	if got := few.s.running(&server{report: long}); got != 2 {
+	few.s.meanPromptTokens = 1000
+	if got := few.s.reportedLoad(&trackedServer{report: long}); got != 2 {
 		t.Errorf("of four gateways, which count requests themselves: %v, want 2", got)
 	}
-	n.s.prompt = 0
-	if got := n.s.running(&server{report: long}); got != 2 {
+	n.s.meanPromptTokens = 0
+	if got := n.s.reportedLoad(&trackedServer{report: long}); got != 2 {
 		t.Errorf("before any prompt is known: %v, want 2", got)
 	}
 }
@@ -152,14 +152,14 @@
 			set := nodesOf(300)
 			set.Reports = ReportInline
 			n := newNode(t, set, fleetOf(12, 2)...)
-			n.s.prompt, n.s.now = 400, n.now
-			r := &request{Request: Request{ID: "q", Session: 3, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}, class: n.s.classes["chat"]}
-			readers := n.s.pool(r, reads)
-			homes := n.s.homes(r, readers)
+			n.s.meanPromptTokens, n.s.now = 400, n.now
+			r := &trackedRequest{Request: Request{ID: "q", Session: 3, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}, class: n.s.classes["chat"]}
+			readers := n.s.eligibleServers(r, isPrefill)
+			homes := n.s.affinityTargets(r, readers)
 			for _, v := range readers { // all others have as much to do as the home
 				v.report, v.reportAt = Report{ReportWaiting: tt.home}, n.now
 			}
-			var other *server
+			var other *trackedServer
 			for _, v := range readers {
 				if v != homes[0] && v != homes[1] {
 					other = v
@@ -170,9 +170,9 @@
 			}
 			other.report, other.reportAt = Report{ReportWaiting: tt.cold}, n.now
 			if !tt.heard {
-				other.reportAt -= probeEvery
+				other.reportAt -= loadProbeInterval
 			}
-			if got := n.s.byPrefix(r, readers); (got == other) != tt.ok {
+			if got := n.s.pickByPrefix(r, readers); (got == other) != tt.ok {
 				t.Errorf("sent to %s, a home is %s, the other %s", got.ID, homes[0].ID, other.ID)
 			}
 		})
@@ -202,9 +202,9 @@
 			n := newNode(t, set, fleet...)
 			n.s.rng.Seed(int64(seed))
 			for key := range uint64(50) {
-				r := &request{Request: Request{ID: "q", Session: key%3 + 1, Prefix: key/3 + 1, PrefixTokens: 160, PromptTokens: 320}, class: n.s.classes["chat"]}
-				readers := n.s.pool(r, reads)
-				homes := n.s.homes(r, readers)
+				r := &trackedRequest{Request: Request{ID: "q", Session: key%3 + 1, Prefix: key/3 + 1, PrefixTokens: 160, PromptTokens: 320}, class: n.s.classes["chat"]}
+				readers := n.s.eligibleServers(r, isPrefill)
+				homes := n.s.affinityTargets(r, readers)
 				if len(homes) != 2 || homes[0].Zone != zone || homes[1].Zone == zone {
 					t.Fatalf("homes %v in zone %s", homes, zone)
 				}
@@ -215,11 +215,11 @@
 				for _, v := range readers {
 					v.report, v.reportAt = Report{ReportInFlight: 3}, n.s.now
 				}
-				if got := n.s.byPrefix(r, readers); got != homes[0] {
+				if got := n.s.pickByPrefix(r, readers); got != homes[0] {
 					t.Errorf("key %d: sent to %s, want the home %s of the own zone", key, got.ID, homes[0].ID)
 				}
 				homes[0].report = Report{ReportInFlight: 5}
-				if got := n.s.byPrefix(r, readers); got != homes[1] {
+				if got := n.s.pickByPrefix(r, readers); got != homes[1] {
 					t.Errorf("key %d: sent to %s, want the other home %s", key, got.ID, homes[1].ID)
 				}
 			}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,7 +28,7 @@
 	}
 	seed := uint64(0x8c1f30d27a5be964)
 	engines := []ashwood.Server{{ID: "s-1", Address: "10.1.0.18:7070", Zone: "a", Kind: "m2", Cell: 3,
-		State: ashwood.StateFading, Weight: 1.5, Started: 2500e6}}
+		State: ashwood.StateDraining, Weight: 1.5, Started: 2500e6}}
 	if c.Seed != int64(seed) || c.Limits != (Limits{0.5, 100, 512}) || c.KnownMembership.Generation != 41 ||
 		len(c.Settings.Classes) != 1 || cmp.Diff(engines, c.KnownMembership.Engines) != "" {
 		t.Errorf("%+v", c)
@@ -122,7 +122,7 @@
 	const grpc = "[grpc]\nlisten = \"127.0.0.1:1\"\n"
 	o, err := load(grpc + "[[grpc.boxes]]\nid = \"b\"\naddress = \"127.0.0.1:2\"\nkind = \"m2\"\n")
 	want := Operator{GRPC: &GRPC{Listen: "127.0.0.1:1", Engines: []ashwood.Server{
-		{ID: "b", Address: "127.0.0.1:2", Kind: "m2", State: ashwood.StateOn, Weight: 1}}}}
+		{ID: "b", Address: "127.0.0.1:2", Kind: "m2", State: ashwood.StateActive, Weight: 1}}}}
 	if diff := cmp.Diff(want, o, cmpopts.IgnoreFields(GRPC{}, "Credentials", "EngineCredentials")); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -111,7 +111,7 @@
 		}
 		grpcFront.Engines = append(grpcFront.Engines, ashwood.Server{
 			ID: ashwood.ServerID(engine.ID), Address: engine.Address, Kind: engine.Kind, Zone: engine.Zone, Cell: engine.Cell,
-			Weight: engine.Weight, State: ashwood.StateOn,
+			Weight: engine.Weight, State: ashwood.StateActive,
 		})
 	}
 	if xdsInput := input.GRPC.XDS; xdsInput != nil {
--- a/internal/grpcfront/call.go
+++ b/internal/grpcfront/call.go
@@ -40,7 +40,7 @@
 	return fmt.Errorf("grpcfront: %s: %v", box, err)
 }
 
-func (c *call) read(box ashwood.ServerID) gateway.Answer {
+func (c *call) read(box ashwood.ServerID) gateway.AttemptResult {
 	var kept ashwoodpb.ReadResult
 	err := c.RecvMsg(&kept)
 	if err == nil {
@@ -49,28 +49,28 @@
 	if !errors.Is(err, io.EOF) {
 		return c.unserved(box, err)
 	}
-	return gateway.Answer{Result: ashwood.Result{
-		Status: ashwood.Parsed, Note: float64(kept.GetCachedTokens()), Report: c.report(),
+	return gateway.AttemptResult{Result: ashwood.Result{
+		Status: ashwood.StatusPrefilled, Detail: float64(kept.GetCachedTokens()), Report: c.report(),
 	}}
 }
 
 // unserved tells what a call that brought no answer proves.
-func (c *call) unserved(box ashwood.ServerID, err error) gateway.Answer {
-	res := ashwood.Result{Status: ashwood.ConnectionLost, Report: c.report()}
+func (c *call) unserved(box ashwood.ServerID, err error) gateway.AttemptResult {
+	res := ashwood.Result{Status: ashwood.StatusConnectionLost, Report: c.report()}
 	switch {
 	case !c.trailed.Load():
 	case len(c.Trailer().Get(trailerAway)) > 0:
-		res.Status = ashwood.TurnedAway
+		res.Status = ashwood.StatusRejected
 		if status.Code(err) == codes.FailedPrecondition {
-			res.Note = 1
+			res.Detail = 1
 		}
 	default:
-		res.Status = ashwood.ServerError
+		res.Status = ashwood.StatusServerError
 	}
 	if errors.Is(err, io.EOF) {
 		err = errors.New("ended without a token")
 	}
-	return gateway.Answer{Result: res, Err: c.failure(box, err)}
+	return gateway.AttemptResult{Result: res, Err: c.failure(box, err)}
 }
 
 // stream is an answer whose tokens go on as the bytes that came.
--- a/internal/grpcfront/grpcfront_test.go
+++ b/internal/grpcfront/grpcfront_test.go
@@ -145,20 +145,20 @@
 		}
 	}
 	check(&ashwoodpb.GenerateRequest{RequestId: "a", Class: "send-order", Session: "refused", PromptTokens: 64, FirstTokenMs: 200}, codes.Unavailable)
-	gw.Update(ashwood.ListWhole, nil) // no box left
+	gw.UpdateMembership(ashwood.MembershipSnapshot, nil) // no box left
 	check(&ashwoodpb.GenerateRequest{RequestId: "b", Class: "send-order", PromptTokens: 64, FirstTokenMs: 200}, codes.ResourceExhausted)
 }
 
 func TestProbeTellsTheLoad(t *testing.T) {
 	_, f, _ := start(t)
 	status, report := f.boxes.Probe(context.Background(), f.list[0])
-	if diff := cmp.Diff(ashwood.Report{ashwood.ReportInFlight: 2}, report); status != ashwood.Served || diff != "" {
+	if diff := cmp.Diff(ashwood.Report{ashwood.ReportInFlight: 2}, report); status != ashwood.StatusServed || diff != "" {
 		t.Errorf("status %v\n%s", status, diff)
 	}
 	gone := listen(t)
 	gone.Close()
 	status, _ = f.boxes.Probe(context.Background(), ashwood.Server{ID: "gone", Address: gone.Addr().String()})
-	if status != ashwood.NoConnection {
+	if status != ashwood.StatusConnectFailed {
 		t.Errorf("status %v of a box that is gone", status)
 	}
 }
--- a/internal/grpcfront/harness_test.go
+++ b/internal/grpcfront/harness_test.go
@@ -39,7 +39,7 @@
 	waiting  chan string         // requests that a box keeps without an answer
 	last     *ashwoodpb.GenerateRequest
 	freed    chan struct{} // gets a value with each release
-	boxes    *Boxes        // the gateway's transport to them
+	boxes    *Engines      // the gateway's transport to them
 	list     []ashwood.Server
 	front    *Server
 	second   chan struct{} // a value lets an answer go on after its first token
@@ -111,7 +111,7 @@
 		case in.Session == "error after first":
 			return status.Error(codes.DataLoss, "broke in the middle")
 		case in.Session == "removed" && i == 0:
-			b.boxes.Keep(nil)
+			b.boxes.RetainOnly(nil)
 		case in.Session == "halved" && i == 0:
 			<-b.second
 		case in.Session == "endless":
@@ -156,7 +156,7 @@
 		return ashwood.Class{Name: name, Aim: 2 * time.Second, Deadline: 15 * time.Second, Worth: 1, Effect: e}
 	}
 	return ashwood.Settings{
-		Nodes: 1, Ahead: true, Reports: ashwood.ReportInline,
+		Nodes: 1, Reservations: true, Reports: ashwood.ReportInline,
 		Kinds: []ashwood.Kind{
 			{Name: "reader", Role: ashwood.RoleRead, MemoryTokens: 1e5}, {Name: "writer", Role: ashwood.RoleWrite, MemoryTokens: 1e5}},
 		Classes: []ashwood.Class{class("case-chat", ashwood.Pure), class("send-order", ashwood.SideEffect)},
@@ -189,16 +189,16 @@
 		go s.Serve(l)
 		t.Cleanup(s.Stop)
 		kind := map[byte]string{'r': "reader", 'w': "writer"}[name[0]]
-		f.list = append(f.list, ashwood.Server{ID: ashwood.ServerID(name), Kind: kind, State: ashwood.StateOn, Address: l.Addr().String()})
+		f.list = append(f.list, ashwood.Server{ID: ashwood.ServerID(name), Kind: kind, State: ashwood.StateActive, Address: l.Addr().String()})
 	}
 	log := slog.New(slog.DiscardHandler)
-	f.boxes = NewBoxes(settings(), insecure.NewCredentials(), c)
+	f.boxes = NewEngines(settings(), insecure.NewCredentials(), c)
 	t.Cleanup(f.boxes.Close)
 	gw, err := gateway.New(settings(), 1, f.boxes, c, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	gw.Update(ashwood.ListWhole, f.list)
+	gw.UpdateMembership(ashwood.MembershipSnapshot, f.list)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go gw.Run(ctx)
--- a/internal/grpcfront/remaining_test.go
+++ b/internal/grpcfront/remaining_test.go
@@ -46,14 +46,14 @@
 	ashwoodpb.RegisterBoxServer(s, box)
 	go s.Serve(l)
 	t.Cleanup(s.Stop)
-	boxes := NewBoxes(settings(), insecure.NewCredentials(), slowly{clock.NewManual(0)})
+	boxes := NewEngines(settings(), insecure.NewCredentials(), slowly{clock.NewManual(0)})
 	t.Cleanup(boxes.Close)
 	answer := boxes.Send(t.Context(), gateway.Attempt{
-		Request: &gateway.Request{Call: ashwood.Call{ID: "q", Class: "case-chat"}},
-		Engine:  ashwood.Server{ID: "r1", Kind: "reader", Address: l.Addr().String()}, Reads: true, Remaining: 5000,
-		Ready: func() bool { return true }, Sent: func() {},
+		Request: &gateway.Request{RequestInfo: ashwood.RequestInfo{ID: "q", Class: "case-chat"}},
+		Engine:  ashwood.Server{ID: "r1", Kind: "reader", Address: l.Addr().String()}, Prefill: true, Remaining: 5000,
+		MayWrite: func() bool { return true }, OnSent: func() {},
 	})
-	if answer.Status != ashwood.Parsed {
+	if answer.Status != ashwood.StatusPrefilled {
 		t.Fatalf("ended as %v, %v", answer.Status, answer.Err)
 	}
 	told := <-box.told
--- a/internal/grpcfront/server.go
+++ b/internal/grpcfront/server.go
@@ -139,7 +139,7 @@
 		return s.pass(ss, reply.Stream)
 	case gateway.Refused:
 		return refusal(reply)
-	case gateway.Gone:
+	case gateway.ClientGone:
 		return status.FromContextError(context.Cause(ss.Context())).Err()
 	}
 	return failure(reply.Err)
@@ -185,7 +185,7 @@
 func failure(err error) error {
 	st, ok := status.FromError(err)
 	switch {
-	case errors.Is(err, gateway.ErrTimedOut):
+	case errors.Is(err, gateway.ErrFirstTokenTimeout):
 		return status.Error(codes.DeadlineExceeded, err.Error())
 	case errors.Is(err, gateway.ErrClientGone):
 		return status.Error(codes.Canceled, err.Error())
@@ -216,10 +216,10 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		left = min(left, clock.Millis(time.Until(deadline))) // not by the wall clock, which may be stepped
 	}
-	return &gateway.Request{Front: frontName, Client: clientAddr(ctx), Body: raw, Call: ashwood.Call{
+	return &gateway.Request{Front: frontName, ClientAddr: clientAddr(ctx), Body: raw, RequestInfo: ashwood.RequestInfo{
 		ID: ashwood.RequestID(in.GetRequestId()), Class: in.GetClass(), Tenant: in.GetTenant(),
-		Session: gateway.Key(in.GetSession()), Prefix: gateway.Key(in.GetPrefix()), PromptTokens: float64(in.GetPromptTokens()),
-		PrefixTokens: float64(in.GetPrefixTokens()), MaxOut: float64(in.GetMaxTokens()),
+		Session: gateway.AffinityKey(in.GetSession()), Prefix: gateway.AffinityKey(in.GetPrefix()), PromptTokens: float64(in.GetPromptTokens()),
+		PrefixTokens: float64(in.GetPrefixTokens()), MaxOutputTokens: float64(in.GetMaxTokens()),
 		Remaining: max(left, 0), Retry: in.GetResent(),
 	}}, nil
 }
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -9,18 +9,18 @@
 // first, then twice as long each time up to the last, each drawn from its upper
 // half so that gateways that failed together do not come again together.
 type Backoff struct {
-	First float64 // ms
-	Last  float64 // ms, at least First
-	Rand  *rand.Rand
-	fails int
+	Initial float64 // ms
+	Max     float64 // ms, at least First
+	Rand    *rand.Rand
+	fails   int
 }
 
 // Next is the ms to wait after one more failure.
 func (b *Backoff) Next() float64 {
-	wait := b.First
+	wait := b.Initial
 	for range b.fails {
-		wait = min(2*wait, b.Last)
-		if wait == b.Last {
+		wait = min(2*wait, b.Max)
+		if wait == b.Max {
 			break
 		}
 	}
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -67,7 +67,7 @@
 	for seed := range int64(20) {
 		var b [gateways]Backoff
 		for i := range b {
-			b[i] = Backoff{First: 40 * gateways, Last: 10000, Rand: rand.New(rand.NewSource(seed<<8 + int64(i)))}
+			b[i] = Backoff{Initial: 40 * gateways, Max: 10000, Rand: rand.New(rand.NewSource(seed<<8 + int64(i)))}
 		}
 		last, calls := flood(gateways, serve, patience, 30000, func(who int) float64 { return b[who].Next() })
 		if last > 20000 || calls > 4*gateways {
@@ -77,7 +77,7 @@
 }
 
 func TestBackoffDoublesUpToItsLastAndBeginsAnew(t *testing.T) {
-	b := Backoff{First: 100, Last: 500, Rand: rand.New(rand.NewSource(1))}
+	b := Backoff{Initial: 100, Max: 500, Rand: rand.New(rand.NewSource(1))}
 	for range 2 {
 		for n, most := range []float64{100, 200, 400, 500, 500} {
 			if got := b.Next(); got < most/2 || got > most {
--- a/internal/pacing/reopen.go
+++ b/internal/pacing/reopen.go
@@ -38,27 +38,27 @@
 // and serves them all. askMs is how long what is listed may go unasked for; 0 = not told.
 func NewReopen(gateways int, shared bool, askMs float64, r *rand.Rand) *Reopen {
 	if !shared {
-		b := Backoff{First: agentFirst, Last: agentLast, Rand: r}
+		b := Backoff{Initial: agentFirst, Max: agentLast, Rand: r}
 		return &Reopen{silent: b, failed: b}
 	}
 	p := &Reopen{gateways: gateways, shared: true, most: failedMost, silent: Backoff{Rand: r}, failed: Backoff{Rand: r}}
 	if askMs > 0 {
 		p.most = min(p.most, askMs)
 	}
-	p.Share(1)
+	p.SetProcesses(1)
 	return p
 }
 
 // Share says how many processes make calls in the place of one gateway: each makes its part
 // of them at a discovery that all gateways share, as far as the rule bears longer waits.
-func (p *Reopen) Share(processes int) {
+func (p *Reopen) SetProcesses(processes int) {
 	if !p.shared {
 		return
 	}
 	first := min(max(agentFirst, float64(p.gateways*processes)*callEvery), p.most)
-	p.failed.First, p.failed.Last = first, min(4*first, p.most)
-	p.silent.First = min(first, silentMost)
-	p.silent.Last = min(4*p.silent.First, silentMost)
+	p.failed.Initial, p.failed.Max = first, min(4*first, p.most)
+	p.silent.Initial = min(first, silentMost)
+	p.silent.Max = min(4*p.silent.Initial, silentMost)
 }
 
 // Call gives how long the next call may wait at discovery, and after how long in all,
--- a/internal/pacing/reopen_test.go
+++ b/internal/pacing/reopen_test.go
@@ -53,7 +53,7 @@
 						to := from + 1000 + 19000*r.Float64()
 						news := from + (to+3000-from)*r.Float64()
 						p := NewReopen(gateways, shared, 10000, r)
-						p.Share(1 + int(seed)%2)
+						p.SetProcesses(1 + int(seed)%2)
 						heard, silent := heardAfter(p, from, to, news, fails)
 						// What is heard at the earliest, and the time by which it counts as told.
 						due := max(news, to)
@@ -85,7 +85,7 @@
 	for _, gateways := range []int{4, 80, 300} {
 		for _, processes := range []int{1, 2, 3} {
 			p, sum := NewReopen(gateways, true, 10000, rand.New(rand.NewSource(7))), 0.0
-			p.Share(processes)
+			p.SetProcesses(processes)
 			const calls = 50
 			for range calls {
 				sum += p.Failed(false)
@@ -100,7 +100,7 @@
 		}
 	}
 	own := NewReopen(300, false, 10000, rand.New(rand.NewSource(7)))
-	own.Share(2)
+	own.SetProcesses(2)
 	for call := range 2 {
 		if wait := own.Failed(true); wait > agentLast {
 			t.Errorf("failed call %d: an agent of one's own is waited for, %v ms", call, wait)
--- a/internal/platform/abandon_test.go
+++ b/internal/platform/abandon_test.go
@@ -18,12 +18,12 @@
 )
 
 // attempt sends a request to an engine in the background, until ctx ends or it is answered.
-func attempt(ctx context.Context, e *Engines, engine ashwood.Server) <-chan gateway.Answer {
-	answer := make(chan gateway.Answer, 1)
+func attempt(ctx context.Context, e *Engines, engine ashwood.Server) <-chan gateway.AttemptResult {
+	answer := make(chan gateway.AttemptResult, 1)
 	go func() {
 		answer <- e.Send(ctx, gateway.Attempt{
 			Request: &gateway.Request{Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")}, Engine: engine,
-			Reads: true, Remaining: 5000, Ready: func() bool { return true }, Sent: func() {},
+			Prefill: true, Remaining: 5000, MayWrite: func() bool { return true }, OnSent: func() {},
 		})
 	}()
 	return answer
@@ -66,7 +66,7 @@
 		"no event": opening, "half an event": opening + "20\r\ndata", "noise": "\x16\x03\x01",
 	} {
 		c := clock.NewManual(0)
-		e := NewEngines(settings(), c, 9)
+		e := NewEngines(testSettings(), c, 9)
 		engine, there := slowToSee(t, begun)
 		ctx, cancel := context.WithCancel(t.Context())
 		answer := attempt(ctx, e, engine)
@@ -85,7 +85,7 @@
 		}
 		peer.Close()
 		// A reader's 202 tells that it has read, whatever becomes of the rest.
-		if a := <-answer; a.Status != ashwood.ConnectionLost && (name != "half a body" || a.Status != ashwood.Parsed) || a.Err == nil {
+		if a := <-answer; a.Status != ashwood.StatusConnectionLost && (name != "half a body" || a.Status != ashwood.StatusPrefilled) || a.Err == nil {
 			t.Errorf("%s: ended as %v, %v", name, a.Status, a.Err)
 		}
 		if e.pool.open != 0 {
@@ -99,7 +99,7 @@
 func TestGivingUpIsBounded(t *testing.T) {
 	for _, floods := range []bool{false, true} {
 		c := clock.NewManual(0)
-		e := NewEngines(settings(), c, 9)
+		e := NewEngines(testSettings(), c, 9)
 		engine, there := slowToSee(t, "")
 		ctx, cancel := context.WithCancel(t.Context())
 		answer := attempt(ctx, e, engine)
@@ -113,11 +113,11 @@
 		}
 		for len(answer) == 0 {
 			if !floods {
-				c.Advance(noticeWait) // again and again: its timer may not be set yet
+				c.Advance(abandonTimeout) // again and again: its timer may not be set yet
 			}
 			runtime.Gosched()
 		}
-		if a := <-answer; a.Status != ashwood.ConnectionLost {
+		if a := <-answer; a.Status != ashwood.StatusConnectionLost {
 			t.Errorf("floods %v: ended as %v, %v", floods, a.Status, a.Err)
 		}
 	}
--- a/internal/platform/chunks.go
+++ b/internal/platform/chunks.go
@@ -12,10 +12,10 @@
 // Limits of what an engine may send; what goes beyond them is spoilt. The
 // platform's bodies hold 256 KiB at most.
 const (
-	maxChunk     = 256 << 10
-	maxChunkLine = 256
-	maxTrailers  = 16 // lines behind the last chunk
-	maxInterim   = 8  // 1xx answers before the one that counts
+	maxChunk            = 256 << 10
+	maxChunkLine        = 256
+	maxTrailers         = 16 // lines behind the last chunk
+	maxInterimResponses = 8  // 1xx answers before the one that counts
 )
 
 var errSpoilt = errors.New("platform: a spoilt answer")
@@ -23,28 +23,28 @@
 // chunks reads a chunked body. Unlike the standard library's reader it bounds a
 // chunk, and each wait within one: begin starts the time in which what has begun
 // must come. Between chunks it waits as long as the engine writes nothing.
-type chunks struct {
-	br    *bufio.Reader
-	begin func() (stop func())
-	left  int  // bytes of the chunk being read
-	ended bool // the last chunk and the lines behind have been read
+type chunkedReader struct {
+	reader       *bufio.Reader
+	startTimeout func() (stop func())
+	remaining    int  // bytes of the chunk being read
+	ended        bool // the last chunk and the lines behind have been read
 }
 
 // Read gives bytes of one chunk, the whole of it where p has room. The error
 // is io.EOF after the last chunk.
-func (c *chunks) Read(p []byte) (n int, err error) {
+func (c *chunkedReader) Read(p []byte) (n int, err error) {
 	if c.ended {
 		return 0, io.EOF
 	}
-	if _, err := c.br.Peek(1); err != nil {
+	if _, err := c.reader.Peek(1); err != nil {
 		return 0, unexpected(err)
 	}
-	defer c.begin()()
-	if c.left == 0 {
-		if c.left, err = c.size(); err != nil {
+	defer c.startTimeout()()
+	if c.remaining == 0 {
+		if c.remaining, err = c.size(); err != nil {
 			return 0, err
 		}
-		if c.left == 0 {
+		if c.remaining == 0 {
 			if err := c.trailers(); err != nil {
 				return 0, err
 			}
@@ -52,11 +52,11 @@
 			return 0, io.EOF
 		}
 	}
-	n, err = io.ReadFull(c.br, p[:min(len(p), c.left)])
+	n, err = io.ReadFull(c.reader, p[:min(len(p), c.remaining)])
 	if err != nil {
 		return 0, unexpected(err)
 	}
-	if c.left -= n; c.left > 0 {
+	if c.remaining -= n; c.remaining > 0 {
 		return n, nil
 	}
 	end, err := c.line()
@@ -66,7 +66,7 @@
 	return n, err
 }
 
-func (c *chunks) size() (int, error) {
+func (c *chunkedReader) size() (int, error) {
 	line, err := c.line()
 	if err != nil {
 		return 0, err
@@ -79,7 +79,7 @@
 	return int(n), nil
 }
 
-func (c *chunks) trailers() error {
+func (c *chunkedReader) trailers() error {
 	for range maxTrailers {
 		if line, err := c.line(); err != nil || len(line) == 0 {
 			return err
@@ -89,8 +89,8 @@
 }
 
 // line gives a line without its end.
-func (c *chunks) line() ([]byte, error) {
-	line, err := c.br.ReadSlice('\n')
+func (c *chunkedReader) line() ([]byte, error) {
+	line, err := c.reader.ReadSlice('\n')
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull), err == nil && len(line) > maxChunkLine:
 		return nil, fmt.Errorf("%w: a line of a chunk does not end", errSpoilt)
--- a/internal/platform/closing_test.go
+++ b/internal/platform/closing_test.go
@@ -72,7 +72,7 @@
 	} {
 		gw := &counts{says: says{gateway.Reply{Kind: gateway.Refused}}}
 		s, c := open(t, gw)
-		io.WriteString(c, request("chat", "", "{}"))
+		io.WriteString(c, requestText("chat", "", "{}"))
 		in := bufio.NewReader(c)
 		r, err := http.ReadResponse(in, nil)
 		if err != nil {
@@ -80,7 +80,7 @@
 		}
 		io.Copy(io.Discard, r.Body)
 		var resting []*clientConn
-		until(t, "it rests", func() bool {
+		waitFor(t, "it rests", func() bool {
 			resting = s.in.withoutRequest()
 			return len(resting) == 1
 		})
@@ -89,9 +89,9 @@
 			shut(s)
 			close(over)
 		}()
-		until(t, "it is shut", resting[0].isShut)
+		waitFor(t, "it is shut", resting[0].isShut)
 		for range 3 { // the second would meet the reset that the first brings
-			if _, err := io.WriteString(c, request("chat", "", "{}")); err != nil {
+			if _, err := io.WriteString(c, requestText("chat", "", "{}")); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
@@ -115,15 +115,15 @@
 func TestAnAnswerOutlivesUnreadBytes(t *testing.T) {
 	tail := string(make([]byte, 64<<10))
 	for name, in := range map[string]string{
-		"no request": "nonsense\r\n\r\n" + tail, "two lengths": request("chat", "Content-Length: 2\r\n", "{}") + tail,
+		"no request": "nonsense\r\n\r\n" + tail, "two lengths": requestText("chat", "Content-Length: 2\r\n", "{}") + tail,
 		"too long": "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n" + tail,
-		"closes":   request("chat", "Connection: close\r\n", "{}") + tail,
+		"closes":   requestText("chat", "Connection: close\r\n", "{}") + tail,
 	} {
 		s, c := open(t, says{gateway.Reply{Kind: gateway.Refused}})
 		if _, err := io.WriteString(c, in); err != nil {
 			t.Fatal(err)
 		}
-		until(t, name+": it is closed", func() bool {
+		waitFor(t, name+": it is closed", func() bool {
 			s.in.mu.Lock()
 			defer s.in.mu.Unlock()
 			return s.in.open == 0
@@ -144,11 +144,11 @@
 // and less long where room is wanted.
 func TestTheSecondStepIsBounded(t *testing.T) {
 	s, c := open(t, says{gateway.Reply{Kind: gateway.Refused}})
-	io.WriteString(c, request("chat", "Connection: close\r\n", "{}"))
+	io.WriteString(c, requestText("chat", "Connection: close\r\n", "{}"))
 	if _, err := io.ReadAll(c); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "its time is up", func() bool {
+	waitFor(t, "its time is up", func() bool {
 		s.in.mu.Lock()
 		defer s.in.mu.Unlock()
 		return s.in.closing == 0
@@ -167,7 +167,7 @@
 		v.Close()
 		v.Close() // again, as a server does
 	}
-	until(t, "all linger", func() bool {
+	waitFor(t, "all linger", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return l.lingering.Len() == 3
@@ -200,7 +200,7 @@
 }
 
 // until waits for a condition, within a bound.
-func until(t *testing.T, what string, is func() bool) {
+func waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -217,10 +217,10 @@
 	large := "POST / HTTP/1.1\r\nHost: a\r\nX-Txn: large\r\nX-Lane: chat\r\nX-Remaining: 9\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 200000)
 	for name, tail := range map[string]string{"a byte": "P", "half a request": half, "whole requests": second + second, "more": second + half + "x",
 		"a large request": large, "a large request and half of one": large + half} {
-		begun, over := make(chan seen, 9), make(chan error, 9)
-		s, addr := serve(t, engine(t, "r1", "reader", func(v seen) string {
+		begun, over := make(chan engineRequest, 9), make(chan error, 9)
+		s, addr := serve(t, scriptedEngine(t, "r1", "reader", func(v engineRequest) string {
 			if v.Method == "DELETE" {
-				return freed
+				return releasedResponse
 			}
 			begun <- v
 			if v.Method == "POST" {
@@ -232,7 +232,7 @@
 			return parsed
 		}))
 		c := dial(t, addr).(*net.TCPConn)
-		io.WriteString(c, request("chat", "", "{}"))
+		io.WriteString(c, requestText("chat", "", "{}"))
 		<-begun
 		io.WriteString(c, tail) // the watch has begun: it would have ended with this
 		c.CloseWrite()
--- a/internal/platform/conn.go
+++ b/internal/platform/conn.go
@@ -18,7 +18,7 @@
 const writeWait = 10 * time.Second
 
 // Listener wraps one so that its connections tell when their client leaves.
-func Listener(l net.Listener) net.Listener { return newListener(l, 0) }
+func WrapListener(l net.Listener) net.Listener { return newListener(l, 0) }
 
 func newListener(l net.Listener, limit int) *listener {
 	in := &listener{Listener: l, begun: time.Now(), most: limit, limit: limit, log: slog.New(slog.DiscardHandler)}
@@ -32,9 +32,9 @@
 // request, and those that do ask must still get in, though some write for seconds.
 type listener struct {
 	net.Listener
-	begun time.Time            // ages count from it: readings of the wall clock can't be compared
-	most  int                  // for one process alone
-	give  atomic.Pointer[Give] // to another process; nil = answers end here
+	begun time.Time                    // ages count from it: readings of the wall clock can't be compared
+	most  int                          // for one process alone
+	give  atomic.Pointer[HandoverFunc] // to another process; nil = answers end here
 	log   *slog.Logger
 
 	mu          sync.Mutex
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -79,7 +79,7 @@
 			c.SetDeadline(time.Now().Add(10 * time.Second)) // the bound of all waits here
 			in := bufio.NewReader(c)
 			ask := func() error {
-				io.WriteString(c, request("chat", "", "{}"))
+				io.WriteString(c, requestText("chat", "", "{}"))
 				r, err := http.ReadResponse(in, nil)
 				if err != nil {
 					return err
@@ -90,7 +90,7 @@
 			if err := ask(); err != nil {
 				t.Fatal(err)
 			}
-			until(t, "it rests", func() bool {
+			waitFor(t, "it rests", func() bool {
 				s.in.mu.Lock()
 				defer s.in.mu.Unlock()
 				return s.in.waiting.Len() == 1
@@ -139,10 +139,10 @@
 			t.Error(err)
 			return
 		}
-		io.WriteString(c, request("chat", "", "{}"))
+		io.WriteString(c, requestText("chat", "", "{}"))
 		client <- c
 	}})
-	until(t, "it serves", func() bool {
+	waitFor(t, "it serves", func() bool {
 		s.in.mu.Lock()
 		defer s.in.mu.Unlock()
 		return s.in.Listener != nil
@@ -195,7 +195,7 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	io.WriteString(c, "POST ")
-	until(t, "a part of its request has been read", func() bool {
+	waitFor(t, "a part of its request has been read", func() bool {
 		waiting := s.in.withoutRequest()
 		return len(waiting) == 1 && waiting[0].reading.Load()
 	})
@@ -204,12 +204,12 @@
 		stop(t, s)
 		close(stopped)
 	}()
-	until(t, "the queue has been emptied", func() bool {
+	waitFor(t, "the queue has been emptied", func() bool {
 		s.in.mu.Lock()
 		defer s.in.mu.Unlock()
 		return s.in.ended
 	})
-	io.WriteString(c, strings.TrimPrefix(request("chat", "", "{}"), "POST "))
+	io.WriteString(c, strings.TrimPrefix(requestText("chat", "", "{}"), "POST "))
 	if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 		t.Errorf("a client that was accepted before: %v", err)
 	}
@@ -251,7 +251,7 @@
 			c.place = l.waiting.PushBack(c)
 			arrive := func() {
 				io.WriteString(far, sent)
-				until(t, "the bytes have come", c.bytesWait)
+				waitFor(t, "the bytes have come", c.bytesWait)
 			}
 			read := make(chan string, 1)
 			reads := func() {
@@ -262,7 +262,7 @@
 			if readsFirst {
 				c.Conn = &wokenConn{TCPConn: near.(*net.TCPConn), woken: arrive}
 				go reads()
-				until(t, "it reads", func() bool {
+				waitFor(t, "it reads", func() bool {
 					c.mu.Lock()
 					defer c.mu.Unlock()
 					return c.inRead
--- a/internal/platform/crowd_test.go
+++ b/internal/platform/crowd_test.go
@@ -157,7 +157,7 @@
 func TestAHostIsToldThatDescriptorsAreOut(t *testing.T) {
 	q := newQueue()
 	q.next <- syscall.EMFILE
-	if _, err := Listener(q).Accept(); !errors.Is(err, syscall.EMFILE) {
+	if _, err := WrapListener(q).Accept(); !errors.Is(err, syscall.EMFILE) {
 		t.Errorf("accepted with %v", err)
 	}
 }
@@ -216,7 +216,7 @@
 			q, _, _ := quiet(t, says{reply}, 3)
 			near, c := net.Pipe() // a write on it waits for its reader
 			q.next <- near
-			if _, err := io.WriteString(c, request("chat", "", "{}")); err != nil {
+			if _, err := io.WriteString(c, requestText("chat", "", "{}")); err != nil {
 				t.Fatal(err)
 			}
 			var got []byte
@@ -259,7 +259,7 @@
 		for range 3 {
 			near, c := net.Pipe()
 			q.next <- unending{near}
-			if _, err := io.WriteString(c, request("chat", "Connection: close\r\n", "{}")); err != nil {
+			if _, err := io.WriteString(c, requestText("chat", "Connection: close\r\n", "{}")); err != nil {
 				t.Fatal(err)
 			}
 			r, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -25,7 +25,7 @@
 type Discovery struct {
 	clock  clock.Clock
 	log    *slog.Logger
-	update func(ashwood.ListForm, []ashwood.Server)
+	update func(ashwood.MembershipForm, []ashwood.Server)
 	from   int64 // the version in hand
 	inHand bool
 	pace   *pacing.Reopen
@@ -39,26 +39,26 @@
 // NewDiscovery makes a follower.
 func NewDiscovery(addr string, c clock.Clock, log *slog.Logger) *Discovery {
 	d := &Discovery{addr: addr, clock: c, log: log, moved: func() {}}
-	d.Fleet(ashwood.Settings{}, 0)
+	d.Configure(ashwood.Settings{}, 0)
 	return d
 }
 
 // Fleet says how many gateways there are, whether lists are pushed to an agent of this
 // one's own or asked for at a discovery that serves all, and the seed from which its
 // waits are drawn. It is to be called before Run.
-func (d *Discovery) Fleet(set ashwood.Settings, seed int64) {
-	d.pace = pacing.NewReopen(set.Nodes, set.Subscribe, clock.Millis(set.Rules.AskWithin), rand.New(rand.NewSource(seed)))
+func (d *Discovery) Configure(set ashwood.Settings, seed int64) {
+	d.pace = pacing.NewReopen(set.Nodes, set.Subscribe, clock.Millis(set.Rules.ResubscribeWithin), rand.New(rand.NewSource(seed)))
 }
 
 // Share says how many processes, this one among them, ask in the place of one gateway.
-func (d *Discovery) Share(processes int) { d.shares.Store(int32(processes)) }
+func (d *Discovery) SetProcesses(processes int) { d.shares.Store(int32(processes)) }
 
 // Known says which version of the list is in hand, so that Run watches from there.
-func (d *Discovery) Known(version int64) { d.from, d.inHand = version, true }
+func (d *Discovery) ResumeFrom(version int64) { d.from, d.inHand = version, true }
 
 // Move has discovery asked at another address from now on. The list in hand
 // stays until that has answered with one of its own.
-func (d *Discovery) Move(addr string) {
+func (d *Discovery) SetAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if addr == d.addr {
@@ -79,7 +79,7 @@
 
 // Run tells update of each change until ctx ends, from the version in hand on. At
 // an address moved to, versions may be others: the whole list is asked for there.
-func (d *Discovery) Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) {
+func (d *Discovery) Run(ctx context.Context, update func(ashwood.MembershipForm, []ashwood.Server)) {
 	d.update = update
 	for inHand := d.inHand; ctx.Err() == nil; inHand = false {
 		leg, addr := d.leg(ctx)
@@ -107,7 +107,7 @@
 		begun := d.clock.Now()
 		hold, patience := d.pace.Call()
 		t, err := askList(client, from, inHand, hold, patience)
-		d.log.Debug("list", "from", from, "watch", inHand, "generation", t.Generation, "whole", t.Whole, "entries", len(t.Engines),
+		d.log.Debug("list", "from", from, "watch", inHand, "generation", t.Generation, "whole", t.Snapshot, "entries", len(t.Engines),
 			"ms", d.clock.Now()-begun, "err", err)
 		if ctx.Err() != nil {
 			return
@@ -116,7 +116,7 @@
 			if failed++; failed == 1 {
 				d.log.Warn("discovery: no answer, the list in hand stays", "err", err)
 			}
-			d.pace.Share(max(int(d.shares.Load()), 1))
+			d.pace.SetProcesses(max(int(d.shares.Load()), 1))
 			clock.Wait(ctx, d.clock, d.pace.Failed(silent(err)))
 			continue
 		}
@@ -126,10 +126,10 @@
 		}
 		d.pace.Answered()
 		switch {
-		case t.Whole:
-			d.update(ashwood.ListWhole, t.Engines)
+		case t.Snapshot:
+			d.update(ashwood.MembershipSnapshot, t.Engines)
 		case len(t.Engines) > 0:
-			d.update(ashwood.ListPatch, t.Engines)
+			d.update(ashwood.MembershipDelta, t.Engines)
 		}
 		from, inHand = t.Generation, true
 	}
@@ -185,7 +185,7 @@
 func once(t wire.Targets) error {
 	seen := map[ashwood.ServerID]bool{}
 	for _, v := range t.Engines {
-		if t.Whole && seen[v.ID] {
+		if t.Snapshot && seen[v.ID] {
 			return fmt.Errorf("platform: discovery: the whole list names %q twice", v.ID)
 		}
 		seen[v.ID] = true
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -24,25 +24,25 @@
 	}
 	const oops = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
 	answers := []string{"\x00", list(7, false, "draining"), oops, oops, list(9, true, "up"), ""}
-	peer := engine(t, "d", "", func(s seen) string {
+	peer := scriptedEngine(t, "d", "", func(s engineRequest) string {
 		asked <- s.Target
 		a := answers[0]
 		answers = answers[1:]
 		return a
 	})
 	type news struct {
-		Form  ashwood.ListForm
+		Form  ashwood.MembershipForm
 		State ashwood.ServerState
 	}
 	told := make(chan news, 9)
 	var logged bytes.Buffer
 	d := NewDiscovery(peer.Address, clock.System(), slog.New(slog.NewTextHandler(&logged, nil)))
-	update := func(f ashwood.ListForm, l []ashwood.Server) {
+	update := func(f ashwood.MembershipForm, l []ashwood.Server) {
 		told <- news{f, l[0].State}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	d.Known(0)
+	d.ResumeFrom(0)
 	go d.Run(ctx, update)
 	got := []news{<-told, <-told}
 	var targets []string
@@ -50,7 +50,7 @@
 		target, _, _ := strings.Cut(<-asked, "&hold_ms=")
 		targets = append(targets, target)
 	}
-	want := []news{{ashwood.ListPatch, ashwood.StateFading}, {ashwood.ListWhole, ashwood.StateOn}}
+	want := []news{{ashwood.MembershipDelta, ashwood.StateDraining}, {ashwood.MembershipSnapshot, ashwood.StateActive}}
 	const from = "/api/targets?from="
 	if diff := cmp.Diff(want, got) + cmp.Diff([]string{from + "0", from + "0", from + "7", from + "7", from + "7", from + "9"}, targets); diff != "" {
 		t.Error(diff)
@@ -66,7 +66,7 @@
 func TestDiscoveryMovesInMidWatch(t *testing.T) {
 	asked, speak := make(chan string, 9), make(chan struct{})
 	peer := func(name string, answers ...string) ashwood.Server {
-		return engine(t, name, "", func(s seen) string {
+		return scriptedEngine(t, name, "", func(s engineRequest) string {
 			asked <- name + " " + s.Target
 			if len(answers) == 0 {
 				return ""
@@ -86,7 +86,7 @@
 	old, next := peer("old", list("a")), peer("new", list("b"))
 	told := make(chan ashwood.ServerID, 9)
 	d := NewDiscovery(old.Address, clock.System(), slog.New(slog.DiscardHandler))
-	update := func(_ ashwood.ListForm, l []ashwood.Server) {
+	update := func(_ ashwood.MembershipForm, l []ashwood.Server) {
 		told <- l[0].ID
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -96,7 +96,7 @@
 	for range 2 {
 		targets = append(targets, <-asked)
 	}
-	d.Move(next.Address)
+	d.SetAddress(next.Address)
 	targets = append(targets, <-asked)
 	if a := <-told; a != "a" || len(told) > 0 {
 		t.Errorf("told of %s, then %d more before the new address spoke", a, len(told))
@@ -121,7 +121,7 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(b), b)
 	}
 	answers := []string{"", list("up")[:90], list("draining")}
-	peer := engine(t, "d", "", func(seen) string {
+	peer := scriptedEngine(t, "d", "", func(engineRequest) string {
 		a := answers[0]
 		if len(answers) > 1 {
 			answers = answers[1:]
@@ -130,14 +130,14 @@
 	})
 	told := make(chan ashwood.ServerState, 99)
 	d := NewDiscovery(peer.Address, clock.System(), slog.New(slog.DiscardHandler))
-	update := func(_ ashwood.ListForm, l []ashwood.Server) {
+	update := func(_ ashwood.MembershipForm, l []ashwood.Server) {
 		told <- l[0].State
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	d.Known(7)
+	d.ResumeFrom(7)
 	go d.Run(ctx, update)
-	if got := <-told; got != ashwood.StateFading {
+	if got := <-told; got != ashwood.StateDraining {
 		t.Errorf("told of state %v", got)
 	}
 }
@@ -173,19 +173,19 @@
 		var first []float64
 		for seed := range int64(2) {
 			answers := []string{oops, oops, oops, oops, list, oops, ""}
-			peer := engine(t, "d", "", func(seen) string {
+			peer := scriptedEngine(t, "d", "", func(engineRequest) string {
 				a := answers[0]
 				answers = answers[1:]
 				return a
 			})
 			c := hasty{clock.System(), make(chan float64, 9)}
 			d := NewDiscovery(peer.Address, c, slog.New(slog.DiscardHandler))
-			d.Known(7)
-			d.Fleet(ashwood.Settings{Nodes: tt.nodes, Subscribe: !tt.agent}, seed)
-			d.Share(tt.processes)
+			d.ResumeFrom(7)
+			d.Configure(ashwood.Settings{Nodes: tt.nodes, Subscribe: !tt.agent}, seed)
+			d.SetProcesses(tt.processes)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			go d.Run(ctx, func(ashwood.ListForm, []ashwood.Server) {})
+			go d.Run(ctx, func(ashwood.MembershipForm, []ashwood.Server) {})
 			for n, most := range tt.most {
 				wait := <-c.waits
 				if n == 0 {
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -38,13 +38,13 @@
 	var idle []net.Conn
 	for range clients {
 		c := open()
-		ask(c, request("chat", "", "{}"))
+		ask(c, requestText("chat", "", "{}"))
 		idle = append(idle, c)
 	}
 	silent, half := open(), open()
-	ask(half, request("chat", "", "{}"))
-	io.WriteString(half, request("chat", "", "{}")[:20])
-	until(t, "half a request has been read", func() bool {
+	ask(half, requestText("chat", "", "{}"))
+	io.WriteString(half, requestText("chat", "", "{}")[:20])
+	waitFor(t, "half a request has been read", func() bool {
 		s.in.mu.Lock()
 		defer s.in.mu.Unlock()
 		reading := 0
@@ -63,23 +63,23 @@
 		}
 	}
 	for name, c := range map[string]net.Conn{"one that had brought nothing": silent, "a new one": open()} {
-		if !ask(c, request("chat", "", "{}")) {
+		if !ask(c, requestText("chat", "", "{}")) {
 			t.Errorf("%s is not closed behind its answer", name)
 		}
 	}
-	ask(half, request("chat", "", "{}")[20:])
+	ask(half, requestText("chat", "", "{}")[20:])
 	stop(t, s)
 }
 
 // Once a server has stopped accepting, clients are refused, and those that are connected are served.
 func TestStopAccepting_ServesWhoIsConnected(t *testing.T) {
 	s, c := open(t, says{gateway.Reply{Kind: gateway.Refused}})
-	until(t, "its connection is accepted", func() bool { return len(s.in.withoutRequest()) == 1 })
+	waitFor(t, "its connection is accepted", func() bool { return len(s.in.withoutRequest()) == 1 })
 	s.StopAccepting()
 	if nc, err := net.Dial("tcp", c.RemoteAddr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a new client: %v, %v", nc, err)
 	}
-	io.WriteString(c, request("chat", "", "{}"))
+	io.WriteString(c, requestText("chat", "", "{}"))
 	if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 		t.Errorf("a client that is connected: %v", err)
 	}
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -94,7 +94,7 @@
 		io.WriteString(c, halfRequest)
 		synctest.Wait()
 		begun := time.Now()
-		s.EndBy(300 * time.Millisecond)
+		s.ExpireReadsAfter(300 * time.Millisecond)
 		r, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || r.StatusCode != http.StatusRequestTimeout || time.Since(begun) != 300*time.Millisecond {
 			t.Errorf("%v, %v after %v by the bubble's clock", r, err, time.Since(begun))
@@ -132,7 +132,7 @@
 	near, c := net.Pipe()
 	q.next <- near
 	defer c.Close()
-	one := request("chat", "", "{}")
+	one := requestText("chat", "", "{}")
 	first, rest := one, one
 	if together {
 		first, rest = one+one, ""
@@ -188,7 +188,7 @@
 		near, c := net.Pipe()
 		q.next <- near
 		defer c.Close()
-		text := strings.Replace(request("chat", "", "{}"), "Content-Length: 2\r\n", "Transfer-Encoding: chunked\r\n", 1)
+		text := strings.Replace(requestText("chat", "", "{}"), "Content-Length: 2\r\n", "Transfer-Encoding: chunked\r\n", 1)
 		io.WriteString(c, strings.TrimSuffix(text, "{}")+"2\r\n{}\r\n0\r\n\r\n")
 		in := bufio.NewReader(c)
 		r, err := http.ReadResponse(in, nil)
--- a/internal/platform/engines.go
+++ b/internal/platform/engines.go
@@ -26,29 +26,29 @@
 
 // Header names of the protocol.
 const (
-	headerID       = "X-Txn"
-	headerClass    = "X-Lane"
-	headerTenant   = "X-Org" // where the settings name tenants
-	headerSession  = "X-Entity"
-	headerLeft     = "X-Remaining"
-	headerLabels   = "X-Labels"
-	headerResent   = "X-Resent"
-	headerReport   = "X-Pressure"
-	headerNotRun   = "X-Turned-Away"
-	roomsPath      = "/bootstrap/rooms/"
-	loadPath       = "/-/load"
-	reportComment  = ": " + headerReport + ": "
-	maxAnswerBody  = 64 << 10
-	wholeWait      = 300.0 // ms for the rest of a head, a chunk or a short answer once it has begun
-	sweepEvery     = 1000.0
-	defaultConnect = 250.0
-	defaultIdle    = 15000.0
-	manyNodes      = 8 // gateways, from which on a silent connect is not waited for in full
+	headerID          = "X-Txn"
+	headerClass       = "X-Lane"
+	headerTenant      = "X-Org" // where the settings name tenants
+	headerSession     = "X-Entity"
+	headerRemaining   = "X-Remaining"
+	headerLabels      = "X-Labels"
+	headerResent      = "X-Resent"
+	headerReport      = "X-Pressure"
+	headerNotRun      = "X-Turned-Away"
+	holdsPath         = "/bootstrap/rooms/"
+	loadPath          = "/-/load"
+	reportComment     = ": " + headerReport + ": "
+	maxAnswerBody     = 64 << 10
+	completionTimeout = 300.0 // ms for the rest of a head, a chunk or a short answer once it has begun
+	sweepEvery        = 1000.0
+	defaultConnect    = 250.0
+	defaultIdle       = 15000.0
+	manyNodes         = 8 // gateways, from which on a silent connect is not waited for in full
 )
 
 // Engines is the transport to the platform's engines.
 type Engines struct {
-	pool  *pool
+	pool  *connPool
 	clock clock.Clock
 
 	mu   sync.Mutex
@@ -75,7 +75,7 @@
 func (e *Engines) Log(log *slog.Logger) { e.pool.log = log }
 
 // Share says how many processes share the connections that the limit allows.
-func (e *Engines) Share(processes int) { e.pool.share(processes) }
+func (e *Engines) SetProcesses(processes int) { e.pool.share(processes) }
 
 // sweep closes what has been idle too long, now and every so often.
 func (e *Engines) sweep() {
@@ -88,7 +88,7 @@
 }
 
 // Keep forgets nothing: connections to engines that are gone end by being idle.
-func (e *Engines) Keep([]ashwood.Server) {}
+func (e *Engines) RetainOnly([]ashwood.Server) {}
 
 // Close closes idle connections and those that are put back from now on.
 func (e *Engines) Close() {
@@ -105,21 +105,21 @@
 	with   which // connection it may go on
 	head   *fasthttp.RequestHeader
 	body   []byte
-	ready  func() bool // asked right before the first byte; nil = always
-	sent   func()      // called right after the last byte; nil = nobody is told
-	giveUp func(*conn) // ends a connection whose answer is not waited for; nil = at once
+	ready  func() bool       // asked right before the first byte; nil = always
+	sent   func()            // called right after the last byte; nil = nobody is told
+	giveUp func(*engineConn) // ends a connection whose answer is not waited for; nil = at once
 }
 
 // exchange writes one request and reads the head of its answer. The caller
 // owns the connection unless there is an error; wrote tells whether the last
 // byte left. Only before that does an error prove that the engine never ran it.
 // A kept connection may be dead unnoticed: what may be sent once goes on a new one.
-func (e *Engines) exchange(ctx context.Context, v call, answer *fasthttp.ResponseHeader) (c *conn, wrote bool, err error) {
+func (e *Engines) exchange(ctx context.Context, v call, answer *fasthttp.ResponseHeader) (c *engineConn, wrote bool, err error) {
 	c, err = e.pool.get(ctx, v.addr, v.with)
 	if err != nil {
 		return nil, false, err
 	}
-	stop := c.endWith(ctx)
+	stop := c.interruptOnDone(ctx)
 	defer func() {
 		if !stop() && err == nil {
 			err = context.Cause(ctx)
@@ -156,13 +156,13 @@
 // readHead waits for an answer's head. Once that has begun it has to be whole in
 // time: a spoilt one does not end, and its connection stays open. 1xx answers
 // before the one that counts are skipped.
-func (e *Engines) readHead(c *conn, answer *fasthttp.ResponseHeader) error {
-	for range maxInterim {
-		if b, err := c.br.Peek(1); err != nil || b[0] != 'H' {
+func (e *Engines) readHead(c *engineConn, answer *fasthttp.ResponseHeader) error {
+	for range maxInterimResponses {
+		if b, err := c.reader.Peek(1); err != nil || b[0] != 'H' {
 			return cmp.Or(err, fmt.Errorf("%w: it begins with %q", errSpoilt, b))
 		}
-		stop := e.within(c, wholeWait)
-		err := answer.Read(c.br)
+		stop := e.startTimeout(c, completionTimeout)
+		err := answer.Read(c.reader)
 		stop()
 		if code := answer.StatusCode(); err != nil || code < 100 || code >= 200 {
 			return err
@@ -176,7 +176,7 @@
 
 // within ends all reading and writing on a connection after some ms, unless
 // stop is called before. The connection is of no use then.
-func (e *Engines) within(c *conn, ms float64) (stop func()) {
+func (e *Engines) startTimeout(c *engineConn, ms float64) (stop func()) {
 	cancel := e.clock.AfterFunc(ms, func() { c.SetDeadline(time.Unix(1, 0)) })
 	return func() { cancel() }
 }
@@ -194,7 +194,7 @@
 }
 
 // Send carries out an attempt.
-func (e *Engines) Send(ctx context.Context, a gateway.Attempt) gateway.Answer {
+func (e *Engines) Send(ctx context.Context, a gateway.Attempt) gateway.AttemptResult {
 	h := header(a.Method, a.Target, a.Engine.Address)
 	for _, f := range a.Header {
 		h.Add(f[0], f[1])
@@ -203,16 +203,16 @@
 	h.SetContentLength(len(a.Body))
 	begun := e.clock.Now()
 	ready := func() bool { // a connect takes its time of what is left
-		h.Set(headerLeft, strconv.FormatFloat(max(a.Remaining-(e.clock.Now()-begun), 0)/1000, 'f', 3, 64))
-		return a.Ready()
+		h.Set(headerRemaining, strconv.FormatFloat(max(a.Remaining-(e.clock.Now()-begun), 0)/1000, 'f', 3, 64))
+		return a.MayWrite()
 	}
 	var head fasthttp.ResponseHeader
 	with := anyConn
-	if a.Once {
+	if a.NonIdempotent {
 		with = newConn
 	}
 	c, wrote, err := e.exchange(ctx, call{
-		addr: a.Engine.Address, with: with, head: h, body: a.Body, ready: ready, sent: a.Sent, giveUp: e.pool.abandon,
+		addr: a.Engine.Address, with: with, head: h, body: a.Body, ready: ready, sent: a.OnSent, giveUp: e.pool.abandon,
 	}, &head)
 	if err != nil {
 		return failed(ctx, wrote, err)
@@ -221,56 +221,56 @@
 	code := head.StatusCode()
 	if code == fasthttp.StatusOK {
 		s := e.newStream(ctx, c, &head)
-		stop := e.within(c, wholeWait) // the head comes with the first token
+		stop := e.startTimeout(c, completionTimeout) // the head comes with the first token
 		err := s.first()
 		stop()
 		if err != nil {
 			s.abandon()
 			return failed(ctx, true, err)
 		}
-		res.Status = ashwood.Served
-		return gateway.Answer{Result: res, Stream: s}
+		res.Status = ashwood.StatusServed
+		return gateway.AttemptResult{Result: res, Stream: s}
 	}
 	body, err := e.drain(ctx, c, &head, e.pool.abandon)
 	away := len(head.Peek(headerNotRun)) > 0
 	switch {
-	case code == fasthttp.StatusAccepted && a.Reads:
+	case code == fasthttp.StatusAccepted && a.Prefill:
 		var kept struct {
 			Tokens float64 `json:"cached_tokens"`
 		}
 		if err == nil {
 			err = json.Unmarshal(body, &kept)
 		}
-		res.Status, res.Note = ashwood.Parsed, kept.Tokens
-		return gateway.Answer{Result: res, Err: err}
+		res.Status, res.Detail = ashwood.StatusPrefilled, kept.Tokens
+		return gateway.AttemptResult{Result: res, Err: err}
 	case away && (code == fasthttp.StatusServiceUnavailable || code == fasthttp.StatusGatewayTimeout):
-		res.Status = ashwood.TurnedAway
+		res.Status = ashwood.StatusRejected
 	case away && code == fasthttp.StatusGone:
-		res.Status, res.Note = ashwood.TurnedAway, 1
+		res.Status, res.Detail = ashwood.StatusRejected, 1
 	default:
-		res.Status = ashwood.ServerError
+		res.Status = ashwood.StatusServerError
 	}
-	return gateway.Answer{Result: res, Err: fmt.Errorf("platform: %s answered %d", a.Engine.ID, code)}
+	return gateway.AttemptResult{Result: res, Err: fmt.Errorf("platform: %s answered %d", a.Engine.ID, code)}
 }
 
 // failed tells what an attempt without an answer proves.
-func failed(ctx context.Context, wrote bool, err error) gateway.Answer {
-	st := ashwood.ConnectionLost
+func failed(ctx context.Context, wrote bool, err error) gateway.AttemptResult {
+	st := ashwood.StatusConnectionLost
 	switch {
 	case wrote:
 	case ctx.Err() != nil, errors.Is(err, errNotReady), isLocal(err):
-		st = ashwood.NotSent
+		st = ashwood.StatusNotSent
 	default:
-		st = ashwood.NoConnection
+		st = ashwood.StatusConnectFailed
 	}
-	return gateway.Answer{Result: ashwood.Result{Status: st}, Err: fmt.Errorf("platform: no answer: %w", err)}
+	return gateway.AttemptResult{Result: ashwood.Result{Status: st}, Err: fmt.Errorf("platform: no answer: %w", err)}
 }
 
 // drain reads a short answer's body and gives the connection back.
 // One whose body can't be read is ended by giveUp.
-func (e *Engines) drain(ctx context.Context, c *conn, head *fasthttp.ResponseHeader, giveUp func(*conn)) (body []byte, err error) {
-	stop := c.endWith(ctx)
-	late := e.within(c, wholeWait)
+func (e *Engines) drain(ctx context.Context, c *engineConn, head *fasthttp.ResponseHeader, giveUp func(*engineConn)) (body []byte, err error) {
+	stop := c.interruptOnDone(ctx)
+	late := e.startTimeout(c, completionTimeout)
 	defer func() {
 		late()
 		switch whole := stop() && err == nil; {
@@ -287,10 +287,10 @@
 		return nil, nil
 	case n >= 0 && n <= maxAnswerBody:
 		body = make([]byte, n)
-		_, err = io.ReadFull(c.br, body)
+		_, err = io.ReadFull(c.reader, body)
 		return body, err
 	case n == -1:
-		body, err = io.ReadAll(io.LimitReader(&chunks{br: c.br, begin: func() func() { return func() {} }}, maxAnswerBody))
+		body, err = io.ReadAll(io.LimitReader(&chunkedReader{reader: c.reader, startTimeout: func() func() { return func() {} }}, maxAnswerBody))
 		if err == nil && len(body) == maxAnswerBody {
 			err = fmt.Errorf("%w: a short answer without end", errSpoilt)
 		}
@@ -300,9 +300,9 @@
 }
 
 // Reserve asks a writer to hold a place.
-func (e *Engines) Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, ready func() bool) gateway.Place {
+func (e *Engines) Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, ready func() bool) gateway.ReserveResult {
 	var head fasthttp.ResponseHeader
-	h := header(fasthttp.MethodPost, roomsPath+string(id), engine.Address)
+	h := header(fasthttp.MethodPost, holdsPath+string(id), engine.Address)
 	h.SetContentLength(0)
 	c, wrote, err := e.exchange(ctx, call{addr: engine.Address, head: h, ready: ready}, &head)
 	if err == nil {
@@ -310,22 +310,22 @@
 	}
 	switch code := head.StatusCode(); {
 	case !wrote:
-		return gateway.PlaceUnasked
+		return gateway.ReserveNotSent
 	case err != nil:
-		return gateway.PlaceUnknown
+		return gateway.ReserveUnknown
 	case code == fasthttp.StatusOK:
-		return gateway.PlaceHeld
+		return gateway.ReserveHeld
 	case code == fasthttp.StatusConflict:
-		return gateway.PlaceRefused
+		return gateway.ReserveRefused
 	}
-	return gateway.PlaceUnknown
+	return gateway.ReserveUnknown
 }
 
 // Release lets go of what an engine holds for a request. Without an answer the
 // call may have been written to a connection that was dead, and is to be made again.
 func (e *Engines) Release(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, fresh bool) error {
 	var head fasthttp.ResponseHeader
-	h := header(fasthttp.MethodDelete, roomsPath+string(id), engine.Address)
+	h := header(fasthttp.MethodDelete, holdsPath+string(id), engine.Address)
 	with := anySpare
 	if fresh {
 		with = newSpare
@@ -338,7 +338,7 @@
 	case wrote && ctx.Err() != nil:
 		return fmt.Errorf("platform: %s: %w: %w", engine.ID, gateway.ErrUnanswered, err)
 	case !wrote && isLocal(err):
-		return fmt.Errorf("platform: %s: %w: %w", engine.ID, gateway.ErrLocal, err)
+		return fmt.Errorf("platform: %s: %w: %w", engine.ID, gateway.ErrLocalFailure, err)
 	}
 	return fmt.Errorf("platform: %s: %w", engine.ID, err)
 }
@@ -360,7 +360,7 @@
 		report = wire.ParseReport(string(body))
 	}
 	if head.StatusCode() != fasthttp.StatusOK {
-		return ashwood.ServerError, report
+		return ashwood.StatusServerError, report
 	}
-	return ashwood.Served, report
+	return ashwood.StatusServed, report
 }
--- a/internal/platform/engines_test.go
+++ b/internal/platform/engines_test.go
@@ -22,13 +22,13 @@
 
 // An engine may close an idle connection; a request written to it would end as a reset.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	got := make(chan seen, 9)
-	c := start(t, engine(t, "r1", "reader", reads), engine(t, "w1", "writer", writes(func(s seen) string {
+	got := make(chan engineRequest, 9)
+	c := startAndDial(t, scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", scriptDecode(func(s engineRequest) string {
 		got <- s
-		return whole() + "\x00" // and closes it
+		return fullStream() + "\x00" // and closes it
 	})))
 	for range 3 {
-		r, body, err := ask(t, c, request("order", "", "{}"))
+		r, body, err := roundTrip(t, c, requestText("order", "", "{}"))
 		s := <-got
 		s.conn.Read(make([]byte, 1)) // until it is closed
 		if r.StatusCode != 200 || err != nil {
@@ -42,7 +42,7 @@
 func TestPoolKeepsToItsPartAndClosesWhatIsIdle(t *testing.T) {
 	c := clock.NewManual(0)
 	p := newPool(c, 2000, 1000, 2)
-	get := func(addr string) *conn {
+	get := func(addr string) *engineConn {
 		t.Helper()
 		got, err := p.get(context.Background(), addr, anyConn)
 		if err != nil {
@@ -92,7 +92,7 @@
 func TestASecondAnswerBehindAStreamIsNotTakenForTheNext(t *testing.T) {
 	c, l := clock.NewManual(0), listen(t)
 	p, addr := newPool(c, 2000, 1000, 9), l.Addr().String()
-	take := func() *conn {
+	take := func() *engineConn {
 		t.Helper()
 		got, err := p.get(t.Context(), addr, anyConn)
 		if err != nil {
@@ -112,14 +112,14 @@
 	if other == first {
 		t.Fatal("taken while a second answer may be under way")
 	}
-	io.WriteString(peer, whole())
-	if _, err := first.br.Peek(1); err != nil { // it has come, unseen by the pool
+	io.WriteString(peer, fullStream())
+	if _, err := first.reader.Peek(1); err != nil { // it has come, unseen by the pool
 		t.Fatal(err)
 	}
-	first.br.Reset(first.Conn)
+	first.reader.Reset(first.Conn)
 	io.WriteString(peer, "more")
 	c.Advance(1)
-	until(t, "the second answer is seen", func() bool { return !first.alive() })
+	waitFor(t, "the second answer is seen", func() bool { return !first.alive() })
 	if got := take(); got == first || p.open != 2 {
 		t.Errorf("taken although it has brought more: %v, %d open", got == first, p.open)
 	}
@@ -146,17 +146,17 @@
 		err   error
 		want  ashwood.Status
 	}{
-		{live, true, io.EOF, ashwood.ConnectionLost},
-		{ended, true, context.Canceled, ashwood.ConnectionLost},
-		{live, false, io.ErrShortWrite, ashwood.NoConnection},
-		{ended, false, io.ErrShortWrite, ashwood.NotSent},
-		{live, false, errNotReady, ashwood.NotSent},
-		{live, false, errTooMany, ashwood.NotSent},
-		{live, false, dialError(syscall.ECONNREFUSED), ashwood.NoConnection},
-		{live, false, dialError(syscall.EMFILE), ashwood.NotSent}, // this machine's, which says nothing of the engine
-		{live, false, dialError(syscall.EADDRNOTAVAIL), ashwood.NotSent},
-		{live, false, dialError(syscall.ENETUNREACH), ashwood.NotSent},
-		{live, true, dialError(syscall.ENOBUFS), ashwood.ConnectionLost},
+		{live, true, io.EOF, ashwood.StatusConnectionLost},
+		{ended, true, context.Canceled, ashwood.StatusConnectionLost},
+		{live, false, io.ErrShortWrite, ashwood.StatusConnectFailed},
+		{ended, false, io.ErrShortWrite, ashwood.StatusNotSent},
+		{live, false, errNotReady, ashwood.StatusNotSent},
+		{live, false, errTooMany, ashwood.StatusNotSent},
+		{live, false, dialError(syscall.ECONNREFUSED), ashwood.StatusConnectFailed},
+		{live, false, dialError(syscall.EMFILE), ashwood.StatusNotSent}, // this machine's, which says nothing of the engine
+		{live, false, dialError(syscall.EADDRNOTAVAIL), ashwood.StatusNotSent},
+		{live, false, dialError(syscall.ENETUNREACH), ashwood.StatusNotSent},
+		{live, true, dialError(syscall.ENOBUFS), ashwood.StatusConnectionLost},
 	}
 	for _, tt := range tests {
 		if got := failed(tt.ctx, tt.wrote, tt.err).Status; got != tt.want {
@@ -166,20 +166,20 @@
 }
 
 func TestProbeTellsTheLoad(t *testing.T) {
-	e := NewEngines(settings(), clock.NewManual(0), 9)
+	e := NewEngines(testSettings(), clock.NewManual(0), 9)
 	for _, tt := range []struct {
 		name, answer string
 		status       ashwood.Status
 		report       ashwood.Report
 	}{
 		{"in the head", "HTTP/1.1 200 OK\r\nX-Pressure: inflight=3,x0=0.5\r\nContent-Length: 0\r\n\r\n",
-			ashwood.Served, ashwood.Report{ashwood.ReportInFlight: 3, ashwood.ReportMemory: 0.5}},
-		{"in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("queue=2") + "0\r\n\r\n",
-			ashwood.Served, ashwood.Report{ashwood.ReportQueue: 2}},
-		{"an error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", ashwood.ServerError, nil},
-		{"a reset", "\x00", ashwood.ConnectionLost, nil},
+			ashwood.StatusServed, ashwood.Report{ashwood.ReportInFlight: 3, ashwood.ReportMemory: 0.5}},
+		{"in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + encodeChunk("queue=2") + "0\r\n\r\n",
+			ashwood.StatusServed, ashwood.Report{ashwood.ReportQueue: 2}},
+		{"an error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", ashwood.StatusServerError, nil},
+		{"a reset", "\x00", ashwood.StatusConnectionLost, nil},
 	} {
-		v := engine(t, "w1", "writer", func(s seen) string {
+		v := scriptedEngine(t, "w1", "writer", func(s engineRequest) string {
 			if s.Method != "GET" || s.Target != loadPath {
 				t.Errorf("%s %s", s.Method, s.Target)
 			}
@@ -196,15 +196,15 @@
 // not be sent again: it goes to its writer on a new one.
 func TestOrdersGoOnNewConnections(t *testing.T) {
 	conns := map[net.Conn]bool{}
-	c := start(t, engine(t, "r1", "reader", reads), engine(t, "w1", "writer", func(s seen) string {
-		if s.Method == "DELETE" || strings.HasPrefix(s.Target, roomsPath) {
-			return freed
+	c := startAndDial(t, scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", func(s engineRequest) string {
+		if s.Method == "DELETE" || strings.HasPrefix(s.Target, holdsPath) {
+			return releasedResponse
 		}
 		conns[s.conn] = true
-		return whole()
+		return fullStream()
 	}))
 	for range 3 {
-		if r, _, err := ask(t, c, request("order", "", "{}")); r.StatusCode != 200 || err != nil {
+		if r, _, err := roundTrip(t, c, requestText("order", "", "{}")); r.StatusCode != 200 || err != nil {
 			t.Errorf("%s, %v", r.Status, err)
 		}
 	}
@@ -217,8 +217,8 @@
 // has not been made; the next goes on none that was there then.
 func TestReleaseIsMadeAgainOnANewConnection(t *testing.T) {
 	for name, fault := range map[string]string{"silent": "", "closed": "\x00", "cut short": "HTTP/1.1 20\x00", "no head": "\r\n\x00"} {
-		e, got, answers := NewEngines(settings(), clock.System(), 9), make(chan net.Conn), make(chan string)
-		v := engine(t, "w1", "writer", func(s seen) string {
+		e, got, answers := NewEngines(testSettings(), clock.System(), 9), make(chan net.Conn), make(chan string)
+		v := scriptedEngine(t, "w1", "writer", func(s engineRequest) string {
 			got <- s.conn
 			return <-answers
 		})
@@ -230,7 +230,7 @@
 		}
 		kept := []net.Conn{release(false), release(false)} // two at once
 		for range kept {
-			answers <- freed
+			answers <- releasedResponse
 			if err := <-end; err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
@@ -248,7 +248,7 @@
 		if c := release(true); slices.Contains(kept, c) {
 			t.Errorf("%s: made again on a connection that was there", name)
 		}
-		answers <- freed
+		answers <- releasedResponse
 		if err := <-end; err != nil {
 			t.Errorf("%s: made again: %v", name, err)
 		}
@@ -260,7 +260,7 @@
 // small one for the time in the settings, as they did.
 func TestConnectsAreWaitedForAsLongAsTheyTake(t *testing.T) {
 	for nodes, want := range map[int]float64{300: 400, 4: 2000} {
-		set := settings()
+		set := testSettings()
 		set.Nodes = nodes
 		e := NewEngines(set, clock.NewManual(1), 99) // on which each takes no time
 		addr := listen(t).Addr().String()
@@ -283,7 +283,7 @@
 	c := clock.NewManual(1)
 	p := newPool(c, 2000, 9000, 9)
 	addr := listen(t).Addr().String()
-	get := func() *conn {
+	get := func() *engineConn {
 		t.Helper()
 		got, err := p.get(context.Background(), addr, anyConn)
 		if err != nil {
@@ -319,18 +319,18 @@
 func TestGivenUpInTheMomentOfAFailure(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	e := NewEngines(ashwood.Settings{}, clock.System(), 16)
-	writer := engine(t, "w", "decode", func(seen) string { return "" })
+	writer := scriptedEngine(t, "w", "decode", func(engineRequest) string { return "" })
 	for i := range 50 {
 		ctx, cancel := context.WithCancel(context.Background())
 		ans := e.Send(ctx, gateway.Attempt{
-			Request: &gateway.Request{Call: ashwood.Call{ID: ashwood.RequestID(fmt.Sprint(i))}, Method: "POST", Target: "/", Body: []byte("{}")},
-			Engine:  writer, Remaining: 1000, Sent: func() {},
-			Ready: func() bool {
+			Request: &gateway.Request{RequestInfo: ashwood.RequestInfo{ID: ashwood.RequestID(fmt.Sprint(i))}, Method: "POST", Target: "/", Body: []byte("{}")},
+			Engine:  writer, Remaining: 1000, OnSent: func() {},
+			MayWrite: func() bool {
 				cancel()
 				return false
 			},
 		})
-		if ans.Status != ashwood.NotSent {
+		if ans.Status != ashwood.StatusNotSent {
 			t.Fatalf("try %d: %v, %v", i, ans.Status, ans.Err)
 		}
 		runtime.Gosched()
@@ -339,9 +339,9 @@
 
 // While two processes serve one gateway, each keeps half of the connections to engines.
 func TestPoolIsSharedBetweenProcesses(t *testing.T) {
-	s := engine(t, "e", "", func(seen) string { return "HTTP/1.1 204 No Content\r\n\r\n" })
+	s := scriptedEngine(t, "e", "", func(engineRequest) string { return "HTTP/1.1 204 No Content\r\n\r\n" })
 	p := newPool(clock.System(), 1000, 15000, 4)
-	var conns []*conn
+	var conns []*engineConn
 	for range 4 {
 		c, err := p.get(t.Context(), s.Address, anyConn)
 		if err != nil {
--- a/internal/platform/lists_test.go
+++ b/internal/platform/lists_test.go
@@ -61,7 +61,7 @@
 		over := make(chan struct{})
 		go func() {
 			defer close(over)
-			d.Run(ctx, func(_ ashwood.ListForm, list []ashwood.Server) { lists = append(lists, len(list)) })
+			d.Run(ctx, func(_ ashwood.MembershipForm, list []ashwood.Server) { lists = append(lists, len(list)) })
 		}()
 		for n := 0; n < 3; {
 			select {
--- a/internal/platform/move.go
+++ b/internal/platform/move.go
@@ -22,7 +22,7 @@
 
 // Give hands another process a message with the client's and the engine's connections.
 // After an error nothing of them has gone.
-type Give func(message []byte, client, engine syscall.Conn) error
+type HandoverFunc func(message []byte, client, engine syscall.Conn) error
 
 // moved is an answer on its way from one process to another.
 type moved struct {
@@ -49,7 +49,7 @@
 
 // Give has answers that have begun, and those that begin from now on, handed over; nil
 // ends that. One that can't be goes on here.
-func (s *Server) Give(give Give) {
+func (s *Server) SetHandover(give HandoverFunc) {
 	if give == nil {
 		s.in.give.Store(nil)
 		return
@@ -58,48 +58,48 @@
 }
 
 // Move hands the stream's parts to give, between two pieces.
-func (s *stream) Move(give func(gateway.Live) error) error {
-	state := moving{Keep: s.keep, Tail: s.tail}
+func (s *engineStream) HandOver(give func(gateway.HandoverState) error) error {
+	state := moving{Keep: s.reusable, Tail: s.tail}
 	switch b := s.body.(type) {
-	case *chunks:
-		state.Form, state.Left = "chunks", b.left
-	case *exactly:
-		state.Form, state.Left = "length", b.left
+	case *chunkedReader:
+		state.Form, state.Left = "chunks", b.remaining
+	case *fixedLengthReader:
+		state.Form, state.Left = "length", b.remaining
 	default:
 		state.Form = "close"
 	}
-	sc, ok := s.c.Conn.(syscall.Conn)
-	if !ok || s.begun != nil || s.done {
+	sc, ok := s.conn.Conn.(syscall.Conn)
+	if !ok || s.firstEvent != nil || s.done {
 		return errors.New("platform: this answer can't be moved")
 	}
-	state.Buffered, _ = s.c.br.Peek(s.c.br.Buffered())
-	if err := give(gateway.Live{Wire: state, Conn: sc}); err != nil {
+	state.Buffered, _ = s.conn.reader.Peek(s.conn.reader.Buffered())
+	if err := give(gateway.HandoverState{TransportState: state, Conn: sc}); err != nil {
 		return err
 	}
-	s.stop()
-	s.pool.discard(s.c)
-	s.c = nil
+	s.stopInterrupt()
+	s.pool.discard(s.conn)
+	s.conn = nil
 	return nil
 }
 
 // adopt makes a stream of an answer that another process has begun.
-func (e *Engines) adopt(ctx context.Context, nc net.Conn, addr string, state moving) (*stream, error) {
-	c := &conn{Conn: nc, br: bufio.NewReaderSize(io.MultiReader(bytes.NewReader(state.Buffered), nc), 4096), addr: addr}
-	s := &stream{pool: e.pool, c: c, keep: state.Keep, tail: state.Tail}
+func (e *Engines) adopt(ctx context.Context, nc net.Conn, addr string, state moving) (*engineStream, error) {
+	c := &engineConn{Conn: nc, reader: bufio.NewReaderSize(io.MultiReader(bytes.NewReader(state.Buffered), nc), 4096), addr: addr}
+	s := &engineStream{pool: e.pool, conn: c, reusable: state.Keep, tail: state.Tail}
 	switch state.Form {
 	case "chunks":
-		s.body = &chunks{br: c.br, begin: func() func() { return e.within(c, wholeWait) }, left: state.Left}
+		s.body = &chunkedReader{reader: c.reader, startTimeout: func() func() { return e.startTimeout(c, completionTimeout) }, remaining: state.Left}
 	case "length":
-		s.body = &exactly{r: c.br, left: state.Left}
+		s.body = &fixedLengthReader{reader: c.reader, remaining: state.Left}
 	case "close":
-		s.body = c.br
+		s.body = c.reader
 	default:
 		return nil, fmt.Errorf("platform: an answer in the form %q", state.Form)
 	}
 	if state.Left < 0 {
 		return nil, fmt.Errorf("platform: an answer with %d bytes left", state.Left)
 	}
-	s.stop = c.endWith(ctx)
+	s.stopInterrupt = c.interruptOnDone(ctx)
 	e.pool.adopted()
 	return s, nil
 }
@@ -111,7 +111,7 @@
 	}
 	give := b.conn.l.give.Load()
 	client, ok := b.conn.Conn.(syscall.Conn)
-	m, can := b.stream.(gateway.Movable)
+	m, can := b.stream.(gateway.HandoverStream)
 	if give == nil || !ok || !can {
 		return false
 	}
@@ -121,12 +121,12 @@
 		b.conn.watch(b.gone)
 		return false
 	}
-	err := m.Move(func(v gateway.Live) error {
+	err := m.HandOver(func(v gateway.HandoverState) error {
 		if b.client.Err() != nil {
 			return b.client.Err() // it has left: there is nothing to go on with
 		}
 		message, err := json.Marshal(moved{
-			ID: v.ID, Class: v.Class, Engine: v.Engine, Begun: v.Begun, Closes: b.closes, Ahead: b.conn.ahead, Body: v.Wire.(moving),
+			ID: v.ID, Class: v.Class, Engine: v.Engine, Begun: v.StartedAt, Closes: b.closes, Ahead: b.conn.ahead, Body: v.TransportState.(moving),
 		})
 		if err != nil {
 			return fmt.Errorf("platform: %w", err)
@@ -146,7 +146,7 @@
 type Adopter interface {
 	Handler
 	// Adopt counts a request in whose answer make goes on with; client is its client's life.
-	Adopt(client context.Context, live gateway.Live, make func(context.Context, gateway.Transport) (gateway.Stream, error)) (gateway.Stream, error)
+	Adopt(client context.Context, live gateway.HandoverState, make func(context.Context, gateway.Transport) (gateway.Stream, error)) (gateway.Stream, error)
 }
 
 // Adopt goes on with an answer that another process has handed over, to its end, and then
@@ -167,7 +167,7 @@
 	}
 	c := s.in.adopt(clientConn, m.Ahead)
 	client, gone := context.WithCancel(context.Background())
-	live := gateway.Live{ID: m.ID, Class: m.Class, Engine: m.Engine, Begun: m.Begun}
+	live := gateway.HandoverState{ID: m.ID, Class: m.Class, Engine: m.Engine, StartedAt: m.Begun}
 	stream, err := gw.Adopt(client, live, func(ctx context.Context, t gateway.Transport) (gateway.Stream, error) {
 		e, ok := t.(*Engines)
 		if !ok {
@@ -221,7 +221,7 @@
 }
 
 // adopted counts a connection that came from another process.
-func (p *pool) adopted() {
+func (p *connPool) adopted() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open++
