--- a/internal/platform/move_test.go
+++ b/internal/platform/move_test.go
@@ -39,10 +39,10 @@
 }
 
 // pair is two servers of one gateway's engines; what the first has begun goes to the second.
-func pair(t *testing.T, script func(seen) string) (first, second *Server, addr string, sends *atomic.Int32) {
+func pair(t *testing.T, script func(engineRequest) string) (first, second *Server, addr string, sends *atomic.Int32) {
 	t.Helper()
 	sends = &atomic.Int32{}
-	list := []ashwood.Server{engine(t, "r1", "reader", reads), engine(t, "w1", "writer", writes(func(s seen) string {
+	list := []ashwood.Server{scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", scriptDecode(func(s engineRequest) string {
 		sends.Add(1)
 		return script(s)
 	}))}
@@ -54,7 +54,7 @@
 // giveTo has one server hand its answers to another, and gives how the first of them was taken.
 func giveTo(t *testing.T, first, second *Server) (given chan error) {
 	given = make(chan error, 1)
-	first.Give(func(message []byte, client, engine syscall.Conn) error {
+	first.SetHandover(func(message []byte, client, engine syscall.Conn) error {
 		a, b := doubled(t, client), doubled(t, engine)
 		go func() { given <- second.Adopt(message, a, b) }()
 		return nil
@@ -67,21 +67,21 @@
 func TestAnAnswerIsHandedOverInTheMiddleOfAChunk(t *testing.T) {
 	goOn, taken, begun := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	const at = 7 // bytes of the ending that come with the first event
-	rest := chunk(ending)
-	first, second, addr, sends := pair(t, func(s seen) string {
+	rest := encodeChunk(ending)
+	first, second, addr, sends := pair(t, func(s engineRequest) string {
 		if s.ID == "9b20" {
-			return whole()
+			return fullStream()
 		}
 		close(taken)
 		<-begun
-		io.WriteString(s.conn, head+chunk(event1)+rest[:at])
+		io.WriteString(s.conn, head+encodeChunk(event1)+rest[:at])
 		<-goOn
 		return rest[at:] + "0\r\n\r\n"
 	})
 	given := giveTo(t, first, second)
 	c := dial(t, addr)
-	next := strings.Replace(request("order", "", "{}"), "9b1f", "9b20", 1)
-	io.WriteString(c, request("order", "", "{}"))
+	next := strings.Replace(requestText("order", "", "{}"), "9b1f", "9b20", 1)
+	io.WriteString(c, requestText("order", "", "{}"))
 	<-taken
 	io.WriteString(c, next[:20]) // the next one begins before the answer does
 	close(begun)
@@ -110,8 +110,8 @@
 // A next request that was read together with the one before can't be handed over: the
 // answer stays, and both are answered. Behind the second nothing has been read, and its answer may go.
 func TestAnAnswerStaysWhereTheNextRequestWasRead(t *testing.T) {
-	first, _, addr, sends := pair(t, func(seen) string { return whole() })
-	first.Give(func(message []byte, _, _ syscall.Conn) error {
+	first, _, addr, sends := pair(t, func(engineRequest) string { return fullStream() })
+	first.SetHandover(func(message []byte, _, _ syscall.Conn) error {
 		var m moved
 		if err := json.Unmarshal(message, &m); err != nil || m.ID != "9b20" {
 			t.Errorf("the answer to %q was handed over, %v", m.ID, err)
@@ -119,7 +119,7 @@
 		return errors.New("not wanted")
 	})
 	c := dial(t, addr)
-	one := request("order", "", "{}")
+	one := requestText("order", "", "{}")
 	io.WriteString(c, one+strings.Replace(one, "9b1f", "9b20", 1))
 	br := bufio.NewReader(c)
 	for n := range 2 {
@@ -138,14 +138,14 @@
 
 // Where nothing has gone to the other process, the answer goes on where it is.
 func TestAnAnswerThatCanNotBeGivenGoesOn(t *testing.T) {
-	first, _, addr, sends := pair(t, func(seen) string { return whole() })
+	first, _, addr, sends := pair(t, func(engineRequest) string { return fullStream() })
 	asked := make(chan struct{}, 9)
-	first.Give(func([]byte, syscall.Conn, syscall.Conn) error {
+	first.SetHandover(func([]byte, syscall.Conn, syscall.Conn) error {
 		asked <- struct{}{}
 		return errors.New("nobody there")
 	})
 	c := dial(t, addr)
-	if r, body, err := ask(t, c, request("order", "", "{}")); err != nil || r.StatusCode != 200 || body != event1+ending {
+	if r, body, err := roundTrip(t, c, requestText("order", "", "{}")); err != nil || r.StatusCode != 200 || body != event1+ending {
 		t.Errorf("%v, %q, %v", r, body, err)
 	}
 	if len(asked) != 1 || sends.Load() != 1 {
@@ -157,14 +157,14 @@
 // last chunk; a message that can't be read closes what came with it.
 func TestWhatIsHandedOverBreaksLikeAnyOther(t *testing.T) {
 	goOn := make(chan struct{})
-	first, second, addr, _ := pair(t, func(s seen) string {
-		io.WriteString(s.conn, head+chunk(event1))
+	first, second, addr, _ := pair(t, func(s engineRequest) string {
+		io.WriteString(s.conn, head+encodeChunk(event1))
 		<-goOn
 		return "zz\r\n\x00" // no chunk's size, and a close
 	})
 	given := giveTo(t, first, second)
 	c := dial(t, addr)
-	io.WriteString(c, request("order", "", "{}"))
+	io.WriteString(c, requestText("order", "", "{}"))
 	if err := <-given; err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/nethttp.go
+++ b/internal/platform/nethttp.go
@@ -99,7 +99,7 @@
 	}
 	req.Front = n.Front
 	if at, err := netip.ParseAddrPort(r.RemoteAddr); err == nil {
-		req.Client = at.Addr().Unmap()
+		req.ClientAddr = at.Addr().Unmap()
 	}
 	return req, 0, nil
 }
--- a/internal/platform/panic_test.go
+++ b/internal/platform/panic_test.go
@@ -61,7 +61,7 @@
 		if want == http.StatusServiceUnavailable {
 			class = "order"
 		}
-		if r, _, err := ask(t, c, request(class, "", "{}")); err != nil || r.StatusCode != want {
+		if r, _, err := roundTrip(t, c, requestText(class, "", "{}")); err != nil || r.StatusCode != want {
 			t.Errorf("request %d: %v, %v, want %d", i, r, err, want)
 		}
 	}
@@ -88,7 +88,7 @@
 		s := NewServer(streaming{pieces}, slog.New(slog.DiscardHandler), 50)
 		go s.Serve(l)
 		c := dial(t, l.Addr().String())
-		if _, err := io.WriteString(c, request("chat", "", "{}")); err != nil {
+		if _, err := io.WriteString(c, requestText("chat", "", "{}")); err != nil {
 			t.Fatal(err)
 		}
 		text, err := io.ReadAll(c)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -18,7 +18,7 @@
 )
 
 // seen is a request as an engine got it.
-type seen struct {
+type engineRequest struct {
 	Method, Target, ID, Body string
 	conn                     net.Conn
 }
@@ -35,7 +35,7 @@
 
 // engine is a scripted peer: answer gives the bytes to write for a request,
 // "" for none; the connection is closed after bytes that end with "\x00".
-func engine(t *testing.T, name, kind string, answer func(seen) string) ashwood.Server {
+func scriptedEngine(t *testing.T, name, kind string, answer func(engineRequest) string) ashwood.Server {
 	l := listen(t)
 	serve := func(c net.Conn) {
 		defer c.Close()
@@ -46,7 +46,7 @@
 				return
 			}
 			body, _ := io.ReadAll(r.Body)
-			out := answer(seen{r.Method, r.RequestURI, r.Header.Get(headerID), string(body), c})
+			out := answer(engineRequest{r.Method, r.RequestURI, r.Header.Get(headerID), string(body), c})
 			io.WriteString(c, strings.TrimSuffix(out, "\x00"))
 			if strings.HasSuffix(out, "\x00") {
 				return
@@ -62,49 +62,49 @@
 			go serve(c)
 		}
 	}()
-	return ashwood.Server{ID: ashwood.ServerID(name), Kind: kind, State: ashwood.StateOn, Address: l.Addr().String()}
+	return ashwood.Server{ID: ashwood.ServerID(name), Kind: kind, State: ashwood.StateActive, Address: l.Addr().String()}
 }
 
 const (
-	parsed = "HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\nX-Pressure: inflight=1\r\n\r\n{\"cached_tokens\":16}"
-	held   = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	freed  = "HTTP/1.1 204 No Content\r\n\r\n"
-	full   = "HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
-	head   = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-	event1 = "data: {\"a\":1}\n\n"
-	ending = "data: [DONE]\n\n: X-Pressure: inflight=3,queue=1,x0=0.5\n\n"
+	parsed           = "HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\nX-Pressure: inflight=1\r\n\r\n{\"cached_tokens\":16}"
+	held             = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	releasedResponse = "HTTP/1.1 204 No Content\r\n\r\n"
+	full             = "HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
+	head             = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	event1           = "data: {\"a\":1}\n\n"
+	ending           = "data: [DONE]\n\n: X-Pressure: inflight=3,queue=1,x0=0.5\n\n"
 )
 
-func chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
+func encodeChunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
-func whole() string { return head + chunk(event1) + chunk(ending) + "0\r\n\r\n" }
+func fullStream() string { return head + encodeChunk(event1) + encodeChunk(ending) + "0\r\n\r\n" }
 
-func reads(s seen) string {
+func scriptPrefill(s engineRequest) string {
 	if s.Method == "DELETE" {
-		return freed
+		return releasedResponse
 	}
 	return parsed
 }
 
 // writes answers requests by script and the calls beside them well.
-func writes(script func(seen) string) func(seen) string {
-	return func(s seen) string {
+func scriptDecode(script func(engineRequest) string) func(engineRequest) string {
+	return func(s engineRequest) string {
 		switch {
 		case s.Method == "DELETE":
-			return freed
-		case strings.HasPrefix(s.Target, roomsPath):
+			return releasedResponse
+		case strings.HasPrefix(s.Target, holdsPath):
 			return held
 		}
 		return script(s)
 	}
 }
 
-func settings() ashwood.Settings {
+func testSettings() ashwood.Settings {
 	class := func(name string, e ashwood.Effect) ashwood.Class {
 		return ashwood.Class{Name: name, Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: e}
 	}
 	return ashwood.Settings{
-		Nodes: 1, Ahead: true, Reports: ashwood.ReportInline,
+		Nodes: 1, Reservations: true, Reports: ashwood.ReportInline,
 		Kinds: []ashwood.Kind{
 			{Name: "reader", Role: ashwood.RoleRead, MemoryTokens: 1e5}, {Name: "writer", Role: ashwood.RoleWrite, MemoryTokens: 1e5}},
 		Classes: []ashwood.Class{class("chat", ashwood.Pure), class("order", ashwood.SideEffect)},
@@ -113,7 +113,7 @@
 }
 
 // start brings up a gateway with these engines and gives a connection to it.
-func start(t *testing.T, list ...ashwood.Server) net.Conn {
+func startAndDial(t *testing.T, list ...ashwood.Server) net.Conn {
 	t.Helper()
 	_, addr := serve(t, list...)
 	return dial(t, addr)
@@ -122,11 +122,11 @@
 func serve(t *testing.T, list ...ashwood.Server) (s *Server, addr string) {
 	t.Helper()
 	log, c := slog.New(slog.DiscardHandler), clock.System()
-	gw, err := gateway.New(settings(), 1, NewEngines(settings(), c, 50), c, log)
+	gw, err := gateway.New(testSettings(), 1, NewEngines(testSettings(), c, 50), c, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	gw.Update(ashwood.ListWhole, list)
+	gw.UpdateMembership(ashwood.MembershipSnapshot, list)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go gw.Run(ctx)
@@ -147,13 +147,13 @@
 	return c
 }
 
-func request(class, extra, body string) string {
+func requestText(class, extra, body string) string {
 	return fmt.Sprintf("POST /v1/chat/completions?x=%%2F HTTP/1.1\r\nHost: service.internal\r\nX-Txn: 9b1f\r\nX-Lane: %s\r\n"+
 		"X-Entity: 7f3a\r\nX-Remaining: 15.000\r\nX-Labels: prefix=5c0f,prompt_len=64,prefix_len=32,max_out=9\r\n%sContent-Length: %d\r\n\r\n%s",
 		class, extra, len(body), body)
 }
 
-func ask(t *testing.T, c net.Conn, text string) (*http.Response, string, error) {
+func roundTrip(t *testing.T, c net.Conn, text string) (*http.Response, string, error) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
@@ -167,17 +167,17 @@
 }
 
 func TestBytesPassThroughBothWays(t *testing.T) {
-	got := make(chan seen, 9)
-	c := start(t, engine(t, "r1", "reader", reads),
-		engine(t, "w1", "writer", writes(func(s seen) string { got <- s; return whole() })))
+	got := make(chan engineRequest, 9)
+	c := startAndDial(t, scriptedEngine(t, "r1", "reader", scriptPrefill),
+		scriptedEngine(t, "w1", "writer", scriptDecode(func(s engineRequest) string { got <- s; return fullStream() })))
 	for range 2 { // on one connection
-		r, body, err := ask(t, c, request("chat", "", `{"odd" :  "spacing"}`))
+		r, body, err := roundTrip(t, c, requestText("chat", "", `{"odd" :  "spacing"}`))
 		if err != nil || r.StatusCode != 200 || body != event1+ending {
 			t.Fatalf("%v, %v, %q", r.Status, err, body)
 		}
 		s := <-got
 		s.conn = nil
-		want := seen{Method: "POST", Target: "/v1/chat/completions?x=%2F", ID: "9b1f", Body: `{"odd" :  "spacing"}`}
+		want := engineRequest{Method: "POST", Target: "/v1/chat/completions?x=%2F", ID: "9b1f", Body: `{"odd" :  "spacing"}`}
 		if s != want {
 			t.Errorf("the writer got %+v, want %+v", s, want)
 		}
@@ -198,21 +198,21 @@
 		{"202 from a writer", parsed, 502, 1},
 		{"reset", "\x00", 502, 1},
 		{"broken before an event", head + "\x00", 502, 1},
-		{"broken within the first event", head + chunk("data: {\"a\"") + "\x00", 502, 1},
-		{"a first event in pieces", head + chunk("data: {\"a\"") + chunk(":1}\n") + chunk("\n") + "0\r\n\r\n", 200, 1},
-		{"an answer without a blank line", head + chunk("data: [DONE]") + "0\r\n\r\n", 200, 1},
+		{"broken within the first event", head + encodeChunk("data: {\"a\"") + "\x00", 502, 1},
+		{"a first event in pieces", head + encodeChunk("data: {\"a\"") + encodeChunk(":1}\n") + encodeChunk("\n") + "0\r\n\r\n", 200, 1},
+		{"an answer without a blank line", head + encodeChunk("data: [DONE]") + "0\r\n\r\n", 200, 1},
 	}
 	for _, tt := range tests {
-		got := make(chan seen, 9)
-		script := writes(func(s seen) string {
+		got := make(chan engineRequest, 9)
+		script := scriptDecode(func(s engineRequest) string {
 			got <- s
 			if len(got) == 1 {
 				return tt.first
 			}
-			return whole()
+			return fullStream()
 		})
-		c := start(t, engine(t, "r1", "reader", reads), engine(t, "w1", "writer", script), engine(t, "w2", "writer", script))
-		r, body, err := ask(t, c, request("order", "", "{}"))
+		c := startAndDial(t, scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", script), scriptedEngine(t, "w2", "writer", script))
+		r, body, err := roundTrip(t, c, requestText("order", "", "{}"))
 		if err != nil || r.StatusCode != tt.code || len(got) != tt.writes {
 			t.Errorf("%s: %s after %d writes, want %d after %d: %s, %v", tt.name, r.Status, len(got), tt.code, tt.writes, body, err)
 		}
@@ -221,8 +221,8 @@
 
 // What is refused comes back when told to.
 func TestRefusalCarriesRetryAfter(t *testing.T) {
-	c := start(t)
-	r, body, err := ask(t, c, strings.Replace(request("order", "", "{}"), "15.000", "0.100", 1))
+	c := startAndDial(t)
+	r, body, err := roundTrip(t, c, strings.Replace(requestText("order", "", "{}"), "15.000", "0.100", 1))
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") != "0.500" || err != nil {
 		t.Errorf("%s, Retry-After %q, %q, %v", r.Status, r.Header.Get("Retry-After"), body, err)
 	}
@@ -230,9 +230,9 @@
 
 // A stream that breaks must not look whole: the connection ends without the last chunk.
 func TestBrokenStreamEndsTheConnection(t *testing.T) {
-	c := start(t, engine(t, "r1", "reader", reads),
-		engine(t, "w1", "writer", writes(func(seen) string { return head + chunk(event1) + "\x00" })))
-	r, body, err := ask(t, c, request("chat", "", "{}"))
+	c := startAndDial(t, scriptedEngine(t, "r1", "reader", scriptPrefill),
+		scriptedEngine(t, "w1", "writer", scriptDecode(func(engineRequest) string { return head + encodeChunk(event1) + "\x00" })))
+	r, body, err := roundTrip(t, c, requestText("chat", "", "{}"))
 	if r.StatusCode != 200 || body != event1 || err != io.ErrUnexpectedEOF {
 		t.Errorf("%s, %q, %v", r.Status, body, err)
 	}
@@ -251,32 +251,32 @@
 		{"a status that is none", "HTTP/1.1 2x0 OK\r\n\r\n", false},
 		{"a head that does not go on", "HTTP/1.1 200 OK\r\nX-Half: ", false},
 		{"a head without end", good + strings.Repeat("X-More: and more\r\n", 999), false},
-		{"nothing but 1xx", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterim), false},
+		{"nothing but 1xx", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterimResponses), false},
 		{"no event behind the head", head, false},
 		{"a first size that is none", head + "zz\r\n" + event1, false},
 		{"a first chunk of 3 GB", head + "c0000000\r\n" + event1, false},
 		{"a first chunk beyond its size", head + "2\r\n" + event1 + "\r\n", false},
-		{"a size that is none", head + chunk(event1) + "-1\r\n", true},
-		{"a size that does not end", head + chunk(event1) + strings.Repeat("0", 9999), true},
-		{"a chunk of 3 GB", head + chunk(event1) + "c0000000\r\n" + event1, true},
-		{"a chunk beyond its size", head + chunk(event1) + "2\r\n" + event1 + "\r\n", true},
-		{"a chunk short of its size", head + chunk(event1) + "ff\r\n" + event1, true},
-		{"lines without end behind the last chunk", head + chunk(event1) + "0\r\n" + strings.Repeat("a: b\r\n", 99), true},
+		{"a size that is none", head + encodeChunk(event1) + "-1\r\n", true},
+		{"a size that does not end", head + encodeChunk(event1) + strings.Repeat("0", 9999), true},
+		{"a chunk of 3 GB", head + encodeChunk(event1) + "c0000000\r\n" + event1, true},
+		{"a chunk beyond its size", head + encodeChunk(event1) + "2\r\n" + event1 + "\r\n", true},
+		{"a chunk short of its size", head + encodeChunk(event1) + "ff\r\n" + event1, true},
+		{"lines without end behind the last chunk", head + encodeChunk(event1) + "0\r\n" + strings.Repeat("a: b\r\n", 99), true},
 	}
 	for _, tt := range tests {
 		for _, class := range []string{"chat", "order"} {
 			first := make(chan bool, 1)
 			first <- true
-			script := writes(func(seen) string {
+			script := scriptDecode(func(engineRequest) string {
 				select {
 				case <-first:
 					return tt.answer
 				default:
-					return whole()
+					return fullStream()
 				}
 			})
-			c := start(t, engine(t, "r1", "reader", reads), engine(t, "w1", "writer", script), engine(t, "w2", "writer", script))
-			r, body, err := ask(t, c, request(class, "", "{}"))
+			c := startAndDial(t, scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", script), scriptedEngine(t, "w2", "writer", script))
+			r, body, err := roundTrip(t, c, requestText(class, "", "{}"))
 			switch {
 			case tt.begun:
 				if r.StatusCode != 200 || body != event1 || err != io.ErrUnexpectedEOF {
@@ -292,15 +292,15 @@
 // Other answers are good and bring more than belongs to them.
 func TestGoodAnswersWithMoreThanBelongsToThem(t *testing.T) {
 	const interim = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-	odd := strings.Replace(whole(), "\r\nContent", "\r\nX-Pressure: inflight=-3,queue=much\r\nContent", 1)
-	c := start(t, engine(t, "r1", "reader", func(s seen) string {
+	odd := strings.Replace(fullStream(), "\r\nContent", "\r\nX-Pressure: inflight=-3,queue=much\r\nContent", 1)
+	c := startAndDial(t, scriptedEngine(t, "r1", "reader", func(s engineRequest) string {
 		if s.Method == "DELETE" {
-			return freed
+			return releasedResponse
 		}
 		return interim + parsed + parsed
-	}), engine(t, "w1", "writer", writes(func(seen) string { return interim + interim + odd + full })))
+	}), scriptedEngine(t, "w1", "writer", scriptDecode(func(engineRequest) string { return interim + interim + odd + full })))
 	for range 3 { // on connections that nothing is left on
-		if r, body, err := ask(t, c, request("order", "", "{}")); r.StatusCode != 200 || body != event1+ending || err != nil {
+		if r, body, err := roundTrip(t, c, requestText("order", "", "{}")); r.StatusCode != 200 || body != event1+ending || err != nil {
 			t.Errorf("%s, %q, %v", r.Status, body, err)
 		}
 	}
@@ -308,12 +308,12 @@
 
 // fasthttp does not look whether its client is there while a handler runs.
 func TestClientsCloseEndsTheAttemptAndLetsGo(t *testing.T) {
-	got, ended := make(chan seen, 9), make(chan string, 9)
-	c := start(t, engine(t, "r1", "reader", func(s seen) string {
+	got, ended := make(chan engineRequest, 9), make(chan string, 9)
+	c := startAndDial(t, scriptedEngine(t, "r1", "reader", func(s engineRequest) string {
 		ended <- s.Method
-		return reads(s)
-	}), engine(t, "w1", "writer", writes(func(s seen) string { got <- s; return "" })))
-	io.WriteString(c, request("order", "", "{}"))
+		return scriptPrefill(s)
+	}), scriptedEngine(t, "w1", "writer", scriptDecode(func(s engineRequest) string { got <- s; return "" })))
+	io.WriteString(c, requestText("order", "", "{}"))
 	s := <-got
 	c.Close()
 	if _, err := s.conn.Read(make([]byte, 1)); err != io.EOF && err == nil {
--- a/internal/platform/pool.go
+++ b/internal/platform/pool.go
@@ -20,17 +20,17 @@
 var errTooMany = errors.New("platform: too many connections to engines")
 
 // conn carries one request at a time.
-type conn struct {
+type engineConn struct {
 	net.Conn
-	br   *bufio.Reader
-	addr string
-	idle float64 // since when; 0 = never yet
-	from float64 // when it may be used again
+	reader *bufio.Reader
+	addr   string
+	idle   float64 // since when; 0 = never yet
+	from   float64 // when it may be used again
 }
 
 // endWith has the end of ctx end all reading and writing on the connection, until stop. That
 // tells whether it came before; else the end has been seen to, and disturbs nothing later.
-func (c *conn) endWith(ctx context.Context) (stop func() bool) {
+func (c *engineConn) interruptOnDone(ctx context.Context) (stop func() bool) {
 	ended := make(chan struct{})
 	prevent := context.AfterFunc(ctx, func() {
 		c.SetDeadline(time.Unix(1, 0))
@@ -48,17 +48,17 @@
 // pool keeps connections to engines. It never sends anything: whoever takes a
 // connection knows when the last byte of a request has left, and nothing is
 // sent again behind its back.
-type pool struct {
+type connPool struct {
 	clock   clock.Clock
 	maxIdle float64 // ms after which an idle connection is closed, well before the engine does
 	most    int     // connections open at once, for one process alone
 	log     *slog.Logger
 
 	mu    sync.Mutex
-	max   int                // the same for this one of several
-	wait  trend.Patience     // for a connection
-	learn bool               // whether that is shortened by how long they take
-	idle  map[string][]*conn // by address, the latest used last
+	max   int                      // the same for this one of several
+	wait  trend.Patience           // for a connection
+	learn bool                     // whether that is shortened by how long they take
+	idle  map[string][]*engineConn // by address, the latest used last
 	open  int
 	doubt float64 // until when no connection is kept
 	over  bool    // none is kept any more
@@ -83,12 +83,12 @@
 // program leaves that many descriptors free.
 const spareShare = 1.0 / 16
 
-func newPool(c clock.Clock, connect, maxIdle float64, limit int) *pool {
-	return &pool{clock: c, wait: trend.Patience{Most: connect}, maxIdle: maxIdle, most: limit, max: limit, idle: map[string][]*conn{}, log: slog.New(slog.DiscardHandler)}
+func newPool(c clock.Clock, connect, maxIdle float64, limit int) *connPool {
+	return &connPool{clock: c, wait: trend.Patience{Most: connect}, maxIdle: maxIdle, most: limit, max: limit, idle: map[string][]*engineConn{}, log: slog.New(slog.DiscardHandler)}
 }
 
 // get gives an idle connection that the engine has not closed, or a new one.
-func (p *pool) get(ctx context.Context, addr string, with which) (*conn, error) {
+func (p *connPool) get(ctx context.Context, addr string, with which) (*engineConn, error) {
 	for {
 		c, err := p.reuse(addr, with)
 		if err != nil {
@@ -105,7 +105,7 @@
 }
 
 // reuse takes an idle connection, or counts a new one, which it leaves to dial.
-func (p *pool) reuse(addr string, with which) (*conn, error) {
+func (p *connPool) reuse(addr string, with which) (*engineConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now := p.clock.Now(); (with == anyConn || with == anySpare) && now >= p.doubt {
@@ -127,7 +127,7 @@
 	return nil, nil
 }
 
-func (p *pool) dial(ctx context.Context, addr string) (*conn, error) {
+func (p *connPool) dial(ctx context.Context, addr string) (*engineConn, error) {
 	p.mu.Lock()
 	d := net.Dialer{Timeout: clock.Duration(p.wait.Wait()), KeepAlive: -1}
 	p.mu.Unlock()
@@ -147,7 +147,7 @@
 	if p.learn {
 		p.wait.Came(took)
 	}
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, 4096), addr: addr}, nil
+	return &engineConn{Conn: nc, reader: bufio.NewReaderSize(nc, 4096), addr: addr}, nil
 }
 
 // streamRest is how many ms a connection rests behind a stream. Engines may send more than
@@ -155,8 +155,8 @@
 const streamRest = 50.0
 
 // put keeps a connection for another request, some ms from now on.
-func (p *pool) put(c *conn, rest float64) {
-	if c.br.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
+func (p *connPool) put(c *engineConn, rest float64) {
+	if c.reader.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
 		p.discard(c)
 		return
 	}
@@ -172,7 +172,7 @@
 }
 
 // broke tells of a connection that ended in place of an answer.
-func (p *pool) broke(c *conn) {
+func (p *connPool) broke(c *engineConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.idle > 0 {
@@ -181,7 +181,7 @@
 }
 
 // discard closes a connection.
-func (p *pool) discard(c *conn) {
+func (p *connPool) discard(c *engineConn) {
 	c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -191,27 +191,27 @@
 // Bounds of giving up a request: what its engine has noticed no later is taken to be given up
 // all the same. A packet takes some ms between data centres; a machine that vanished says nothing.
 const (
-	noticeWait  = 20.0     // ms
-	noticeBytes = 64 << 10 // of an answer that still comes
+	abandonTimeout = 20.0     // ms
+	noticeBytes    = 64 << 10 // of an answer that still comes
 )
 
 // abandon gives up a request whose last byte has been written, and returns once its engine
 // has noticed, or noticeWait later. An engine works for a request for as long as it sees the
 // connection open: the next attempt, or the answer that trying again does no harm, could come
 // before it has seen the end. The write side is shut, and the engine closes or resets in turn.
-func (p *pool) abandon(c *conn) {
+func (p *connPool) abandon(c *engineConn) {
 	defer p.discard(c)
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil || c.SetDeadline(time.Time{}) != nil {
 		return
 	}
-	defer p.clock.AfterFunc(noticeWait, func() { c.SetDeadline(time.Unix(1, 0)) })()
+	defer p.clock.AfterFunc(abandonTimeout, func() { c.SetDeadline(time.Unix(1, 0)) })()
 	// Any error is the end that is waited for: the engine's, or that of the time.
 	_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, noticeBytes))
 }
 
 // dropOldest makes room for a new connection.
-func (p *pool) dropOldest() bool {
+func (p *connPool) dropOldest() bool {
 	oldest := ""
 	for addr, list := range p.idle {
 		if len(list) > 0 && (oldest == "" || list[0].idle < p.idle[oldest][0].idle) {
@@ -228,7 +228,7 @@
 }
 
 // close closes idle connections, and has others closed when they are put back.
-func (p *pool) close() {
+func (p *connPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.over = true
@@ -243,7 +243,7 @@
 
 // share leaves this process its part of the connections. Those beyond it that are in use
 // are closed when they are put back.
-func (p *pool) share(processes int) {
+func (p *connPool) share(processes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.max = max(p.most/max(processes, 1), 1)
@@ -252,7 +252,7 @@
 }
 
 // sweep closes what has been idle too long.
-func (p *pool) sweep() {
+func (p *connPool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -270,7 +270,7 @@
 
 // alive tells whether the engine has left an idle connection open. A request
 // written to a closed one would end as a reset, which proves nothing.
-func (c *conn) alive() bool {
+func (c *engineConn) alive() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -50,7 +50,7 @@
 var ours = map[string]bool{
 	"connection": true, "keep-alive": true, "proxy-connection": true, "proxy-authenticate": true, "proxy-authorization": true,
 	"te": true, "trailer": true, "transfer-encoding": true, "upgrade": true, "expect": true, "content-length": true, "host": true,
-	strings.ToLower(headerID): true, strings.ToLower(headerLeft): true,
+	strings.ToLower(headerID): true, strings.ToLower(headerRemaining): true,
 }
 
 // Parse takes out the fields that decisions need. It is strict: what is faulty or
@@ -61,7 +61,7 @@
 		return nil, errors.New("the body is no JSON")
 	}
 	fields := map[string]string{}
-	for _, name := range []string{headerID, headerClass, headerSession, headerLeft, headerLabels, headerResent, headerTenant} {
+	for _, name := range []string{headerID, headerClass, headerSession, headerRemaining, headerLabels, headerResent, headerTenant} {
 		switch values := header(name); len(values) {
 		case 0:
 		case 1:
@@ -80,12 +80,12 @@
 	if req.Class == "" {
 		return nil, fmt.Errorf("header %s is missing", headerClass)
 	}
-	left, err := number(fields[headerLeft])
+	left, err := number(fields[headerRemaining])
 	if err != nil || left > maxLeft {
-		return nil, fmt.Errorf("header %s: %w", headerLeft, cmp.Or(err, errTooLong))
+		return nil, fmt.Errorf("header %s: %w", headerRemaining, cmp.Or(err, errTooLong))
 	}
 	req.Remaining = left * 1000
-	req.Session = gateway.Key(fields[headerSession])
+	req.Session = gateway.AffinityKey(fields[headerSession])
 	return req, labels(req, fields[headerLabels])
 }
 
@@ -96,13 +96,13 @@
 		var into *float64
 		switch name {
 		case "prefix":
-			req.Prefix = gateway.Key(value)
+			req.Prefix = gateway.AffinityKey(value)
 		case "prompt_len":
 			into = &req.PromptTokens
 		case "prefix_len":
 			into = &req.PrefixTokens
 		case "max_out":
-			into = &req.MaxOut
+			into = &req.MaxOutputTokens
 		}
 		if into != nil {
 			if *into, err = number(value); err != nil {
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -42,7 +42,7 @@
 			}()
 		}
 	}()
-	return ashwood.Server{ID: "r1", Kind: "reader", State: ashwood.StateOn, Address: l.Addr().String()}, got
+	return ashwood.Server{ID: "r1", Kind: "reader", State: ashwood.StateActive, Address: l.Addr().String()}, got
 }
 
 // What a client says of its request reaches the engine as it came: a key by which engines
@@ -61,27 +61,27 @@
 				t.Errorf("%s: %s reaches the engine as %q, want %q", front, name, h.Values(name), values)
 			}
 		}
-		if left, err := strconv.ParseFloat(h.Get(headerLeft), 64); err != nil || left <= 0 || left > 15 {
-			t.Errorf("%s: %s is %q", front, headerLeft, h.Get(headerLeft))
+		if left, err := strconv.ParseFloat(h.Get(headerRemaining), 64); err != nil || left <= 0 || left > 15 {
+			t.Errorf("%s: %s is %q", front, headerRemaining, h.Get(headerRemaining))
 		}
 	}
 	v, got := headers(t)
-	c := start(t, v)
-	io.WriteString(c, request("chat", extra, "{}"))
+	c := startAndDial(t, v)
+	io.WriteString(c, requestText("chat", extra, "{}"))
 	check("fasthttp", <-got)
 
 	v, got = headers(t)
 	log, clk := slog.New(slog.DiscardHandler), clock.System()
-	gw, err := gateway.New(settings(), 1, NewEngines(settings(), clk, 50), clk, log)
+	gw, err := gateway.New(testSettings(), 1, NewEngines(testSettings(), clk, 50), clk, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	gw.Update(ashwood.ListWhole, []ashwood.Server{v})
+	gw.UpdateMembership(ashwood.MembershipSnapshot, []ashwood.Server{v})
 	go gw.Run(t.Context())
 	host := httptest.NewServer(&NetHTTP{Handler: gw, Log: log})
 	defer host.Close()
 	nc := dial(t, host.Listener.Addr().String())
-	io.WriteString(nc, request("chat", extra, "{}"))
+	io.WriteString(nc, requestText("chat", extra, "{}"))
 	check("net/http", <-got)
 	nc.Close()
 }
@@ -99,13 +99,13 @@
 func TestAnAttemptTellsWhatIsLeftBehindItsConnect(t *testing.T) {
 	v, got := headers(t)
 	c := slowly{clock.NewManual(0)}
-	e := NewEngines(settings(), c, 9)
+	e := NewEngines(testSettings(), c, 9)
 	answer := attempt(t.Context(), e, v)
 	h := <-got
-	if left, err := strconv.ParseFloat(h.Get(headerLeft), 64); err != nil || left > 4.8 || left < 4 {
-		t.Errorf("told %q s of 5, although looks at the clock took at least 0.2", h.Get(headerLeft))
+	if left, err := strconv.ParseFloat(h.Get(headerRemaining), 64); err != nil || left > 4.8 || left < 4 {
+		t.Errorf("told %q s of 5, although looks at the clock took at least 0.2", h.Get(headerRemaining))
 	}
-	if a := <-answer; a.Status != ashwood.Parsed {
+	if a := <-answer; a.Status != ashwood.StatusPrefilled {
 		t.Errorf("ended as %v, %v", a.Status, a.Err)
 	}
 }
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -86,14 +86,14 @@
 
 // Yield has each answer close its connection, as Drain does, for as long as a newer
 // process takes clients on the same address.
-func (s *Server) Yield(on bool) { s.yielding.Store(on) }
+func (s *Server) DisableKeepAlives(on bool) { s.yielding.Store(on) }
 
 // Share says how many processes share the connections that the limit allows.
-func (s *Server) Share(processes int) { s.in.share(processes) }
+func (s *Server) SetProcesses(processes int) { s.in.share(processes) }
 
 // EndBy says how long requests may still be read, since the process ends. Those of which
 // a part has come get the error of a request that is not whole in time.
-func (s *Server) EndBy(left time.Duration) {
+func (s *Server) ExpireReadsAfter(left time.Duration) {
 	at := time.Now().Add(left)
 	s.in.readBy.Store(&at)
 	s.expiry.Store(time.AfterFunc(left, s.in.expire))
@@ -155,7 +155,7 @@
 			c.end()
 		}
 	default:
-		Answer(ctx, s.gw, frontName)
+		HandleFastHTTP(ctx, s.gw, frontName)
 	}
 	if s.draining.Load() || s.yielding.Load() {
 		ctx.SetConnectionClose()
@@ -176,7 +176,7 @@
 
 // Answer routes a request in the platform's form and answers it. A streamed
 // answer goes on after Answer has returned, for as long as it lasts.
-func Answer(ctx *fasthttp.RequestCtx, gw Handler, front string) {
+func HandleFastHTTP(ctx *fasthttp.RequestCtx, gw Handler, front string) {
 	req, err := parseRequest(&ctx.Request)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
@@ -185,7 +185,7 @@
 	}
 	req.Front = front
 	if addr, ok := netip.AddrFromSlice(ctx.RemoteIP()); ok {
-		req.Client = addr.Unmap()
+		req.ClientAddr = addr.Unmap()
 	}
 	client, gone := context.WithCancel(context.Background())
 	conn, _ := ctx.Conn().(*clientConn)
@@ -232,7 +232,7 @@
 		refuse(ctx, reply.RetryAfter)
 	case gateway.Failed:
 		ctx.Error(failedText(reply.Err), fasthttp.StatusBadGateway)
-	case gateway.Gone:
+	case gateway.ClientGone:
 		ctx.SetConnectionClose()
 		ctx.SetStatusCode(499)
 	}
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -34,8 +34,8 @@
 		{"Content-Length: 2\r\n", "Content-Length: 999999\r\n", "", 413},
 	}
 	for _, tt := range tests {
-		c := start(t)
-		r, body, _ := ask(t, c, strings.Replace(request("chat", "", "{}"), tt.old, tt.new, 1))
+		c := startAndDial(t)
+		r, body, _ := roundTrip(t, c, strings.Replace(requestText("chat", "", "{}"), tt.old, tt.new, 1))
 		if r.StatusCode != tt.code || !strings.Contains(body, tt.reason) {
 			t.Errorf("%q: %s, %q", tt.new, r.Status, body)
 		}
@@ -52,10 +52,10 @@
 // ones. They are served and told to close, and what runs at the end is finished.
 func TestDrainingServerTakesWhatComesAndFinishesIt(t *testing.T) {
 	writing, finish := make(chan struct{}, 9), make(chan struct{})
-	s, addr := serve(t, engine(t, "r1", "reader", reads), engine(t, "w1", "writer", writes(func(seen) string {
+	s, addr := serve(t, scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", scriptDecode(func(engineRequest) string {
 		writing <- struct{}{}
 		<-finish
-		return whole()
+		return fullStream()
 	})))
 	open := dial(t, addr)
 	s.Drain()
@@ -68,7 +68,7 @@
 	for _, c := range []net.Conn{open, dial(t, addr)} {
 		id := fmt.Sprintf("X-Txn: %p", c)
 		go func() {
-			r, body, err := ask(t, c, strings.Replace(request("order", "", "{}"), "X-Txn: 9b1f", id, 1))
+			r, body, err := roundTrip(t, c, strings.Replace(requestText("order", "", "{}"), "X-Txn: 9b1f", id, 1))
 			if err != nil {
 				t.Error(err)
 			}
@@ -91,13 +91,13 @@
 // nothing. A new client gets in, and no connection with a request is closed.
 func TestNewClientsGetInPastSilentConnections(t *testing.T) {
 	writing, finish := make(chan struct{}, 9), make(chan struct{})
-	s, addr := serve(t, engine(t, "r1", "reader", reads), engine(t, "w1", "writer", writes(func(seen) string {
+	s, addr := serve(t, scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", scriptDecode(func(engineRequest) string {
 		writing <- struct{}{}
 		<-finish
-		return whole()
+		return fullStream()
 	})))
 	busy := dial(t, addr)
-	io.WriteString(busy, request("order", "", "{}"))
+	io.WriteString(busy, requestText("order", "", "{}"))
 	<-writing
 	silent := dial(t, addr)
 	for range s.in.most {
@@ -110,9 +110,9 @@
 	for name, c := range map[string]net.Conn{"busy": busy, "new": dial(t, addr)} {
 		text := ""
 		if name == "new" {
-			text = strings.Replace(request("order", "", "{}"), "9b1f", "9b20", 1)
+			text = strings.Replace(requestText("order", "", "{}"), "9b1f", "9b20", 1)
 		}
-		if r, body, err := ask(t, c, text); r.StatusCode != 200 || err != nil {
+		if r, body, err := roundTrip(t, c, text); r.StatusCode != 200 || err != nil {
 			t.Errorf("%s: %s, %q, %v", name, r.Status, body, err)
 		}
 	}
@@ -123,7 +123,7 @@
 func TestRequestsThatNeverEndAreGivenUp(t *testing.T) {
 	_, addr := serve(t)
 	conns := []net.Conn{dial(t, addr), dial(t, addr), dial(t, addr)}
-	io.WriteString(conns[1], request("chat", "", "{}")[:200])
+	io.WriteString(conns[1], requestText("chat", "", "{}")[:200])
 	go func() {
 		for range time.Tick(50 * time.Millisecond) {
 			if _, err := io.WriteString(conns[2], "X"); err != nil {
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -16,52 +16,52 @@
 
 // stream is an engine's answer. Its bytes go on as they came; only the load
 // report in the comment at its end is read.
-type stream struct {
-	pool  *pool
-	c     *conn
-	body  io.Reader
-	stop  func() bool
-	buf   [4096]byte
-	begun []byte // up to the end of the first event, read but not passed on
-	tail  []byte // the last bytes seen, for the report
-	keep  bool
-	done  bool
+type engineStream struct {
+	pool          *connPool
+	conn          *engineConn
+	body          io.Reader
+	stopInterrupt func() bool
+	buf           [4096]byte
+	firstEvent    []byte // up to the end of the first event, read but not passed on
+	tail          []byte // the last bytes seen, for the report
+	reusable      bool
+	done          bool
 }
 
 const tailBytes = 512
 
-func (e *Engines) newStream(ctx context.Context, c *conn, head *fasthttp.ResponseHeader) *stream {
-	s := &stream{pool: e.pool, c: c, keep: !head.ConnectionClose()}
-	s.stop = c.endWith(ctx)
+func (e *Engines) newStream(ctx context.Context, c *engineConn, head *fasthttp.ResponseHeader) *engineStream {
+	s := &engineStream{pool: e.pool, conn: c, reusable: !head.ConnectionClose()}
+	s.stopInterrupt = c.interruptOnDone(ctx)
 	switch n := head.ContentLength(); {
 	case n == -1:
-		s.body = &chunks{br: c.br, begin: func() func() { return e.within(c, wholeWait) }}
+		s.body = &chunkedReader{reader: c.reader, startTimeout: func() func() { return e.startTimeout(c, completionTimeout) }}
 	case n >= 0:
-		s.body = &exactly{r: c.br, left: n}
+		s.body = &fixedLengthReader{reader: c.reader, remaining: n}
 	default:
-		s.body, s.keep = c.br, false
+		s.body, s.reusable = c.reader, false
 	}
 	return s
 }
 
 // exactly reads a body of a length that was told; less is a broken one.
-type exactly struct {
-	r    io.Reader
-	left int
+type fixedLengthReader struct {
+	reader    io.Reader
+	remaining int
 }
 
-func (b *exactly) Read(p []byte) (int, error) {
-	if b.left == 0 {
+func (b *fixedLengthReader) Read(p []byte) (int, error) {
+	if b.remaining == 0 {
 		return 0, io.EOF
 	}
-	n, err := b.r.Read(p[:min(len(p), b.left)])
-	b.left -= n
+	n, err := b.reader.Read(p[:min(len(p), b.remaining)])
+	b.remaining -= n
 	return n, unexpected(err)
 }
 
 // first reads the answer up to the end of its first event, which may come in pieces: until
 // that is whole nothing has been answered, and what breaks is an attempt.
-func (s *stream) first() error {
+func (s *engineStream) first() error {
 	var begun []byte
 	for {
 		piece, err := s.Next()
@@ -72,7 +72,7 @@
 		case err != nil && !errors.Is(err, io.EOF):
 			return err
 		case err != nil || bytes.Contains(begun, []byte("\n\n")) || bytes.Contains(begun, []byte("\r\n\r\n")):
-			s.begun = begun
+			s.firstEvent = begun
 			return nil
 		case len(begun) > maxChunk:
 			return fmt.Errorf("%w: an event does not end", errSpoilt)
@@ -81,9 +81,9 @@
 }
 
 // Next gives the next bytes of the answer.
-func (s *stream) Next() ([]byte, error) {
-	if piece := s.begun; piece != nil {
-		s.begun = nil
+func (s *engineStream) Next() ([]byte, error) {
+	if piece := s.firstEvent; piece != nil {
+		s.firstEvent = nil
 		return piece, nil
 	}
 	if s.done {
@@ -103,7 +103,7 @@
 }
 
 // Report is the load told at the stream's end.
-func (s *stream) Report() ashwood.Report {
+func (s *engineStream) Report() ashwood.Report {
 	_, line, ok := strings.Cut(string(s.tail), reportComment)
 	if !ok {
 		return nil
@@ -113,22 +113,22 @@
 }
 
 // abandon gives up an answer of which nothing has been passed on: another attempt may follow.
-func (s *stream) abandon() {
-	s.stop()
-	s.pool.abandon(s.c)
-	s.c = nil
+func (s *engineStream) abandon() {
+	s.stopInterrupt()
+	s.pool.abandon(s.conn)
+	s.conn = nil
 }
 
 // Close gives the connection back, or closes it to end the engine's work.
-func (s *stream) Close() error {
-	if s.c == nil {
+func (s *engineStream) Close() error {
+	if s.conn == nil {
 		return nil
 	}
-	if s.stop() && s.done && s.keep {
-		s.pool.put(s.c, streamRest)
+	if s.stopInterrupt() && s.done && s.reusable {
+		s.pool.put(s.conn, streamRest)
 	} else {
-		s.pool.discard(s.c)
+		s.pool.discard(s.conn)
 	}
-	s.c = nil
+	s.conn = nil
 	return nil
 }
--- a/internal/prefix/table.go
+++ b/internal/prefix/table.go
@@ -10,8 +10,8 @@
 
 // Key names a run: a beginning shared by sessions, or what follows it in one.
 type Key struct {
-	Hash uint64
-	Own  bool // of a session, not of a shared prefix
+	Hash       uint64
+	PerSession bool // of a session, not of a shared prefix
 }
 
 // Part is a run of a prompt's leading blocks.
@@ -21,12 +21,12 @@
 }
 
 // Held is what one server keeps, by run. A Table fills it.
-type Held map[Key]*list.Element
+type ServerRuns map[Key]*list.Element
 
 // run is an entry of the table.
 type run struct {
 	Part
-	held Held
+	held ServerRuns
 	sure int           // of its blocks, those of reads that have finished
 	uses float64       // prompts sent there that begin with it
 	at   time.Duration // last used
@@ -44,13 +44,13 @@
 
 // Len is the number of runs, Blocks that of their blocks, and Uses how often
 // prompts were sent to a server that begin with one of its shared runs.
-func (t *Table) Len() int      { return t.runs.Len() }
-func (t *Table) Blocks() int   { return t.blocks }
-func (t *Table) Uses() float64 { return t.uses }
+func (t *Table) Len() int           { return t.runs.Len() }
+func (t *Table) Blocks() int        { return t.blocks }
+func (t *Table) TotalUses() float64 { return t.uses }
 
 // Match counts the leading blocks of a prompt that a server holds, and those
 // that it surely holds.
-func (t *Table) Match(now time.Duration, held Held, prompt []Part) (blocks, sure int) {
+func (t *Table) Match(now time.Duration, held ServerRuns, prompt []Part) (blocks, sure int) {
 	for _, part := range prompt {
 		has := run{}
 		if e := held[part.Key]; e != nil && now-e.Value.(*run).at < t.Expiry {
@@ -68,7 +68,7 @@
 
 // Record notes that a server reads a prompt, or, for sure, that it has. What
 // has expired is dropped, so that the table does not grow with time.
-func (t *Table) Record(now time.Duration, held Held, prompt []Part, sure bool) {
+func (t *Table) Record(now time.Duration, held ServerRuns, prompt []Part, sure bool) {
 	for _, part := range prompt {
 		if part.Blocks == 0 {
 			continue
@@ -81,7 +81,7 @@
 		t.blocks += max(part.Blocks-e.Blocks, 0)
 		if e.Blocks, e.at = max(e.Blocks, part.Blocks), now; sure {
 			e.sure = max(e.sure, part.Blocks)
-		} else if !part.Own {
+		} else if !part.PerSession {
 			e.uses++
 			t.uses++
 		}
@@ -95,7 +95,7 @@
 }
 
 // Used is how many prompts were sent to a server that begin with a run.
-func (t *Table) Used(held Held, key Key) float64 {
+func (t *Table) UsesOf(held ServerRuns, key Key) float64 {
 	if e := held[key]; e != nil {
 		return e.Value.(*run).uses
 	}
@@ -103,7 +103,7 @@
 }
 
 // Void empties a server's runs that were last used before a time.
-func (t *Table) Void(held Held, before time.Duration) {
+func (t *Table) DropOlderThan(held ServerRuns, before time.Duration) {
 	for _, e := range held {
 		if e.Value.(*run).at < before {
 			t.forget(e)
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -47,9 +47,9 @@
 // EncodeAction gives the wire form of an action.
 func EncodeAction(a ashwood.Action) (any, error) {
 	switch a := a.(type) {
-	case ashwood.Attempt:
+	case ashwood.Send:
 		return command{Cmd: "RELAY", ID: a.ID, Engine: a.Server, Within: millis(a.Timeout)}, nil
-	case ashwood.Ahead:
+	case ashwood.Reserve:
 		return command{Cmd: "SET_ASIDE", ID: a.ID, Engine: a.Server}, nil
 	case ashwood.Release:
 		return command{Cmd: "UNHOLD", ID: a.ID}, nil
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -31,7 +31,7 @@
 	if !ok {
 		return nil, unknown(name, "form", *in.Form)
 	}
-	e := ashwood.Members{Form: form}
+	e := ashwood.MembershipUpdate{Form: form}
 	for _, r := range in.Records {
 		if err := require(name, field{"engine", r.Engine != nil}, field{"lifecycle", r.Lifecycle != nil}); err != nil {
 			return nil, err
@@ -48,13 +48,13 @@
 	return e, nil
 }
 
-var listForms = map[string]ashwood.ListForm{
-	"patch": ashwood.ListPatch, "whole": ashwood.ListWhole,
-	"stale_copy": ashwood.ListStale, "broken": ashwood.ListBroken,
+var listForms = map[string]ashwood.MembershipForm{
+	"patch": ashwood.MembershipDelta, "whole": ashwood.MembershipSnapshot,
+	"stale_copy": ashwood.MembershipStale, "broken": ashwood.MembershipFailed,
 }
 
 var states = map[string]ashwood.ServerState{
-	"on": ashwood.StateOn, "fading": ashwood.StateFading, "off": ashwood.StateOff,
+	"on": ashwood.StateActive, "fading": ashwood.StateDraining, "off": ashwood.StateRemoved,
 }
 
 // tenantName is a tenant's name; sites without tenants may write 0.
@@ -98,7 +98,7 @@
 	return ashwood.Request{
 		ID: *in.ID, Class: *in.Service, Tenant: string(in.Customer), Session: opt(in.Talk),
 		Prefix: opt(in.Prefix), PrefixTokens: opt(in.Shared), PromptTokens: opt(in.Prompt),
-		MaxOut: opt(in.Max), TimeLeft: in.Left.duration(), Retry: opt(in.Retry),
+		MaxOutputTokens: opt(in.Max), TimeLeft: in.Left.duration(), Retry: opt(in.Retry),
 	}, nil
 }
 
@@ -129,7 +129,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return ashwood.First{ID: *in.ID, Attempt: *in.Round, Server: *in.Engine, Latency: opt(in.Wait).duration()}, nil
+	return ashwood.AnswerStarted{ID: *in.ID, Attempt: *in.Round, Server: *in.Engine, Latency: opt(in.Wait).duration()}, nil
 }
 
 func decodeNote(raw []byte) (Message, error) {
@@ -144,14 +144,14 @@
 	if *in.Topic != 1 && *in.Topic != 2 {
 		return nil, unknown(name, "topic", fmt.Sprint(*in.Topic))
 	}
-	return ashwood.PlaceNote{ID: *in.ID, Attempt: *in.Round, Server: *in.Engine, Held: *in.Topic == 1}, nil
+	return ashwood.ReservationResult{ID: *in.ID, Attempt: *in.Round, Server: *in.Engine, Held: *in.Topic == 1}, nil
 }
 
 var statuses = map[string]ashwood.Status{
-	"served": ashwood.Served, "server_error": ashwood.ServerError, "turned_away": ashwood.TurnedAway,
-	"no_answer": ashwood.NoAnswer, "no_connection": ashwood.NoConnection,
-	"connection_lost": ashwood.ConnectionLost, "called_off": ashwood.CalledOff,
-	"not_sent": ashwood.NotSent, "parsed": ashwood.Parsed,
+	"served": ashwood.StatusServed, "server_error": ashwood.StatusServerError, "turned_away": ashwood.StatusRejected,
+	"no_answer": ashwood.StatusTimedOut, "no_connection": ashwood.StatusConnectFailed,
+	"connection_lost": ashwood.StatusConnectionLost, "called_off": ashwood.StatusCancelled,
+	"not_sent": ashwood.StatusNotSent, "parsed": ashwood.StatusPrefilled,
 }
 
 func decodeStatus(name string, in attemptLine) (ashwood.Status, error) {
@@ -176,8 +176,8 @@
 		return nil, err
 	}
 	return ashwood.Outcome{
-		ID: *in.ID, Attempt: *in.Round, Server: *in.Engine, Status: st, Done: opt(in.Done),
-		Note: opt(in.Note), Latency: opt(in.Wait).duration(), Report: report(in.Load),
+		ID: *in.ID, Attempt: *in.Round, Server: *in.Engine, Status: st, RequestDone: opt(in.Done),
+		Detail: opt(in.Note), Latency: opt(in.Wait).duration(), Report: report(in.Load),
 	}, nil
 }
 
@@ -190,7 +190,7 @@
 	if in.ID == nil {
 		return nil, missing(name, "tid")
 	}
-	return ashwood.Gone{ID: *in.ID}, nil
+	return ashwood.ClientDisconnected{ID: *in.ID}, nil
 }
 
 func decodeTimer(raw []byte) (Message, error) {
@@ -202,7 +202,7 @@
 	if in.KeyBack == nil {
 		return nil, missing(name, "key_back")
 	}
-	return ashwood.Timer{Token: *in.KeyBack}, nil
+	return ashwood.TimerFired{Token: *in.KeyBack}, nil
 }
 
 func decodeProbed(raw []byte) (Message, error) {
@@ -218,7 +218,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return ashwood.Probed{
+	return ashwood.ProbeResult{
 		Server: *in.Engine, Status: st, Latency: opt(in.Wait).duration(), Report: report(in.Load),
 	}, nil
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -65,9 +65,9 @@
 }
 
 var (
-	roles   = map[string]ashwood.Role{"read": ashwood.RoleRead, "write": ashwood.RoleWrite, "both": ashwood.RoleBoth}
+	roles   = map[string]ashwood.Role{"read": ashwood.RoleRead, "write": ashwood.RoleWrite, "both": ashwood.RoleMixed}
 	effects = map[string]ashwood.Effect{
-		"pure": ashwood.Pure, "token": ashwood.Token, "side_effect": ashwood.SideEffect,
+		"pure": ashwood.Pure, "token": ashwood.TokenEffect, "side_effect": ashwood.SideEffect,
 	}
 	scopes = map[string]ashwood.Scope{
 		"": ashwood.ScopeAll, "all": ashwood.ScopeAll, "zone": ashwood.ScopeZone, "cell": ashwood.ScopeCell,
@@ -178,18 +178,18 @@
 		Node: in.Number, Nodes: in.Siblings, Zone: in.Locality,
 		OverShareWorth: in.OverShare, WorthByWork: in.WorthBy == "work",
 		Subscribe: in.Discovery == "subscribe", Reports: mode, ReportFields: in.Report.Fields,
-		Ahead: in.Family.Ahead, WritersRead: in.Family.WritersRead, Resume: in.Family.Resume,
+		Reservations: in.Family.Ahead, DecodeCanPrefill: in.Family.WritersRead, Resume: in.Family.Resume,
 		Limits: ashwood.Limits{
-			MaxAttempts: in.Ceilings.Attempts, Cancel: in.Ceilings.Cancel, SecondCopies: in.Ceilings.Copies,
+			MaxAttempts: in.Ceilings.Attempts, Cancel: in.Ceilings.Cancel, Hedging: in.Ceilings.Copies,
 			Probes: in.Ceilings.Probes, RetryAfter: in.Ceilings.RetryAfter,
 			MaxRetryAfter:  in.Ceilings.MaxRetryAfter.duration(),
 			ConnectTimeout: in.Ceilings.Connect.duration(),
 			ConnIdle:       in.Ceilings.ConnIdle.duration(),
 		},
 		Rules: ashwood.Rules{
-			FallMultiple: in.Obligations.Multiple, FallWindow: in.Obligations.Fall.duration(),
-			ColdFrom: in.Obligations.Start, ColdTime: in.Obligations.Warm.duration(),
-			Release: in.Family.Release.duration(), AskWithin: in.Obligations.Ask.duration(),
+			SlowStartMultiple: in.Obligations.Multiple, SlowStartWindow: in.Obligations.Fall.duration(),
+			SlowStartCapacity: in.Obligations.Start, SlowStartDuration: in.Obligations.Warm.duration(),
+			ReleaseTimeout: in.Family.Release.duration(), ResubscribeWithin: in.Obligations.Ask.duration(),
 		},
 	}
 	for i, k := range in.Kinds {
--- a/internal/wire/targets.go
+++ b/internal/wire/targets.go
@@ -10,12 +10,12 @@
 // Targets is a list of engines, or of changes to it, in discovery's form.
 type Targets struct {
 	Generation int64
-	Whole      bool // all engines, not changed ones alone
+	Snapshot   bool // all engines, not changed ones alone
 	Engines    []ashwood.Server
 }
 
 var lifecycles = map[string]ashwood.ServerState{
-	"up": ashwood.StateOn, "draining": ashwood.StateFading, "removed": ashwood.StateOff,
+	"up": ashwood.StateActive, "draining": ashwood.StateDraining, "removed": ashwood.StateRemoved,
 }
 
 // DecodeTargets reads a list in discovery's form. An engine's id is the same
@@ -42,7 +42,7 @@
 	if in.Generation == nil {
 		return Targets{}, missing(name, "generation")
 	}
-	t := Targets{Generation: *in.Generation, Whole: in.Reset}
+	t := Targets{Generation: *in.Generation, Snapshot: in.Reset}
 	for i, e := range in.Instances {
 		at := func(key string) string { return fmt.Sprintf("instances[%d].%s", i, key) }
 		err := require(name, field{at("instanceId"), e.ID != nil}, field{at("hostPort"), e.HostPort != nil},
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -20,32 +20,32 @@
 	}{
 		{`{"cmd":"STOP"}`, Stop{}},
 		{`{"cmd":"DATAGRAM","by":2,"content":"aGkgNw=="}`, nil},
-		{`{"cmd":"HANGUP","tid":"q","extra":1}`, ashwood.Gone{ID: "q"}},
-		{`{"cmd":"RING","key_back":77}`, ashwood.Timer{Token: 77}},
-		{`{"cmd":"SYNC","form":"broken","generation":null,"records":null}`, ashwood.Members{Form: ashwood.ListBroken}},
+		{`{"cmd":"HANGUP","tid":"q","extra":1}`, ashwood.ClientDisconnected{ID: "q"}},
+		{`{"cmd":"RING","key_back":77}`, ashwood.TimerFired{Token: 77}},
+		{`{"cmd":"SYNC","form":"broken","generation":null,"records":null}`, ashwood.MembershipUpdate{Form: ashwood.MembershipFailed}},
 		{`{"cmd":"SYNC","form":"patch","records":[{"engine":"s:1","region_part":"a","type":"k","bay":3,` +
 			`"lifecycle":"fading","weight":1.5,"start_time":6100.5}]}`,
-			ashwood.Members{Form: ashwood.ListPatch, Entries: []ashwood.Server{{ID: "s:1", Zone: "a", Kind: "k",
-				Cell: 3, State: ashwood.StateFading, Weight: 1.5, Started: 6100500 * time.Microsecond}}}},
+			ashwood.MembershipUpdate{Form: ashwood.MembershipDelta, Entries: []ashwood.Server{{ID: "s:1", Zone: "a", Kind: "k",
+				Cell: 3, State: ashwood.StateDraining, Weight: 1.5, Started: 6100500 * time.Microsecond}}}},
 		{`{"cmd":"CALL","tid":"q","talk":9,"again":false,"customer":"t","estimate":null,"shared_len":120,` +
 			`"time_left":240.25,"shared_prefix":8,"again_by_client":true,"prompt_tokens":180,"n_max":25,"service":"c"}`,
 			ashwood.Request{ID: "q", Class: "c", Tenant: "t", Session: 9, Prefix: 8, PrefixTokens: 120,
-				PromptTokens: 180, MaxOut: 25, TimeLeft: 240250 * time.Microsecond, Retry: true}},
+				PromptTokens: 180, MaxOutputTokens: 25, TimeLeft: 240250 * time.Microsecond, Retry: true}},
 		{`{"cmd":"CALL","tid":"q","customer":0,"time_left":1,"service":"c"}`,
 			ashwood.Request{ID: "q", Class: "c", TimeLeft: ms1}},
 		{`{"cmd":"HEAD_RECEIVED","tid":"q","round_no":1,"engine":"s","wait_time":9.25}`,
-			ashwood.First{ID: "q", Attempt: 1, Server: "s", Latency: 9250 * time.Microsecond}},
+			ashwood.AnswerStarted{ID: "q", Attempt: 1, Server: "s", Latency: 9250 * time.Microsecond}},
 		{`{"cmd":"PLACE_NOTE","tid":"q","round_no":0,"engine":"s","topic":1,"level":0}`,
-			ashwood.PlaceNote{ID: "q", Server: "s", Held: true}},
+			ashwood.ReservationResult{ID: "q", Server: "s", Held: true}},
 		{`{"cmd":"PLACE_NOTE","tid":"q","round_no":0,"engine":"s","topic":2,"level":0}`,
-			ashwood.PlaceNote{ID: "q", Server: "s"}},
+			ashwood.ReservationResult{ID: "q", Server: "s"}},
 		{`{"cmd":"FINISHED","tid":"q","done_flag":true,"note":64,"round_no":2,"engine":"s","wait_time":18.5,` +
 			`"disposition":"parsed","load":{"busy_reqs":7,"x0":0.4,"new_key":1,"pending":null}}`,
-			ashwood.Outcome{ID: "q", Attempt: 2, Server: "s", Status: ashwood.Parsed, Done: true, Note: 64,
+			ashwood.Outcome{ID: "q", Attempt: 2, Server: "s", Status: ashwood.StatusPrefilled, RequestDone: true, Detail: 64,
 				Latency: 18500 * time.Microsecond,
 				Report:  ashwood.Report{ashwood.ReportInFlight: 7, ashwood.ReportMemory: 0.4}}},
 		{`{"cmd":"CHECKED","disposition":"no_answer","engine":"s","wait_time":250,"load":null}`,
-			ashwood.Probed{Server: "s", Status: ashwood.NoAnswer, Latency: 250 * ms1}},
+			ashwood.ProbeResult{Server: "s", Status: ashwood.StatusTimedOut, Latency: 250 * ms1}},
 	}
 	for _, tt := range tests {
 		got, err := decodeMessage([]byte(tt.in))
@@ -79,17 +79,17 @@
 	got, err := decodeMessage([]byte(in))
 	want := &Start{Seed: 5, Settings: ashwood.Settings{
 		Node: 1, Nodes: 2, Zone: "a", OverShareWorth: 0.1, WorthByWork: true, Subscribe: true,
-		Reports: ashwood.ReportProbe, ReportFields: []string{"x0"}, Ahead: true, WritersRead: true, Resume: true,
+		Reports: ashwood.ReportProbe, ReportFields: []string{"x0"}, Reservations: true, DecodeCanPrefill: true, Resume: true,
 		Kinds: []ashwood.Kind{{Name: "r", Role: ashwood.RoleRead, MemoryTokens: 10},
-			{Name: "w", Role: ashwood.RoleBoth, MemoryTokens: 20}},
+			{Name: "w", Role: ashwood.RoleMixed, MemoryTokens: 20}},
 		Classes: []ashwood.Class{{Name: "c", Aim: time.Second, Deadline: 5 * time.Second, Worth: 2, LateShare: 0.3,
-			Effect: ashwood.Token, Group: ashwood.ScopeZone, Window: 4 * time.Second, TokenAim: 50 * ms1,
+			Effect: ashwood.TokenEffect, Group: ashwood.ScopeZone, Window: 4 * time.Second, TokenAim: 50 * ms1,
 			AimPer1K: 60 * ms1}},
 		Tenants: []ashwood.Tenant{{Name: "t", Share: 0.5, QuotaPerSec: 7}},
-		Limits: ashwood.Limits{MaxAttempts: 4, Cancel: true, SecondCopies: true, Probes: true, RetryAfter: true,
+		Limits: ashwood.Limits{MaxAttempts: 4, Cancel: true, Hedging: true, Probes: true, RetryAfter: true,
 			MaxRetryAfter: 2 * time.Second, ConnectTimeout: 250 * ms1},
-		Rules: ashwood.Rules{FallMultiple: 3, FallWindow: 1500 * ms1, ColdFrom: 0.26, ColdTime: 14 * time.Second,
-			Release: 500 * ms1, AskWithin: 10 * time.Second},
+		Rules: ashwood.Rules{SlowStartMultiple: 3, SlowStartWindow: 1500 * ms1, SlowStartCapacity: 0.26, SlowStartDuration: 14 * time.Second,
+			ReleaseTimeout: 500 * ms1, ResubscribeWithin: 10 * time.Second},
 	}}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v, %v\nwant %+v", got, err, want)
@@ -138,9 +138,9 @@
 		in   ashwood.Action
 		want string
 	}{
-		{ashwood.Attempt{ID: "q", Server: "s", Timeout: 80500 * time.Microsecond},
+		{ashwood.Send{ID: "q", Server: "s", Timeout: 80500 * time.Microsecond},
 			`{"cmd":"RELAY","tid":"q","engine":"s","within":80.5}`},
-		{ashwood.Ahead{ID: "q", Server: "s"}, `{"cmd":"SET_ASIDE","tid":"q","engine":"s"}`},
+		{ashwood.Reserve{ID: "q", Server: "s"}, `{"cmd":"SET_ASIDE","tid":"q","engine":"s"}`},
 		{ashwood.Release{ID: "q"}, `{"cmd":"UNHOLD","tid":"q"}`},
 		{ashwood.Cancel{ID: "q"}, `{"cmd":"REVOKE","tid":"q","round_no":0}`},
 		{ashwood.Refuse{ID: "q"}, `{"cmd":"PUSH_BACK","tid":"q","pause":0}`},
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -64,7 +64,7 @@
 	cfg    Config
 	clock  clock.Clock
 	log    *slog.Logger
-	update func(ashwood.ListForm, []ashwood.Server)
+	update func(ashwood.MembershipForm, []ashwood.Server)
 
 	versions  map[string]string // last accepted, by type
 	clusters  map[string]cluster
@@ -79,7 +79,7 @@
 }
 
 // New makes a client that tells update of each change, as a whole list.
-func New(cfg Config, c clock.Clock, log *slog.Logger, update func(ashwood.ListForm, []ashwood.Server)) *Client {
+func New(cfg Config, c clock.Clock, log *slog.Logger, update func(ashwood.MembershipForm, []ashwood.Server)) *Client {
 	return &Client{
 		cfg: cfg, clock: c, log: log, update: update, versions: map[string]string{},
 		clusters: map[string]cluster{}, endpoints: map[string][]*endpointv3.LocalityLbEndpoints{},
@@ -201,7 +201,7 @@
 		c.clusters, c.endpoints = clusters, endpoints
 		return err
 	}
-	c.update(ashwood.ListWhole, list)
+	c.update(ashwood.MembershipSnapshot, list)
 	return nil
 }
 
@@ -338,9 +338,9 @@
 func state(h corev3.HealthStatus) ashwood.ServerState {
 	switch h {
 	case corev3.HealthStatus_DRAINING:
-		return ashwood.StateFading
+		return ashwood.StateDraining
 	case corev3.HealthStatus_UNHEALTHY, corev3.HealthStatus_TIMEOUT:
-		return ashwood.StateOff
+		return ashwood.StateRemoved
 	}
-	return ashwood.StateOn
+	return ashwood.StateActive
 }
--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -113,7 +113,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c := New(Config{Server: l.Addr().String(), Node: "n", Credentials: insecure.NewCredentials()}, clock.System(), slog.New(slog.DiscardHandler),
-		func(_ ashwood.ListForm, list []ashwood.Server) { lists <- list })
+		func(_ ashwood.MembershipForm, list []ashwood.Server) { lists <- list })
 	go c.Run(ctx)
 	k := <-m.streams
 	same := func(what string, want, got any) {
@@ -133,18 +133,18 @@
 		load("writers", endpoint(2, corev3.HealthStatus_UNKNOWN, nil), endpoint(3, corev3.HealthStatus_UNHEALTHY, nil)))
 	same("accepted", asked{Type: typeEndpoint, Version: "1", Nonce: "b", Names: "readers writers "}, k.next(t))
 	reader := ashwood.Server{ID: "s-1", Address: "127.0.0.9:1", Kind: "prefill", Zone: "glenorchy", Cell: 7,
-		State: ashwood.StateOn, Weight: 3, Started: 2500 * time.Millisecond}
+		State: ashwood.StateActive, Weight: 3, Started: 2500 * time.Millisecond}
 	writer := func(addr string, state ashwood.ServerState) ashwood.Server {
 		return ashwood.Server{ID: ashwood.ServerID(addr), Address: addr, Kind: "decode-a", Zone: "glenorchy", Cell: 4, State: state, Weight: 3}
 	}
-	same("list", []ashwood.Server{reader, writer("127.0.0.9:2", ashwood.StateOn), writer("127.0.0.9:3", ashwood.StateOff)}, <-lists)
+	same("list", []ashwood.Server{reader, writer("127.0.0.9:2", ashwood.StateActive), writer("127.0.0.9:3", ashwood.StateRemoved)}, <-lists)
 
 	// A bad update is rejected whole, the list in hand stays; a later good one counts.
 	k.tell(t, typeEndpoint, "2", "c", load("writers", endpoint(0, corev3.HealthStatus_HEALTHY, nil)))
 	same("rejected", asked{typeEndpoint, "1", "c", "readers writers ", true}, k.next(t))
 	k.tell(t, typeEndpoint, "3", "d", load("writers", endpoint(2, corev3.HealthStatus_DRAINING, nil)))
 	same("accepted", asked{Type: typeEndpoint, Version: "3", Nonce: "d", Names: "readers writers "}, k.next(t))
-	same("draining", []ashwood.Server{reader, writer("127.0.0.9:2", ashwood.StateFading)}, <-lists)
+	same("draining", []ashwood.Server{reader, writer("127.0.0.9:2", ashwood.StateDraining)}, <-lists)
 
 	// A new stream goes on from the versions in hand.
 	close(k.end)
--- a/lab/load/http.go
+++ b/lab/load/http.go
@@ -122,7 +122,7 @@
 		switch {
 		case !told.Load():
 		case ctx.Err() != nil:
-			out.Answer = rules.Left
+			out.Answer = rules.ClientLeft
 		case !inTime || errors.Is(context.Cause(tctx), errTimeout):
 			out.Answer = rules.Timeout
 		default:
@@ -140,7 +140,7 @@
 			out.RetryAfter = s * 1000
 		}
 	default:
-		out.Answer = rules.Error
+		out.Answer = rules.Failure
 	}
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody)) // for the connection to be used again
 	return out
@@ -173,7 +173,7 @@
 		out.Answer = rules.Served
 		out.Spoilt = "an answer that is not whole ended with the last chunk"
 	case errors.Is(context.Cause(ctx), context.Canceled):
-		out.Answer = rules.Left
+		out.Answer = rules.ClientLeft
 	default:
 		out.Answer = rules.Broken
 	}
@@ -222,7 +222,7 @@
 
 func (c *checker) add(text string) {
 	n := len(text) / 4
-	if want := engine.Text(c.id, c.tokens, n); text != want && c.spoilt == "" {
+	if want := engine.AnswerText(c.id, c.tokens, n); text != want && c.spoilt == "" {
 		c.spoilt = fmt.Sprintf("tokens from %d on are %.24q, the engine sent %.24q", c.tokens, text, want)
 	}
 	c.tokens += n
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -44,9 +44,9 @@
 
 // Watch is told of each try; rules.Checker is one.
 type Watch interface {
-	Asked(at float64, id, class string, sideEffect bool, gateway int)
-	Answered(at float64, id string, a rules.Answer)
-	Spoilt(at float64, id, what string)
+	RequestSent(at float64, id, class string, sideEffect bool, gateway int)
+	RequestAnswered(at float64, id string, a rules.Answer)
+	AnswerCorrupted(at float64, id, what string)
 }
 
 // Runner sends a plan's load.
@@ -115,15 +115,15 @@
 			stop = r.Clock.AfterFunc(left*rng.Float64(), cancel)
 		}
 		out := r.Clients[gateway].Do(tctx, t, func() {
-			r.Watch.Asked(r.Clock.Now(), t.ID, class.Name, class.Effect == "side_effect", gateway)
+			r.Watch.RequestSent(r.Clock.Now(), t.ID, class.Name, class.Effect == "side_effect", gateway)
 		})
 		stop()
 		cancel()
 		if out.Answer != "" {
-			r.Watch.Answered(out.End, t.ID, out.Answer)
+			r.Watch.RequestAnswered(out.End, t.ID, out.Answer)
 		}
 		if out.Spoilt != "" {
-			r.Watch.Spoilt(out.End, t.ID, out.Spoilt)
+			r.Watch.AnswerCorrupted(out.End, t.ID, out.Spoilt)
 		}
 		res.Tokens, res.Total = out.Tokens, out.End-due
 		if out.First > 0 {
@@ -139,7 +139,7 @@
 			res.Kind, again = Timeout, class.Effect != "side_effect"
 		case rules.Broken:
 			res.Kind = Broken
-		case rules.Left:
+		case rules.ClientLeft:
 			res.Kind = Left
 		default: // failed, dropped, or no gateway there
 			res.Kind, again = Failed, out.Answer == "" || class.Effect != "side_effect"
--- a/lab/rehearse/gateways.go
+++ b/lab/rehearse/gateways.go
@@ -137,13 +137,13 @@
 func (l launch) configure(n int, name string) (path string, err error) {
 	type object = map[string]any
 	var known []object
-	for _, b := range l.em.Boxes(n) {
+	for _, b := range l.em.Engines(n) {
 		known = append(known, object{
 			"instanceId": b.ID, "hostPort": b.HTTP, "zone": b.Zone, "machineType": b.Kind, "cell": b.Cell, "lifecycle": "up", "weight": 1, "startedAtMs": 0,
 		})
 	}
 	raw, err := json.Marshal(object{
-		"name": name, "listen": "127.0.0.1:0", "discovery": l.em.Discovery(n), "seed": strconv.FormatUint(l.plan.Seed+uint64(n), 16),
+		"name": name, "listen": "127.0.0.1:0", "discovery": l.em.DiscoveryAddr(n), "seed": strconv.FormatUint(l.plan.Seed+uint64(n), 16),
 		"limits":   object{"cores": l.limits.Cores, "memory_mb": l.limits.MemoryMB, "sockets": l.limits.Sockets},
 		"known":    object{"generation": 1, "reset": true, "instances": known},
 		"settings": l.plan.Settings(n),
@@ -161,7 +161,7 @@
 // operator writes the operator's file that sets up a gateway's gRPC front.
 func (l launch) operator(n int, name string) (path string, err error) {
 	var boxes []map[string]any
-	for _, b := range l.em.Boxes(n) {
+	for _, b := range l.em.Engines(n) {
 		boxes = append(boxes, map[string]any{"id": b.ID, "address": b.GRPC, "kind": b.Kind, "zone": b.Zone, "cell": b.Cell})
 	}
 	path = filepath.Join(l.dir, name+".toml")
--- a/lab/rehearse/rehearse.go
+++ b/lab/rehearse/rehearse.go
@@ -37,20 +37,20 @@
 
 // Report is all that a rehearsal found.
 type Report struct {
-	Scenario string         `json:"scenario"`
-	Seed     uint64         `json:"seed"`
-	Gateways int            `json:"gateways"`
-	Boxes    int            `json:"boxes"`
-	Wire     string         `json:"wire"`
-	LengthS  float64        `json:"length_s"`
-	Summary  *load.Summary  `json:"summary"`
-	Counts   rules.Counts   `json:"counts"`
-	Breaks   []rules.Break  `json:"breaks"`
-	Crashes  []string       `json:"crashes"`
-	Held     int            `json:"held_at_end"`
-	Emulator emulator.Stats `json:"emulator"`
-	Usage    []Usage        `json:"gateways_used"`
-	Own      Usage          `json:"lab_used"` // by the emulator and the load
+	Scenario string            `json:"scenario"`
+	Seed     uint64            `json:"seed"`
+	Gateways int               `json:"gateways"`
+	Boxes    int               `json:"boxes"`
+	Wire     string            `json:"wire"`
+	LengthS  float64           `json:"length_s"`
+	Summary  *load.Summary     `json:"summary"`
+	Counts   rules.Counts      `json:"counts"`
+	Breaks   []rules.Violation `json:"breaks"`
+	Crashes  []string          `json:"crashes"`
+	Held     int               `json:"held_at_end"`
+	Emulator emulator.Stats    `json:"emulator"`
+	Usage    []Usage           `json:"gateways_used"`
+	Own      Usage             `json:"lab_used"` // by the emulator and the load
 	begun    float64
 }
 
@@ -84,7 +84,7 @@
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
 	c := clock.System()
-	em, err := emulator.New(emulator.Config{Plan: plan, GRPC: opt.GRPC, Unlisted: opt.GRPC, Rules: opt.Rules, Clock: c, Log: opt.Log})
+	em, err := emulator.New(emulator.Config{Plan: plan, GRPC: opt.GRPC, StaticMembership: opt.GRPC, Rules: opt.Rules, Clock: c, Log: opt.Log})
 	if err != nil {
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
@@ -110,26 +110,26 @@
 		return nil, err
 	}
 	list := load.Draw(plan)
-	rep = &Report{Scenario: s.Name, Seed: s.Seed, Gateways: s.Gateways, Boxes: len(plan.Engine.Boxes), Wire: "http/1.1", LengthS: s.LengthS}
+	rep = &Report{Scenario: s.Name, Seed: s.Seed, Gateways: s.Gateways, Boxes: len(plan.Engine.Engines), Wire: "http/1.1", LengthS: s.LengthS}
 	if opt.GRPC {
 		rep.Wire = "grpc"
 	}
-	if err := em.Begin(); err != nil {
+	if err := em.Start(); err != nil {
 		stop(gateways)
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
-	rep.begun = em.Began()
+	rep.begun = em.StartedAt()
 	runner := load.Runner{Plan: plan, Clients: clients, Clock: c, Watch: em.Rules(), Progress: progress(opt, em, c, len(list), s.LengthS)}
-	_, rep.Summary = runner.Run(ctx, em.Began(), list)
+	_, rep.Summary = runner.Run(ctx, em.StartedAt(), list)
 	for _, client := range clients {
 		client.Close()
 	}
 	waitIdle(em)
 	rep.Crashes = stop(gateways)
-	rep.Held = em.Held()
-	rep.Counts, rep.Breaks, rep.Emulator = em.Rules().Counts(), em.Rules().Breaks(), em.Stats()
+	rep.Held = em.HoldCount()
+	rep.Counts, rep.Breaks, rep.Emulator = em.Rules().Counts(), em.Rules().Violations(), em.Stats()
 	for _, m := range rep.Emulator.Malformed {
-		rep.Breaks = append(rep.Breaks, rules.Break{Rule: rules.Unchanged, Text: "a box could not read a request: " + m})
+		rep.Breaks = append(rep.Breaks, rules.Violation{Rule: rules.Unchanged, Text: "a box could not read a request: " + m})
 	}
 	rep.Own = ownUsage()
 	for _, g := range gateways {
@@ -184,7 +184,7 @@
 		if now := c.Now(); now-last >= 1000 {
 			last = now
 			opt.Progress(Progress{
-				Seconds: (now - em.Began()) / 1000, Length: length, Sent: sent, Done: done, All: all, Breaks: len(em.Rules().Breaks()),
+				Seconds: (now - em.StartedAt()) / 1000, Length: length, Sent: sent, Done: done, All: all, Breaks: len(em.Rules().Violations()),
 			})
 		}
 	}
@@ -192,7 +192,7 @@
 
 // waitIdle gives the gateways time to let go of what they hold.
 func waitIdle(em *emulator.Emulator) {
-	for until := time.Now().Add(settleWait); em.Held() > 0 && time.Now().Before(until); {
+	for until := time.Now().Add(settleWait); em.HoldCount() > 0 && time.Now().Before(until); {
 		time.Sleep(20 * time.Millisecond)
 	}
 }
--- a/lab/rehearse/rehearse_test.go
+++ b/lab/rehearse/rehearse_test.go
@@ -37,7 +37,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rep, err := Run(context.Background(), Options{Scenario: s, Program: program, GRPC: grpc, Rules: rules.Patient()})
+		rep, err := Run(context.Background(), Options{Scenario: s, Program: program, GRPC: grpc, Rules: rules.RelaxedLimits()})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/lab/scenario/compile.go
+++ b/lab/scenario/compile.go
@@ -44,7 +44,7 @@
 	p.Engine.Classes = nil
 	for _, c := range s.Load.Classes {
 		p.Engine.Classes = append(p.Engine.Classes, engine.Class{
-			Name: c.Name, ReadTokens: c.NewTokens + 0.15*c.PrefixTokens, OutTokens: c.OutTokens, OutSigma: c.OutSigma,
+			Name: c.Name, PrefillTokens: c.NewTokens + 0.15*c.PrefixTokens, OutputTokens: c.OutTokens, OutputSigma: c.OutSigma,
 		})
 	}
 	known := map[string]engine.Kind{}
@@ -79,7 +79,7 @@
 		switch k.Role {
 		case "":
 			return out, fmt.Errorf("role: it is missing, and %q is no kind with defaults", k.Name)
-		case string(engine.Reads):
+		case string(engine.RolePrefill):
 			out = known["prefill"]
 		default:
 			out = known["decode-a"]
@@ -89,16 +89,16 @@
 		return out, fmt.Errorf("role: %q has another role", k.Name)
 	}
 	set(&out.Slots, k.Slots)
-	set(&out.Queue, k.Queue)
+	set(&out.MaxQueue, k.Queue)
 	set(&out.MemoryTokens, k.MemoryTokens)
-	set(&out.ReadPerS, k.ReadPerS)
+	set(&out.PrefillPerS, k.ReadPerS)
 	set(&out.StepMs, k.StepMs)
 	set(&out.PerSeqMs, k.PerSeqMs)
 	set(&out.Speed, k.Speed)
 	set(&out.SpeedCV, k.SpeedCV)
-	set(&out.ColdFrom, k.ColdFrom)
-	set(&out.ColdMs, k.ColdMs)
-	set(&out.Conns, k.Conns)
+	set(&out.ColdCapacity, k.ColdFrom)
+	set(&out.WarmUpMs, k.ColdMs)
+	set(&out.MaxConns, k.Conns)
 	set(&out.DropExpired, k.DropExpired)
 	set(&out.ErrorRate, k.ErrorRate)
 	if k.Cancel != nil {
@@ -126,7 +126,7 @@
 		for i := range k.Count {
 			cell := at % cells
 			at++
-			p.Engine.Boxes = append(p.Engine.Boxes, engine.BoxSpec{
+			p.Engine.Engines = append(p.Engine.Engines, engine.Spec{
 				ID: fmt.Sprintf("%s-%d", k.Name, i+1), Kind: k.Name, Zone: p.Fleet.Zones[cell%len(p.Fleet.Zones)], Cell: cell,
 			})
 		}
@@ -149,7 +149,7 @@
 	}
 	boxes := f.Boxes
 	if len(boxes) == 0 {
-		for _, b := range p.Engine.Boxes {
+		for _, b := range p.Engine.Engines {
 			if (f.OfKind == "" || b.Kind == f.OfKind) && (f.OfZone == "" || b.Zone == f.OfZone) && (f.OfCell == nil || b.Cell == *f.OfCell) {
 				boxes = append(boxes, b.ID)
 			}
@@ -170,13 +170,13 @@
 		}
 	}
 	p.Boxes = append(p.Boxes, engine.Fault{
-		Kind: engine.FaultKind(f.Kind), Boxes: boxes, At: w.From, Len: w.To - w.From, Factor: f.Factor,
+		Kind: engine.FaultKind(f.Kind), Engines: boxes, Start: w.From, Duration: w.To - w.From, Factor: f.Factor,
 	})
 	return nil
 }
 
 func (p *Plan) has(id string) bool {
-	for _, b := range p.Engine.Boxes {
+	for _, b := range p.Engine.Engines {
 		if b.ID == id {
 			return true
 		}
@@ -203,7 +203,7 @@
 	}
 	coldest, longest := 1.0, 0.0
 	for _, k := range p.Engine.Kinds {
-		coldest, longest = min(coldest, k.ColdFrom), max(longest, k.ColdMs)
+		coldest, longest = min(coldest, k.ColdCapacity), max(longest, k.WarmUpMs)
 	}
 	return map[string]any{
 		"siblings": p.Gateways, "my_number": gateway, "locality": p.Zone(gateway), "localities": p.Fleet.Zones,
--- a/membership.go
+++ b/membership.go
@@ -9,30 +9,30 @@
 
 // enter takes in an entry of the server list. A server that is not on gets nothing more from
 // this moment (rule 3).
-func (s *Scheduler) enter(entry Server) {
+func (s *Scheduler) applyEntry(entry Server) {
 	v := s.servers[entry.ID]
 	if v == nil {
 		v = newServer(entry.ID)
-		s.servers[entry.ID], s.order = v, append(s.order, v)
+		s.servers[entry.ID], s.sortedServers = v, append(s.sortedServers, v)
 	}
 	if entry.Started > v.Started {
-		s.restart(v)
+		s.resetServer(v)
 	}
-	if s.zones[entry.Zone] == nil {
-		s.zones[entry.Zone] = &health{}
+	if s.zonePaths[entry.Zone] == nil {
+		s.zonePaths[entry.Zone] = &health{}
 	}
-	v.Server, v.path, v.listed = entry, s.zones[entry.Zone], entry.State == StateOn
+	v.Server, v.zonePath, v.active = entry, s.zonePaths[entry.Zone], entry.State == StateActive
 	if kind, known := s.kinds[entry.Kind]; known {
-		v.role, v.memory = kind.Role, max(kind.MemoryTokens, 1)
+		v.role, v.memoryTokens = kind.Role, max(kind.MemoryTokens, 1)
 	}
-	v.listed = v.listed && v.role != 0
+	v.active = v.active && v.role != 0
 }
 
 // restart empties what was known of a server that has started anew: its record, its load and the
 // blocks that it kept. Where this node stands among those that share its slow start is drawn.
-func (s *Scheduler) restart(v *server) {
-	v.health, v.ratio, v.pausedUntil, v.report, v.done = health{}, 1, 0, nil, trend.Rate{}
-	v.sends, v.since, v.phase = nil, s.now, s.rng.Float64()
-	v.credit = slowstart.NewCredit(s.now, v.phase)
-	s.table.Void(v.runs, s.now+1)
+func (s *Scheduler) resetServer(v *trackedServer) {
+	v.health, v.latencyRatio, v.pausedUntil, v.report, v.warmThroughput = health{}, 1, 0, nil, trend.Rate{}
+	v.slowStartSends, v.restartedAt, v.slowStartPhase = nil, s.now, s.rng.Float64()
+	v.slowStartCredit = slowstart.NewCredit(s.now, v.slowStartPhase)
+	s.prefixTable.DropOlderThan(v.prefixRuns, s.now+1)
 }
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -32,7 +32,7 @@
 // given.
 func Fiber(h Handler) fiber.Handler {
 	return func(c fiber.Ctx) error {
-		platform.Answer(c.RequestCtx(), h, FrontFiber)
+		platform.HandleFastHTTP(c.RequestCtx(), h, FrontFiber)
 		return nil
 	}
 }
@@ -41,7 +41,7 @@
 // Without it, a client that leaves before its first token is not noticed, and
 // one that never sends a whole request is waited for. A connection's first
 // request has two seconds; the application's ReadTimeout bounds later ones.
-func Listener(l net.Listener) net.Listener { return platform.Listener(l) }
+func Listener(l net.Listener) net.Listener { return platform.WrapListener(l) }
 
 // HTTP is a handler for net/http. It answers every request that it is given. The
 // log is for what goes wrong beside the answers; nil for none.
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -27,7 +27,7 @@
 func engine(t *testing.T, kind string, h http.HandlerFunc) ashwood.Server {
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
-	return ashwood.Server{ID: ashwood.ServerID(kind), Kind: kind, State: ashwood.StateOn, Address: strings.TrimPrefix(s.URL, "http://")}
+	return ashwood.Server{ID: ashwood.ServerID(kind), Kind: kind, State: ashwood.StateActive, Address: strings.TrimPrefix(s.URL, "http://")}
 }
 
 func route(t *testing.T, list []ashwood.Server) *router.Router {
--- a/outcomes.go
+++ b/outcomes.go
@@ -7,30 +7,30 @@
 )
 
 // placeNote tries the next roomiest writer once when a place is refused.
-func (s *Scheduler) placeNote(e PlaceNote) {
-	r := s.reqs[e.ID]
-	if r == nil || r.done || r.ahead == nil || r.ahead.ID != e.Server {
+func (s *Scheduler) handleReservationResult(e ReservationResult) {
+	r := s.requests[e.ID]
+	if r == nil || r.done || r.reservation == nil || r.reservation.ID != e.Server {
 		return
 	}
-	if r.held = e.Held; e.Held {
+	if r.reservationHeld = e.Held; e.Held {
 		return
 	}
-	r.tried[r.ahead], r.ahead = true, nil
-	if r.asked < 2 && r.out > 0 && r.state == nil {
-		s.askAhead(r, r.attempts[len(r.attempts)-1].srv)
+	r.tried[r.reservation], r.reservation = true, nil
+	if r.reservationsAsked < 2 && r.inFlight > 0 && r.stateHolder == nil {
+		s.requestReservation(r, r.attempts[len(r.attempts)-1].server)
 	}
 }
 
-func (s *Scheduler) first(e First) {
-	r, a := s.find(e.ID, e.Attempt, e.Server)
-	if r == nil || a.begun || !a.write {
+func (s *Scheduler) handleAnswerStarted(e AnswerStarted) {
+	r, a := s.findInFlight(e.ID, e.Attempt, e.Server)
+	if r == nil || a.answerStarted || !a.decodes {
 		return
 	}
-	s.worked(r, a, e.Latency)
-	s.impatience[r.Tenant] -= ewma * s.impatience[r.Tenant]
-	a.begun, r.done, r.state, r.ahead = true, true, nil, nil
-	a.srv.hear(s.now)
-	a.srv.queue -= a.tokens
+	s.recordProgress(r, a, e.Latency)
+	s.tenantImpatience[r.Tenant] -= ewmaWeight * s.tenantImpatience[r.Tenant]
+	a.answerStarted, r.done, r.stateHolder, r.reservation = true, true, nil, nil
+	a.server.recordResponse(s.now)
+	a.server.queuedTokens -= a.workTokens
 }
 
 // stopped tells of an answer, silent since a time, that will not go on although its
@@ -38,141 +38,141 @@
 // back for want of memory would have been before it in the queue. Else it stops where
 // nothing waits, by the server's word, if its other answers have gone on, or, of many nodes,
 // which seldom have any there, with no second event: all nodes' work waits where it hangs.
-func (s *Scheduler) stopped(
-	r *request, n int, v *server, since, others time.Duration, first bool) (over, ask bool) {
+func (s *Scheduler) answerStalled(
+	r *trackedRequest, n int, v *trackedServer, since, others time.Duration, first bool) (over, ask bool) {
 	waits, told := v.report[ReportQueue]
-	sign := first && s.set.Nodes > manyNodes || others-since >= stopSure/2
-	ask = sign && s.set.Limits.Probes && s.now-since < 2*stopSure
-	if s.justBack(v) {
+	sign := first && s.settings.Nodes > manyNodes || others-since >= stallConfirmation/2
+	ask = sign && s.settings.Limits.Probes && s.now-since < 2*stallConfirmation
+	if s.justRecovered(v) {
 		return false, false
 	}
-	idle := told && waits < 1 && v.reportAt-since >= stopSure
-	return r != nil && n < len(r.attempts) && v.began[r.attempts[n].stage] > since || ask && idle, ask
+	idle := told && waits < 1 && v.reportAt-since >= stallConfirmation
+	return r != nil && n < len(r.attempts) && v.latestStartedSend[r.attempts[n].stage] > since || ask && idle, ask
 }
 
-func (s *Scheduler) outcome(e Outcome) {
-	r, a := s.find(e.ID, e.Attempt, e.Server)
+func (s *Scheduler) handleOutcome(e Outcome) {
+	r, a := s.findInFlight(e.ID, e.Attempt, e.Server)
 	if r == nil {
 		return
 	}
-	v := a.srv
-	a.out, r.idle, r.out = false, s.now, r.out-1
-	if e.Status == Served || e.Status == Parsed || e.Status == TurnedAway || e.Status == ServerError {
-		v.hear(s.now)
+	v := a.server
+	a.inFlight, r.idleSince, r.inFlight = false, s.now, r.inFlight-1
+	if e.Status == StatusServed || e.Status == StatusPrefilled || e.Status == StatusRejected || e.Status == StatusServerError {
+		v.recordResponse(s.now)
 	}
-	if !a.begun {
-		v.queue -= a.tokens
+	if !a.answerStarted {
+		v.queuedTokens -= a.workTokens
 	}
-	if a.write {
-		v.held -= r.PromptTokens
+	if a.decodes {
+		v.decodeTokens -= r.PromptTokens
 	} else {
-		v.reads--
+		v.pendingPrefills--
 	}
-	s.heard(v, e.Report)
-	s.result(r, a, e)
-	for _, h := range []*health{&v.health, v.path} {
-		if h.trial == r.ID {
-			h.trial = ""
+	s.recordReport(v, e.Report)
+	s.recordOutcome(r, a, e)
+	for _, h := range []*health{&v.health, v.zonePath} {
+		if h.trialRequest == r.ID {
+			h.trialRequest = ""
 		}
 	}
 	switch {
-	case e.Done && !r.done || r.done && !a.begun: // also a read that came in after the end
-		s.end(r)
+	case e.RequestDone && !r.done || r.done && !a.answerStarted: // also a read that came in after the end
+		s.closeRequest(r)
 	case r.done:
-		delete(s.reqs, r.ID)
+		delete(s.requests, r.ID)
 	default:
 		s.advance(r)
 	}
 }
 
 // result takes in what an outcome tells of its server and its request.
-func (s *Scheduler) result(r *request, a *attempt, e Outcome) {
-	proof := []Status{TurnedAway, NotSent, NoConnection, Parsed} // that it never ran
-	if a.write && r.ran == nil && !slices.Contains(proof, e.Status) {
-		r.ran = a
+func (s *Scheduler) recordOutcome(r *trackedRequest, a *trackedAttempt, e Outcome) {
+	proof := []Status{StatusRejected, StatusNotSent, StatusConnectFailed, StatusPrefilled} // that it never ran
+	if a.decodes && r.firstRun == nil && !slices.Contains(proof, e.Status) {
+		r.firstRun = a
 	}
 	switch e.Status {
-	case Served:
-		if !a.begun {
-			s.worked(r, a, e.Latency)
+	case StatusServed:
+		if !a.answerStarted {
+			s.recordProgress(r, a, e.Latency)
 		}
-		a.srv.alive = s.now
-	case Parsed:
-		s.worked(r, a, e.Latency)
-		s.parsed(r, a, e.Note)
-	case TurnedAway:
-		if a.write && e.Note == 1 {
-			s.releaseHeld(r) // no state to fetch: read again
+		a.server.lastProgressAt = s.now
+	case StatusPrefilled:
+		s.recordProgress(r, a, e.Latency)
+		s.recordPrefilled(r, a, e.Detail)
+	case StatusRejected:
+		if a.decodes && e.Detail == 1 {
+			s.releaseHolds(r) // no state to fetch: read again
 			clear(r.tried)
-		} else if e.Latency > r.class.Aim/slowRefusal {
-			a.srv.refuses[r.kind()] = s.now + backoffMax
+		} else if e.Latency > r.class.Aim/slowRejectionDivisor {
+			a.server.rejectsUntil[r.throttleKey()] = s.now + maxBackoff
 		} else {
-			s.pauseSends(a.srv)
+			s.pauseSends(a.server)
 		}
-	case NoConnection:
-		if r.held && a.srv == r.ahead { // the state may have moved there: once more
-			r.tried[a.srv], r.held = false, false
+	case StatusConnectFailed:
+		if r.reservationHeld && a.server == r.reservation { // the state may have moved there: once more
+			r.tried[a.server], r.reservationHeld = false, false
 		}
-		if s.set.Nodes > manyNodes && e.Latency >= retryPause && a.srv.Zone != s.set.Zone {
-			r.near = true // a whole zone may be silent: the next try is not to wait for it too
+		if s.settings.Nodes > manyNodes && e.Latency >= retryInterval && a.server.Zone != s.settings.Zone {
+			r.stayInZone = true // a whole zone may be silent: the next try is not to wait for it too
 		}
-		s.pauseSends(a.srv)
-		s.judge(a.srv, r, false)
-	case ServerError, ConnectionLost:
-		s.judge(a.srv, r, false)
-	case NoAnswer, CalledOff: // a client that leaves a begun answer tells nothing of the wait before it
-		if !a.begun && !a.overtaken() {
-			s.pace[a.stage].Observe(s.now, e.Latency, a.queue)
+		s.pauseSends(a.server)
+		s.updateHealth(a.server, r, false)
+	case StatusServerError, StatusConnectionLost:
+		s.updateHealth(a.server, r, false)
+	case StatusTimedOut, StatusCancelled: // a client that leaves a begun answer tells nothing of the wait before it
+		if !a.answerStarted && !a.overtaken() {
+			s.stageLatency[a.stage].Observe(s.now, e.Latency, a.queuedTokens)
 		}
-		if e.Status == NoAnswer {
-			s.judge(a.srv, r, false)
+		if e.Status == StatusTimedOut {
+			s.updateHealth(a.server, r, false)
 		}
 	}
 }
 
 // parsed takes in the truth about a reader's cache. One that kept far less than
 // it surely held has forgotten what it held before (a flush, an untold restart).
-func (s *Scheduler) parsed(r *request, a *attempt, kept float64) {
-	if kept < a.kept/2 {
-		s.table.Void(a.srv.runs, a.sent)
+func (s *Scheduler) recordPrefilled(r *trackedRequest, a *trackedAttempt, kept float64) {
+	if kept < a.cachedTokens/2 {
+		s.prefixTable.DropOlderThan(a.server.prefixRuns, a.sentAt)
 	}
-	s.table.Record(s.now, a.srv.runs, r.parts(), true)
-	r.state = a.srv
+	s.prefixTable.Record(s.now, a.server.prefixRuns, r.prefixParts(), true)
+	r.stateHolder = a.server
 	clear(r.tried)
-	if !r.held && s.now-a.sent > s.set.Limits.ConnectTimeout {
-		r.ahead = nil // no word of the place: the writer may not be heard
+	if !r.reservationHeld && s.now-a.sentAt > s.settings.Limits.ConnectTimeout {
+		r.reservation = nil // no word of the place: the writer may not be heard
 	}
 }
 
 // pauseSends leaves a full or dead server alone for a while that doubles until it takes
 // a request: it answers at once, and attempts would be burnt on it.
-func (s *Scheduler) pauseSends(v *server) {
+func (s *Scheduler) pauseSends(v *trackedServer) {
 	if s.now < v.pausedUntil { // sent before the pause: a burst of refusals tells no more than one
 		return
 	}
-	v.pause = min(max(v.pause*2, retryPause*time.Duration(max(s.set.Nodes/2, 1))), backoffMax/4)
-	v.pausedUntil = s.now + v.pause
+	v.pauseLength = min(max(v.pauseLength*2, retryInterval*time.Duration(max(s.settings.Nodes/2, 1))), maxBackoff/4)
+	v.pausedUntil = s.now + v.pauseLength
 }
 
-func (s *Scheduler) timer(e Timer) {
+func (s *Scheduler) handleTimer(e TimerFired) {
 	t, ok := s.timers[e.Token]
 	if !ok {
 		return
 	}
 	delete(s.timers, e.Token)
-	r := s.reqs[t.id]
+	r := s.requests[t.requestID]
 	switch {
-	case t.what == watchAgain:
-		s.act(Watch{})
-	case t.what == endRequests:
-		s.endRequests()
+	case t.purpose == timerWatch:
+		s.emit(Watch{})
+	case t.purpose == timerShutdown:
+		s.giveUpUnanswered()
 	case r == nil || r.done:
-	case t.what == lookAgain:
+	case t.purpose == timerAdvance:
 		s.advance(r)
-	case t.what == lookForSign:
-		s.lookForSign(r, t.attempt)
-	case r.attempts[t.what].out:
-		s.overdue(r, t.what)
+	case t.purpose == timerLiveness:
+		s.checkLiveness(r, t.attempt)
+	case r.attempts[t.purpose].inFlight:
+		s.handleOverdue(r, t.purpose)
 	}
 }
 
@@ -181,77 +181,77 @@
 // one silent all along loses trust, and the attempt is called off while another
 // can earn. With little own work there, silence is no sign: it gets its aim. One
 // that has begun what was sent later has not got it: its connection fell silent.
-func (s *Scheduler) overdue(r *request, n int) {
-	a, limit := r.attempts[n], s.limit(r, r.attempts[n])
-	wait := s.now - a.sent
-	switch s.after(max(limit-wait, limit/2), timer{id: r.ID, what: n}); {
+func (s *Scheduler) handleOverdue(r *trackedRequest, n int) {
+	a, limit := r.attempts[n], s.overdueAfter(r, r.attempts[n])
+	wait := s.now - a.sentAt
+	switch s.setTimer(max(limit-wait, limit/2), pendingTimer{requestID: r.ID, purpose: n}); {
 	case wait < limit: // the pace has changed since
-	case a.overtaken() && (!a.write || wait >= 2*limit): // at writers, small states overtake
-		s.leave(r, n)
-	case a.srv.alive > a.sent || s.shared(a.srv):
-		if a.write && !a.overtaken() { // it will have taken longer yet
-			s.pace[a.stage].Observe(s.now, wait, a.queue)
+	case a.overtaken() && (!a.decodes || wait >= 2*limit): // at writers, small states overtake
+		s.cancelForRetry(r, n)
+	case a.server.lastProgressAt > a.sentAt || s.sharedSlowness(a.server):
+		if a.decodes && !a.overtaken() { // it will have taken longer yet
+			s.stageLatency[a.stage].Observe(s.now, wait, a.queuedTokens)
 		}
-	case float64(wait) < math.Pow(s.crowd, 4)*float64(r.class.Aim):
+	case float64(wait) < math.Pow(s.unseenShare, 4)*float64(r.class.Aim):
 	case wait < 2*limit:
-		s.judge(a.srv, r, false)
+		s.updateHealth(a.server, r, false)
 	default:
-		s.leave(r, n)
+		s.cancelForRetry(r, n)
 	}
 }
 
 // shared tells whether the peers of a silent server with work of this node are not
 // much livelier. Leaving it would only begin anew elsewhere what is slow everywhere.
-func (s *Scheduler) shared(v *server) bool {
-	oldest := s.oldestWaits(v.role)
-	silence := func(v *server) time.Duration { return s.now - max(oldest[v], v.alive) }
+func (s *Scheduler) sharedSlowness(v *trackedServer) bool {
+	oldest := s.oldestUnanswered(v.role)
+	silence := func(v *trackedServer) time.Duration { return s.now - max(oldest[v], v.lastProgressAt) }
 	var peers []time.Duration
 	for o := range oldest {
-		if o != v && o.listed {
+		if o != v && o.active {
 			peers = append(peers, silence(o))
 		}
 	}
 	slices.Sort(peers)
-	return len(peers) > 0 && silence(v) < slowLimit*peers[len(peers)/2]
+	return len(peers) > 0 && silence(v) < ejectLatencyRatio*peers[len(peers)/2]
 }
 
 // leave calls an attempt off where another can earn.
-func (s *Scheduler) leave(r *request, n int) {
-	if s.maySend(r) && s.set.Limits.Cancel && (r.class.Effect == Pure || !r.attempts[n].write) {
-		s.act(Cancel{r.ID, n})
+func (s *Scheduler) cancelForRetry(r *trackedRequest, n int) {
+	if s.maySend(r) && s.settings.Limits.Cancel && (r.class.Effect == Pure || !r.attempts[n].decodes) {
+		s.emit(Cancel{r.ID, n})
 	}
 }
 
 // worked feeds the pace of a stage and the server's standing against it.
-func (s *Scheduler) worked(r *request, a *attempt, latency time.Duration) {
-	v, p := a.srv, &s.pace[a.stage]
-	v.pause, v.alive, v.began[a.stage] = 0, s.now, max(v.began[a.stage], a.sent)
+func (s *Scheduler) recordProgress(r *trackedRequest, a *trackedAttempt, latency time.Duration) {
+	v, p := a.server, &s.stageLatency[a.stage]
+	v.pauseLength, v.lastProgressAt, v.latestStartedSend[a.stage] = 0, s.now, max(v.latestStartedSend[a.stage], a.sentAt)
 	if !s.inSlowStart(v) { // taken, not sent: a storm of rejects must not swell the cold budget
-		v.done.Add(s.now, s.set.Rules.FallWindow, s.cost[r.class])
+		v.warmThroughput.Add(s.now, s.settings.Rules.SlowStartWindow, s.classTokens[r.class])
 		s.creditSlowStart(v)
 	}
-	if want := p.Expect(a.queue); want > 0 {
-		v.ratio += ewma * (min(float64(latency)/want, 10) - v.ratio)
+	if want := p.Expect(a.queuedTokens); want > 0 {
+		v.latencyRatio += ewmaWeight * (min(float64(latency)/want, 10) - v.latencyRatio)
 	}
-	p.Observe(s.now, latency, a.queue)
-	s.judge(v, r, true)
+	p.Observe(s.now, latency, a.queuedTokens)
+	s.updateHealth(v, r, true)
 }
 
-func (s *Scheduler) gone(e Gone) {
-	if r := s.reqs[e.ID]; r != nil && !r.done {
-		s.impatience[r.Tenant] += ewma * (max(float64(s.minAim-s.now+r.arrived), 0) - s.impatience[r.Tenant])
-		s.end(r)
+func (s *Scheduler) handleClientDisconnected(e ClientDisconnected) {
+	if r := s.requests[e.ID]; r != nil && !r.done {
+		s.tenantImpatience[r.Tenant] += ewmaWeight * (max(float64(s.minAim-s.now+r.arrivedAt), 0) - s.tenantImpatience[r.Tenant])
+		s.closeRequest(r)
 	}
 }
 
-func (s *Scheduler) probed(e Probed) {
+func (s *Scheduler) handleProbeResult(e ProbeResult) {
 	v := s.servers[e.Server]
 	if v == nil {
 		return
 	}
-	s.signed(v, e.Status)
-	if e.Status == Served {
-		if s.heard(v, e.Report); s.overloaded(v) { // but else it proves nothing about a hang
+	s.recordProbeResponse(v, e.Status)
+	if e.Status == StatusServed {
+		if s.recordReport(v, e.Report); s.overloaded(v) { // but else it proves nothing about a hang
 			s.pauseSends(v)
 		}
 	}
--- a/placement_test.go
+++ b/placement_test.go
@@ -15,8 +15,8 @@
 	}{
 		{"match beats an idle reader", map[string]int{"r1": 1}, map[string]int{"r1": 1}, "r1"},
 		{"equal matches go by count", map[string]int{"r1": 3, "r2": 1}, map[string]int{"r1": 1, "r2": 1}, "r2"},
-		{"gap ignores matches", map[string]int{"r1": countGap + 1}, map[string]int{"r1": 1}, "r2"},
-		{"at the gap matches count", map[string]int{"r1": countGap}, map[string]int{"r1": 1}, "r1"},
+		{"gap ignores matches", map[string]int{"r1": maxLoadGap + 1}, map[string]int{"r1": 1}, "r2"},
+		{"at the gap matches count", map[string]int{"r1": maxLoadGap}, map[string]int{"r1": 1}, "r1"},
 		{"above mean and deviations", map[string]int{"r1": 12}, map[string]int{"r1": 1}, "not r1"},
 	}
 	for _, tt := range tests {
@@ -26,14 +26,14 @@
 				list = append(list, reader("r3"), reader("r4"), reader("r5"), reader("r6"))
 			}
 			n := newNode(t, settings(), list...)
-			r := &request{Request: Request{Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}}
-			for _, v := range n.s.order {
-				v.reads = tt.reads[string(v.ID)]
+			r := &trackedRequest{Request: Request{Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}}
+			for _, v := range n.s.sortedServers {
+				v.pendingPrefills = tt.reads[string(v.ID)]
 				if tt.holds[string(v.ID)] > 0 {
-					n.s.table.Record(n.now, v.runs, r.parts(), true)
+					n.s.prefixTable.Record(n.now, v.prefixRuns, r.prefixParts(), true)
 				}
 			}
-			got := n.s.byPrefix(r, n.s.order)
+			got := n.s.pickByPrefix(r, n.s.sortedServers)
 			if string(got.ID) != tt.want && (tt.want != "not r1" || got.ID == "r1") {
 				t.Errorf("picked %s, want %s", got.ID, tt.want)
 			}
@@ -52,8 +52,8 @@
 			a, b := newNode(t, settings(), list...), newNode(t, settings(), list[2], list[0], list[1], list[3])
 			a.ask("x", session, p)
 			b.ask("y", session, p)
-			x, _ := pick[Attempt](a)
-			y, _ := pick[Attempt](b)
+			x, _ := pick[Send](a)
+			y, _ := pick[Send](b)
 			if x.Server != y.Server {
 				t.Fatalf("prefix %d, session %d: %s and %s", p, session, x.Server, y.Server)
 			}
@@ -73,10 +73,10 @@
 func TestPrefixHeldByAnEjectedReaderIsKnown(t *testing.T) {
 	for p := uint64(1); p < 20; p++ {
 		n := newNode(t, settings(), reader("r1"), reader("r2"), reader("r3"), writer("w1", 0))
-		r := &request{Request: Request{Session: 1, Prefix: p, PrefixTokens: 160, PromptTokens: 320}}
-		n.s.table.Record(n.now, n.s.servers["r1"].runs, r.parts(), true)
-		n.s.servers["r1"].ejected, n.s.servers["r1"].until = true, n.now+time.Hour
-		n.s.servers["r2"].reads = 1
+		r := &trackedRequest{Request: Request{Session: 1, Prefix: p, PrefixTokens: 160, PromptTokens: 320}}
+		n.s.prefixTable.Record(n.now, n.s.servers["r1"].prefixRuns, r.prefixParts(), true)
+		n.s.servers["r1"].ejected, n.s.servers["r1"].ejectedUntil = true, n.now+time.Hour
+		n.s.servers["r2"].pendingPrefills = 1
 		n.ask("x", 1, p)
 		n.sentTo("r3")
 	}
@@ -85,21 +85,21 @@
 func TestBlocksExpireAndAreCapped(t *testing.T) {
 	n := newNode(t, settings(), reader("r1"))
 	v := n.s.servers["r1"]
-	r := &request{Request: Request{Session: 1, PromptTokens: 320}}
+	r := &trackedRequest{Request: Request{Session: 1, PromptTokens: 320}}
 	n.s.now = n.now
-	n.s.table.Record(n.now, v.runs, r.parts(), true)
-	if got, _ := n.s.match(r, v); got != 320 {
+	n.s.prefixTable.Record(n.now, v.prefixRuns, r.prefixParts(), true)
+	if got, _ := n.s.matchPrefix(r, v); got != 320 {
 		t.Fatalf("holds %v tokens, want 320", got)
 	}
 	n.s.now += blockExpiry
-	if got, _ := n.s.match(r, v); got != 0 {
+	if got, _ := n.s.matchPrefix(r, v); got != 0 {
 		t.Errorf("holds %v tokens after the expiry", got)
 	}
 	for i := uint64(2); i < 30; i++ {
-		n.s.table.Record(n.now, v.runs, (&request{Request: Request{Session: i, PromptTokens: 10000 * blockTokens}}).parts(), false)
+		n.s.prefixTable.Record(n.now, v.prefixRuns, (&trackedRequest{Request: Request{Session: i, PromptTokens: 10000 * blockTokens}}).prefixParts(), false)
 	}
-	if n.s.table.Blocks() != maxBlocks || n.s.table.Len() != len(v.runs) || len(v.runs) != 20 {
-		t.Errorf("table holds %d blocks in %d and %d runs, want %d", n.s.table.Blocks(), n.s.table.Len(), len(v.runs), maxBlocks)
+	if n.s.prefixTable.Blocks() != maxBlocks || n.s.prefixTable.Len() != len(v.prefixRuns) || len(v.prefixRuns) != 20 {
+		t.Errorf("table holds %d blocks in %d and %d runs, want %d", n.s.prefixTable.Blocks(), n.s.prefixTable.Len(), len(v.prefixRuns), maxBlocks)
 	}
 }
 
@@ -109,15 +109,15 @@
 	for _, tt := range []struct{ kept, want float64 }{{0, 0}, {320, 320}} {
 		n := newNode(t, settings(), reader("r1"), writer("w1", 0))
 		n.ask("other", 2, 0)
-		n.end("other", 0, "r1", Parsed)
+		n.end("other", 0, "r1", StatusPrefilled)
 		n.ask("a", 1, 0)
-		n.end("a", 0, "r1", Parsed)
+		n.end("a", 0, "r1", StatusPrefilled)
 		n.now += 100 * ms
 		n.ask("b", 1, 0)
 		n.now += 50 * ms
-		n.do(Outcome{ID: "b", Server: "r1", Status: Parsed, Note: tt.kept, Latency: 50 * ms})
-		other := &request{Request: Request{Session: 2, PromptTokens: 320}}
-		if got, _ := n.s.match(other, n.s.servers["r1"]); got != tt.want {
+		n.do(Outcome{ID: "b", Server: "r1", Status: StatusPrefilled, Detail: tt.kept, Latency: 50 * ms})
+		other := &trackedRequest{Request: Request{Session: 2, PromptTokens: 320}}
+		if got, _ := n.s.matchPrefix(other, n.s.servers["r1"]); got != tt.want {
 			t.Errorf("kept %v: the other session's match is %v, want %v", tt.kept, got, tt.want)
 		}
 	}
@@ -128,8 +128,8 @@
 	n.ask("a", 1, 0)
 	v := reader("r1")
 	v.Started = n.now
-	n.do(Members{Form: ListPatch, Entries: []Server{v}})
-	if got := len(n.s.servers["r1"].runs); got != 0 {
+	n.do(MembershipUpdate{Form: MembershipDelta, Entries: []Server{v}})
+	if got := len(n.s.servers["r1"].prefixRuns); got != 0 {
 		t.Errorf("%d blocks left after a restart", got)
 	}
 }
@@ -140,12 +140,12 @@
 	set.Nodes = 3
 	n := newNode(t, set, reader("r1"))
 	v := n.s.servers["r1"]
-	v.reads = 2
-	count, _ := n.s.counts(RoleRead)
+	v.pendingPrefills = 2
+	count, _ := n.s.loadEstimate(RoleRead)
 	if got := count(v); got != 6 {
 		t.Errorf("count is %v, want 6", got)
 	}
-	n.do(Probed{Server: "r1", Status: Served, Report: Report{ReportInFlight: 9}})
+	n.do(ProbeResult{Server: "r1", Status: StatusServed, Report: Report{ReportInFlight: 9}})
 	if got := count(v); got != 9 {
 		t.Errorf("count is %v, want the reported 9", got)
 	}
@@ -175,13 +175,13 @@
 				v.report, v.reportAt = Report{ReportMemory: x}, n.s.now
 			}
 			for id, x := range tt.held {
-				n.s.servers[ServerID(id)].held = x
+				n.s.servers[ServerID(id)].decodeTokens = x
 			}
-			pool := []*server{n.s.servers["near"], n.s.servers["mid"], n.s.servers["far"]}
+			pool := []*trackedServer{n.s.servers["near"], n.s.servers["mid"], n.s.servers["far"]}
 			if tt.want != "mid" {
-				pool = []*server{pool[0], pool[2]}
+				pool = []*trackedServer{pool[0], pool[2]}
 			}
-			if got := n.s.roomiest(pool, n.s.servers["r1"]); string(got.ID) != tt.want {
+			if got := n.s.pickByFreeMemory(pool, n.s.servers["r1"]); string(got.ID) != tt.want {
 				t.Errorf("picked %s, want %s", got.ID, tt.want)
 			}
 		})
@@ -193,10 +193,10 @@
 func TestWriterPick_OldReport(t *testing.T) {
 	n := newNode(t, settings(), reader("r1"), writer("near", 0), writer("far", 2))
 	near, far := n.s.servers["near"], n.s.servers["far"]
-	for age, want := range map[time.Duration]*server{0: far, time.Hour: near} {
+	for age, want := range map[time.Duration]*trackedServer{0: far, time.Hour: near} {
 		near.report, near.reportAt = Report{ReportMemory: 0.9}, n.s.now-age
 		far.report, far.reportAt = Report{ReportMemory: 0.1}, n.s.now-age
-		if got := n.s.roomiest([]*server{near, far}, n.s.servers["r1"]); got != want {
+		if got := n.s.pickByFreeMemory([]*trackedServer{near, far}, n.s.servers["r1"]); got != want {
 			t.Errorf("reports %v old: picked %s, want %s", age, got.ID, want.ID)
 		}
 	}
@@ -207,14 +207,14 @@
 func TestHolderIsTriedOnceMore(t *testing.T) {
 	n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 0))
 	n.ask("a", 1, 0)
-	place, _ := pick[Ahead](n)
-	n.do(PlaceNote{ID: "a", Server: place.Server, Held: true})
-	n.end("a", 0, "r1", Parsed)
+	place, _ := pick[Reserve](n)
+	n.do(ReservationResult{ID: "a", Server: place.Server, Held: true})
+	n.end("a", 0, "r1", StatusPrefilled)
 	n.sentTo(string(place.Server))
-	n.end("a", 1, string(place.Server), NoConnection)
+	n.end("a", 1, string(place.Server), StatusConnectFailed)
 	n.sentTo(string(place.Server))
-	n.end("a", 2, string(place.Server), NoConnection)
-	if b, _ := pick[Attempt](n); b.Server == place.Server || b.Server == "" {
+	n.end("a", 2, string(place.Server), StatusConnectFailed)
+	if b, _ := pick[Send](n); b.Server == place.Server || b.Server == "" {
 		t.Errorf("then sent to %q", b.Server)
 	}
 }
@@ -223,33 +223,33 @@
 func TestRefusedPlaceTriesTheNextOnce(t *testing.T) {
 	n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 0), writer("w3", 0))
 	n.ask("a", 1, 0)
-	first, _ := pick[Ahead](n)
-	n.do(PlaceNote{ID: "a", Server: first.Server})
-	second, ok := pick[Ahead](n)
+	first, _ := pick[Reserve](n)
+	n.do(ReservationResult{ID: "a", Server: first.Server})
+	second, ok := pick[Reserve](n)
 	if !ok || second.Server == first.Server {
 		t.Fatalf("after %s was refused: %v", first.Server, n.out)
 	}
-	n.do(PlaceNote{ID: "a", Server: second.Server})
-	lacks[Ahead](n)
+	n.do(ReservationResult{ID: "a", Server: second.Server})
+	lacks[Reserve](n)
 }
 
 func TestHolderGetsTheRead(t *testing.T) {
 	n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 0))
 	n.ask("a", 1, 0)
-	p, _ := pick[Ahead](n)
-	n.do(PlaceNote{ID: "a", Server: p.Server, Held: true})
-	n.s.servers[p.Server].held = 90000 // no longer the roomiest
-	n.end("a", 0, "r1", Parsed)
+	p, _ := pick[Reserve](n)
+	n.do(ReservationResult{ID: "a", Server: p.Server, Held: true})
+	n.s.servers[p.Server].decodeTokens = 90000 // no longer the roomiest
+	n.end("a", 0, "r1", StatusPrefilled)
 	n.sentTo(string(p.Server))
 }
 
 func TestNoPlaceAskedWhereNotAllowed(t *testing.T) {
 	set := settings()
-	set.Ahead = false
+	set.Reservations = false
 	n := newNode(t, set, reader("r1"), writer("w1", 0))
 	n.ask("a", 1, 0)
 	n.sentTo("r1")
-	lacks[Ahead](n)
+	lacks[Reserve](n)
 }
 
 // While states are slow to leave a cell, reads go where a writer of the cell has
@@ -272,9 +272,9 @@
 			list[i].Cell = i + 1 // r1 has no writer beside it
 		}
 		n := newNode(t, settings(), list...)
-		known := &request{Request: Request{Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}}
-		n.s.pace[writing].Observe(n.now, 50*ms, 320)
-		n.s.pace[writingFar].Observe(n.now, tt.far, 320)
+		known := &trackedRequest{Request: Request{Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 320}}
+		n.s.stageLatency[stageDecode].Observe(n.now, 50*ms, 320)
+		n.s.stageLatency[stageDecodeFar].Observe(n.now, tt.far, 320)
 		n.now += tt.age
 		if tt.used == nil {
 			tt.used = map[ServerID]float64{"w2": 0.1, "w3": 0.9}
@@ -283,9 +283,9 @@
 			n.s.servers[id].report, n.s.servers[id].reportAt = Report{ReportMemory: x}, n.now
 		}
 		n.s.now = n.now
-		n.s.table.Record(n.now, n.s.servers["r1"].runs, known.parts(), true)
+		n.s.prefixTable.Record(n.now, n.s.servers["r1"].prefixRuns, known.prefixParts(), true)
 		n.ask("a", 1, 7)
-		if a, _ := pick[Attempt](n); string(a.Server) != tt.want {
+		if a, _ := pick[Send](n); string(a.Server) != tt.want {
 			t.Errorf("%s: sent to %q, want %s", tt.name, a.Server, tt.want)
 		}
 	}
--- a/router/answer.go
+++ b/router/answer.go
@@ -43,12 +43,12 @@
 }
 
 // Move hands the answer to another process, which counts it.
-func (s *stream) Move(give func(gateway.Live) error) error {
-	m, ok := s.Stream.(gateway.Movable)
+func (s *stream) HandOver(give func(gateway.HandoverState) error) error {
+	m, ok := s.Stream.(gateway.HandoverStream)
 	if !ok {
 		return fmt.Errorf("router: a stream of %T can't be moved", s.Stream)
 	}
-	err := m.Move(give)
+	err := m.HandOver(give)
 	s.over = s.over || err == nil
 	return err
 }
@@ -69,7 +69,7 @@
 
 // Adopt goes on with an answer that another process of this gateway has begun; see
 // gateway.Gateway. It is counted as this router's request from now on, whatever its limits.
-func (r *Router) Adopt(ctx context.Context, live gateway.Live, make func(context.Context, gateway.Transport) (gateway.Stream, error)) (gateway.Stream, error) {
+func (r *Router) Adopt(ctx context.Context, live gateway.HandoverState, make func(context.Context, gateway.Transport) (gateway.Stream, error)) (gateway.Stream, error) {
 	vctx, cancel := context.WithCancelCause(ctx)
 	v := &activeRequest{cancel: cancel}
 	r.mu.Lock()
@@ -92,7 +92,7 @@
 
 // EndWaiting ends the active requests whose answer has not begun; what is held for them is
 // let go of. Answers that have begun go on.
-func (r *Router) EndWaiting() {
+func (r *Router) EndUnanswered() {
 	r.mu.Lock()
 	var end []context.CancelCauseFunc
 	for _, id := range r.life.EndWaiting() {
@@ -110,7 +110,7 @@
 func (r *Router) unanswered(class string) gateway.Reply {
 	for _, c := range r.cfg.Settings.Classes {
 		if c.Name == class && c.Effect == ashwood.Pure {
-			return gateway.Reply{Kind: gateway.Refused, RetryAfter: r.gw.Pause(), Err: ErrShuttingDown}
+			return gateway.Reply{Kind: gateway.Refused, RetryAfter: r.gw.RetryAfter(), Err: ErrShuttingDown}
 		}
 	}
 	return gateway.Reply{Kind: gateway.Failed, Err: ErrShuttingDown}
--- a/router/do.go
+++ b/router/do.go
@@ -15,7 +15,7 @@
 // have run.
 var (
 	ErrShuttingDown = errors.New("router: shutting down")
-	ErrDeadline     = gateway.ErrTimedOut
+	ErrDeadline     = gateway.ErrFirstTokenTimeout
 	ErrClientGone   = gateway.ErrClientGone
 	ErrDuplicate    = ashwood.ErrDuplicate
 	ErrUnknownClass = ashwood.ErrUnknownClass
@@ -100,7 +100,7 @@
 		return &Answer{reply.Stream}, nil
 	case gateway.Refused:
 		return nil, &RefusedError{reply.RetryAfter, reply.Err}
-	case gateway.Gone:
+	case gateway.ClientGone:
 		return nil, fmt.Errorf("%w: %w", ErrClientGone, context.Cause(ctx))
 	}
 	return nil, &FailedError{reply.Err}
--- a/router/harness_test.go
+++ b/router/harness_test.go
@@ -48,16 +48,16 @@
 	return n
 }
 
-func (f *fleet) Send(ctx context.Context, a gateway.Attempt) gateway.Answer {
-	if !a.Ready() {
-		return gateway.Answer{Result: ashwood.Result{Status: ashwood.NotSent}}
+func (f *fleet) Send(ctx context.Context, a gateway.Attempt) gateway.AttemptResult {
+	if !a.MayWrite() {
+		return gateway.AttemptResult{Result: ashwood.Result{Status: ashwood.StatusNotSent}}
 	}
-	a.Sent()
+	a.OnSent()
 	f.mu.Lock()
 	f.told[a.ID] = a.Remaining
 	f.mu.Unlock()
 	wait, what := f.writing, "write"
-	if a.Reads {
+	if a.Prefill {
 		wait, what = f.reading, "read"
 		f.hold(a.ID, a.Engine.ID)
 	} else {
@@ -70,22 +70,22 @@
 		select {
 		case <-wait:
 		case <-ctx.Done():
-			return gateway.Answer{Result: ashwood.Result{Status: ashwood.ConnectionLost}, Err: context.Cause(ctx)}
+			return gateway.AttemptResult{Result: ashwood.Result{Status: ashwood.StatusConnectionLost}, Err: context.Cause(ctx)}
 		}
 	}
-	if a.Reads {
-		return gateway.Answer{Result: ashwood.Result{Status: ashwood.Parsed}}
+	if a.Prefill {
+		return gateway.AttemptResult{Result: ashwood.Result{Status: ashwood.StatusPrefilled}}
 	}
 	f.mu.Lock()
 	delete(f.held, a.ID) // the first token lets go of all
 	f.mu.Unlock()
-	return gateway.Answer{Result: ashwood.Result{Status: ashwood.Served}, Stream: &pieces{f.pieces, ctx}}
+	return gateway.AttemptResult{Result: ashwood.Result{Status: ashwood.StatusServed}, Stream: &pieces{f.pieces, ctx}}
 }
 
-func (f *fleet) Reserve(_ context.Context, v ashwood.Server, id ashwood.RequestID, _ func() bool) gateway.Place {
+func (f *fleet) Reserve(_ context.Context, v ashwood.Server, id ashwood.RequestID, _ func() bool) gateway.ReserveResult {
 	f.hold(id, v.ID)
 	f.reached <- "place"
-	return gateway.PlaceHeld
+	return gateway.ReserveHeld
 }
 
 func (f *fleet) Release(ctx context.Context, v ashwood.Server, id ashwood.RequestID, _ bool) error {
@@ -106,10 +106,10 @@
 }
 
 func (f *fleet) Probe(context.Context, ashwood.Server) (ashwood.Status, ashwood.Report) {
-	return ashwood.Served, nil
+	return ashwood.StatusServed, nil
 }
 
-func (f *fleet) Keep([]ashwood.Server) {}
+func (f *fleet) RetainOnly([]ashwood.Server) {}
 
 func (f *fleet) Close() {
 	f.mu.Lock()
@@ -138,20 +138,20 @@
 func (p *pieces) Close() error           { return nil }
 
 var boxes = Static{
-	{ID: "r", Kind: "prefill", Zone: "a", State: ashwood.StateOn, Weight: 1},
-	{ID: "w", Kind: "decode", Zone: "a", State: ashwood.StateOn, Weight: 1},
+	{ID: "r", Kind: "prefill", Zone: "a", State: ashwood.StateActive, Weight: 1},
+	{ID: "w", Kind: "decode", Zone: "a", State: ashwood.StateActive, Weight: 1},
 }
 
 func settings() ashwood.Settings {
 	return ashwood.Settings{
-		Nodes: 1, Zone: "a", Ahead: true,
+		Nodes: 1, Zone: "a", Reservations: true,
 		Kinds: []ashwood.Kind{{Name: "prefill", Role: ashwood.RoleRead, MemoryTokens: 1e6}, {Name: "decode", Role: ashwood.RoleWrite, MemoryTokens: 1e6}},
 		Classes: []ashwood.Class{
 			{Name: "chat", Aim: time.Second, Deadline: 30 * time.Second, Worth: 1, Effect: ashwood.Pure},
 			{Name: "order", Aim: time.Second, Deadline: 30 * time.Second, Worth: 1, Effect: ashwood.SideEffect},
 		},
 		Limits: ashwood.Limits{MaxAttempts: 6, Cancel: true, RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond},
-		Rules:  ashwood.Rules{Release: 500 * time.Millisecond},
+		Rules:  ashwood.Rules{ReleaseTimeout: 500 * time.Millisecond},
 	}
 }
 
@@ -170,7 +170,7 @@
 }
 
 func request(id, class string) *Request {
-	return &Request{Call: ashwood.Call{ID: ashwood.RequestID(id), Class: class, Remaining: 20000, PromptTokens: 100, MaxOut: 50}}
+	return &Request{RequestInfo: ashwood.RequestInfo{ID: ashwood.RequestID(id), Class: class, Remaining: 20000, PromptTokens: 100, MaxOutputTokens: 50}}
 }
 
 func until(t *testing.T, f *fleet, what ...string) {
--- a/router/router.go
+++ b/router/router.go
@@ -26,10 +26,10 @@
 
 // Config says how a Router decides.
 type Config struct {
-	Settings ashwood.Settings
-	Seed     int64            // for random numbers
-	Limits   limits.Config    // of what is let in; the zero value lets all in
-	Known    []ashwood.Server // the list as it was last known, maybe out of date
+	Settings         ashwood.Settings
+	Seed             int64            // for random numbers
+	Limits           limits.Config    // of what is let in; the zero value lets all in
+	LastKnownEngines []ashwood.Server // the list as it was last known, maybe out of date
 	// DrainMs is for how long requests are still taken once Shutdown has begun and
 	// clients are being sent elsewhere.
 	DrainMs float64
@@ -39,14 +39,14 @@
 type Source interface {
 	// Run tells update of each change until ctx ends. An error says that it can't
 	// go on; the list in hand stays.
-	Run(ctx context.Context, update func(ashwood.ListForm, []ashwood.Server)) error
+	Run(ctx context.Context, update func(ashwood.MembershipForm, []ashwood.Server)) error
 }
 
 // Transport carries attempts to engines; see gateway.Transport.
 type Transport interface {
 	gateway.Transport
 	// Keep is told of each whole list, to forget engines that are not on it.
-	Keep(list []ashwood.Server)
+	RetainOnly(list []ashwood.Server)
 	// Close ends all connections and timers.
 	Close()
 }
@@ -161,7 +161,7 @@
 	if err := r.life.Start(); err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
-	r.gw.Update(ashwood.ListStale, r.cfg.Known)
+	r.gw.UpdateMembership(ashwood.MembershipStale, r.cfg.LastKnownEngines)
 	r.running.Go(func() { r.gw.Run(r.ctx) })
 	for _, s := range r.sources {
 		r.running.Go(func() {
@@ -174,10 +174,10 @@
 }
 
 // Update tells of news of the engines, as a Source does.
-func (r *Router) Update(form ashwood.ListForm, list []ashwood.Server) {
-	r.gw.Update(form, list)
-	if form == ashwood.ListWhole {
-		r.transport.Keep(list)
+func (r *Router) Update(form ashwood.MembershipForm, list []ashwood.Server) {
+	r.gw.UpdateMembership(form, list)
+	if form == ashwood.MembershipSnapshot {
+		r.transport.RetainOnly(list)
 	}
 }
 
@@ -190,7 +190,7 @@
 
 // Vars writes the router's counts since its start and its gauges, one name:value|kind a
 // line, for operators; see the package metrics for what counts when.
-func (r *Router) Vars(w io.Writer) error {
+func (r *Router) WriteMetrics(w io.Writer) error {
 	listed, avoided := r.gw.Engines()
 	holds, oldest := r.gw.Holds()
 	return r.gw.Metrics().WriteStatsd(w, varsPrefix, metrics.Gauges{
@@ -202,10 +202,10 @@
 
 // Share says how many processes, this one among them, count as one gateway to the rules
 // while one takes the other's place. Connections are shared out by the transport's own limit.
-func (r *Router) Share(processes int) {
-	r.gw.Share(processes)
-	if t, ok := r.transport.(interface{ Share(int) }); ok {
-		t.Share(processes)
+func (r *Router) SetProcesses(processes int) {
+	r.gw.SetProcesses(processes)
+	if t, ok := r.transport.(interface{ SetProcesses(int) }); ok {
+		t.SetProcesses(processes)
 	}
 }
 
@@ -218,7 +218,7 @@
 
 // Pause is how long in ms a client is to stay away that a front refuses by
 // itself; 0 = no advice.
-func (r *Router) Pause() float64 { return r.gw.Pause() }
+func (r *Router) RetryAfter() float64 { return r.gw.RetryAfter() }
 
 // TurnAway tells of a request that a front refuses by itself for want of room, and gives
 // how long in ms its client is to stay away, as Pause does.
@@ -251,7 +251,7 @@
 		return gateway.Reply{Kind: gateway.Refused, RetryAfter: refusal.RetryAfter, Err: err}, nil
 	case errors.Is(err, lifecycle.ErrStopping):
 		r.count(&r.late)
-		return gateway.Reply{Kind: gateway.Refused, RetryAfter: r.gw.Pause(), Err: ErrShuttingDown}, nil
+		return gateway.Reply{Kind: gateway.Refused, RetryAfter: r.gw.RetryAfter(), Err: ErrShuttingDown}, nil
 	case err != nil:
 		return gateway.Reply{}, fmt.Errorf("router: %w", err)
 	}
@@ -274,12 +274,12 @@
 		return gateway.Reply{Kind: gateway.Failed, Err: ErrShuttingDown}, nil
 	}
 	ended := errors.Is(context.Cause(vctx), ErrShuttingDown)
-	if ended || reply.Why == ashwood.WhyEnding {
+	if ended || reply.Reason == ashwood.ReasonShutdown {
 		r.count(&r.gaveUp)
 		reqlog.Write(r.log, change(req, reqlog.Ended, "the process's time to answer is up"))
 	}
 	r.leave(id)
-	if ended && reply.Kind == gateway.Gone {
+	if ended && reply.Kind == gateway.ClientGone {
 		reply = r.unanswered(req.Class)
 	}
 	return reply, err
@@ -306,7 +306,7 @@
 		return 0, nil, err
 	}
 	ticket, err := r.limit.Admit(r.clock.Now(), limits.Request{
-		Front: req.Front, Class: req.Class, Tenant: req.Tenant, Addr: req.Client, Tokens: req.PromptTokens + req.MaxOut,
+		Front: req.Front, Class: req.Class, Tenant: req.Tenant, Addr: req.ClientAddr, Tokens: req.PromptTokens + req.MaxOutputTokens,
 	})
 	if err != nil {
 		r.life.Leave(id)
@@ -327,7 +327,7 @@
 	}
 	delete(r.active, id)
 	r.life.Leave(id)
-	r.limit.Leave(r.clock.Now(), &v.ticket)
+	r.limit.Release(r.clock.Now(), &v.ticket)
 	v.cancel(nil)
 	r.signal()
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -28,7 +28,7 @@
 				timers = append(timers, a)
 			case Refuse, Fail:
 				answers++
-			case Attempt:
+			case Send:
 				timers = append(timers, SetTimer{At: n.now + ms})
 			}
 		}
@@ -45,9 +45,9 @@
 		timers = append(timers[:next], timers[next+1:]...)
 		n.now = max(n.now, x.At)
 		if x.Token == 0 {
-			n.end("a", 0, "r1", Parsed)
+			n.end("a", 0, "r1", StatusPrefilled)
 		} else {
-			n.do(Timer{x.Token})
+			n.do(TimerFired{x.Token})
 		}
 	}
 }
@@ -58,27 +58,27 @@
 		status Status
 		want   string // where the next attempt goes; refuse or fail otherwise
 	}{
-		{"chat", ServerError, "w2"},
-		{"pay", ServerError, "fail"}, {"pay", NoAnswer, "fail"}, {"pay", CalledOff, "fail"},
-		{"pay", NoConnection, "w2"}, {"pay", TurnedAway, "w2"},
-		{"order", ServerError, "fail"}, // w2 is not of the group
-		{"order", NoConnection, "w2"},
+		{"chat", StatusServerError, "w2"},
+		{"pay", StatusServerError, "fail"}, {"pay", StatusTimedOut, "fail"}, {"pay", StatusCancelled, "fail"},
+		{"pay", StatusConnectFailed, "w2"}, {"pay", StatusRejected, "w2"},
+		{"order", StatusServerError, "fail"}, // w2 is not of the group
+		{"order", StatusConnectFailed, "w2"},
 	}
 	for _, tt := range tests {
 		n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 1))
 		n.do(Request{ID: "a", Class: tt.class, Session: 1, PromptTokens: 100, TimeLeft: 700 * ms})
-		n.end("a", 0, "r1", Parsed)
+		n.end("a", 0, "r1", StatusPrefilled)
 		n.sentTo("w1")
 		n.end("a", 1, "w1", tt.status)
 		if tt.want == "w2" {
 			n.sentTo("w2")
 			continue
 		}
-		lacks[Attempt](n)
-		for i := 0; i < 40 && len(n.s.reqs) > 0; i++ { // it may look for a server of the group for a while
+		lacks[Send](n)
+		for i := 0; i < 40 && len(n.s.requests) > 0; i++ { // it may look for a server of the group for a while
 			n.now += 50 * ms
 			if x, ok := pick[SetTimer](n); ok {
-				n.do(Timer{x.Token})
+				n.do(TimerFired{x.Token})
 			}
 		}
 		wants[Fail](n)
@@ -87,9 +87,9 @@
 }
 
 func TestTokenRepeatsStayInGroupAndWindow(t *testing.T) {
-	r := &request{class: &Class{Effect: Token, Group: ScopeZone, Window: time.Second}}
-	r.ran = &attempt{srv: &server{Server: Server{Zone: "a", Cell: 1}}}
-	same, other := &server{Server: Server{Zone: "a", Cell: 2}}, &server{Server: Server{Zone: "b", Cell: 1}}
+	r := &trackedRequest{class: &Class{Effect: TokenEffect, Group: ScopeZone, Window: time.Second}}
+	r.firstRun = &trackedAttempt{server: &trackedServer{Server: Server{Zone: "a", Cell: 1}}}
+	same, other := &trackedServer{Server: Server{Zone: "a", Cell: 2}}, &trackedServer{Server: Server{Zone: "b", Cell: 1}}
 	if !r.mayRunOn(same, 999*ms) || r.mayRunOn(same, time.Second) || r.mayRunOn(other, 0) {
 		t.Error("zone group or window not kept")
 	}
@@ -103,31 +103,31 @@
 	n := newNode(t, settings(), reader("r1"), reader("r2"), reader("r3"), reader("r4"), reader("r5"), writer("w1", 0))
 	n.ask("a", 1, 0)
 	for i := 0; i < 4; i++ {
-		a, ok := pick[Attempt](n)
+		a, ok := pick[Send](n)
 		if !ok {
 			t.Fatalf("attempt %d missing", i)
 		}
-		n.end("a", i, string(a.Server), ServerError)
+		n.end("a", i, string(a.Server), StatusServerError)
 	}
 	wants[Refuse](n)
-	lacks[Attempt](n)
+	lacks[Send](n)
 }
 
 func TestRule3NothingToADrainingServer(t *testing.T) {
-	for _, state := range []ServerState{StateFading, StateOff} {
+	for _, state := range []ServerState{StateDraining, StateRemoved} {
 		n := newNode(t, settings(), reader("r1"), reader("r2"), writer("w1", 0))
 		v := reader("r1")
 		v.State = state
-		n.do(Members{Form: ListPatch, Entries: []Server{v}})
+		n.do(MembershipUpdate{Form: MembershipDelta, Entries: []Server{v}})
 		for i := uint64(0); i < 20; i++ {
 			n.ask(fmt.Sprint(i), i, i)
 			n.sentTo("r2")
 			a := n.s.servers["r2"]
-			a.reads = 0
+			a.pendingPrefills = 0
 		}
 	}
 	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
-	n.do(Members{Form: ListWhole, Entries: []Server{writer("w1", 0)}}) // absent = gone
+	n.do(MembershipUpdate{Form: MembershipSnapshot, Entries: []Server{writer("w1", 0)}}) // absent = gone
 	n.ask("a", 1, 0)
 	n.sentTo("")
 }
@@ -136,13 +136,13 @@
 func TestRule3HolderDrains(t *testing.T) {
 	n := newNode(t, settings(), reader("r1"), writer("w1", 0), writer("w2", 0))
 	n.ask("a", 1, 0)
-	p, _ := pick[Ahead](n)
-	n.do(PlaceNote{ID: "a", Server: p.Server, Held: true})
+	p, _ := pick[Reserve](n)
+	n.do(ReservationResult{ID: "a", Server: p.Server, Held: true})
 	v := writer(string(p.Server), 0)
-	v.State = StateFading
-	n.do(Members{Form: ListPatch, Entries: []Server{v}})
-	n.end("a", 0, "r1", Parsed)
-	if a, _ := pick[Attempt](n); a.Server == p.Server || a.Server == "" {
+	v.State = StateDraining
+	n.do(MembershipUpdate{Form: MembershipDelta, Entries: []Server{v}})
+	n.end("a", 0, "r1", StatusPrefilled)
+	if a, _ := pick[Send](n); a.Server == p.Server || a.Server == "" {
 		t.Errorf("sent to %q", a.Server)
 	}
 }
@@ -158,9 +158,9 @@
 	sends := 0
 	for i := uint64(0); i < 50; i++ {
 		n.ask(fmt.Sprint(i), i, 0)
-		if a, ok := pick[Attempt](n); ok {
+		if a, ok := pick[Send](n); ok {
 			sends++
-			n.end(fmt.Sprint(i), 0, string(a.Server), TurnedAway)
+			n.end(fmt.Sprint(i), 0, string(a.Server), StatusRejected)
 			n.s.servers["r1"].pausedUntil = 0
 		}
 		n.now += 10 * ms
@@ -168,7 +168,7 @@
 	if sends != 1 {
 		t.Errorf("%d sends to a cold server in half a window without any known capacity, want 1", sends)
 	}
-	n.now += set.Rules.ColdTime
+	n.now += set.Rules.SlowStartDuration
 	n.ask("late", 1, 0)
 	n.sentTo("r1")
 }
@@ -186,13 +186,13 @@
 			list = append(list, v)
 		}
 		n := newNode(t, settings(), list...)
-		v, r := n.s.servers["r4"], &request{class: n.s.classes["chat"]}
-		n.s.now, n.s.cost[r.class] = n.now, 1
-		for _, o := range n.s.order {
-			o.done.Add(n.now, time.Second, 200)
+		v, r := n.s.servers["r4"], &trackedRequest{class: n.s.classes["chat"]}
+		n.s.now, n.s.classTokens[r.class] = n.now, 1
+		for _, o := range n.s.sortedServers {
+			o.warmThroughput.Add(n.now, time.Second, 200)
 		}
 		for ; sends < 1000 && n.s.slowStartAllows(v, r); sends++ {
-			v.sends.Add(n.now, 1)
+			v.slowStartSends.Add(n.now, 1)
 		}
 		return sends
 	}
@@ -209,29 +209,29 @@
 		return n
 	}
 	n := begin() // the client leaves during the read, whose state comes in later
-	n.do(Gone{"a"})
+	n.do(ClientDisconnected{"a"})
 	wants[Release](n)
-	n.end("a", 0, "r1", Parsed)
+	n.end("a", 0, "r1", StatusPrefilled)
 	wants[Release](n)
 	n = begin() // all writers are gone when the read ends
-	n.do(Members{Form: ListWhole, Entries: []Server{reader("r1")}})
-	n.end("a", 0, "r1", Parsed)
+	n.do(MembershipUpdate{Form: MembershipSnapshot, Entries: []Server{reader("r1")}})
+	n.end("a", 0, "r1", StatusPrefilled)
 	if run(n, 900*ms) != 1 {
 		t.Error("no final answer within the release time")
 	}
 	wants[Release](n)
 	n = begin() // the writer fails for good
-	n.end("a", 0, "r1", Parsed)
-	n.do(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: NoAnswer, Done: true})
+	n.end("a", 0, "r1", StatusPrefilled)
+	n.do(Outcome{ID: "a", Attempt: 1, Server: "w1", Status: StatusTimedOut, RequestDone: true})
 	wants[Release](n)
 	n = begin() // the reader turns the request away while a place is held, and no other is there
-	p := n.s.reqs["a"].ahead
-	n.do(PlaceNote{ID: "a", Server: p.ID, Held: true})
-	n.end("a", 0, "r1", TurnedAway)
+	p := n.s.requests["a"].reservation
+	n.do(ReservationResult{ID: "a", Server: p.ID, Held: true})
+	n.end("a", 0, "r1", StatusRejected)
 	wants[Release](n)
 	n = begin() // the time is over
 	n.now += 5 * time.Second
-	n.end("a", 0, "r1", NoAnswer)
+	n.end("a", 0, "r1", StatusTimedOut)
 	wants[Refuse](n)
 	wants[Release](n)
 }
--- a/scheduler_test.go
+++ b/scheduler_test.go
@@ -16,10 +16,10 @@
 	set.Subscribe = true
 	n := newNode(t, set)
 	wants[Watch](n)
-	n.do(Members{Form: ListBroken})
+	n.do(MembershipUpdate{Form: MembershipFailed})
 	x, _ := pick[SetTimer](n)
 	n.now = x.At
-	n.do(Timer{x.Token})
+	n.do(TimerFired{x.Token})
 	wants[Watch](n)
 }
 
@@ -48,10 +48,10 @@
 		"no effect":    func(s *Settings) { s.Classes[0].Effect = 0 },
 		"attempts":     func(s *Settings) { s.Limits.MaxAttempts = -1 },
 		"nodes":        func(s *Settings) { s.Nodes = -1 },
-		"release":      func(s *Settings) { s.Rules.Release = -1 },
-		"multiple":     func(s *Settings) { s.Rules.FallMultiple = -1 },
-		"cold share":   func(s *Settings) { s.Rules.ColdFrom = -1 },
-		"fall windows": func(s *Settings) { s.Rules.FallWindow = -1 },
+		"release":      func(s *Settings) { s.Rules.ReleaseTimeout = -1 },
+		"multiple":     func(s *Settings) { s.Rules.SlowStartMultiple = -1 },
+		"cold share":   func(s *Settings) { s.Rules.SlowStartCapacity = -1 },
+		"fall windows": func(s *Settings) { s.Rules.SlowStartWindow = -1 },
 	} {
 		set := settings()
 		spoil(&set)
@@ -65,16 +65,16 @@
 	n := newNode(t, settings(), reader("r1"), writer("w1", 0))
 	n.ask("a", 1, 0)
 	for _, e := range []Event{
-		Gone{"z"}, Timer{9999}, First{ID: "a", Attempt: 7}, First{ID: "a", Server: "r1"}, Outcome{ID: "z"},
-		Outcome{ID: "a", Attempt: -1}, Outcome{ID: "a", Server: "w1"}, PlaceNote{ID: "z"}, Probed{Server: "z"},
+		ClientDisconnected{"z"}, TimerFired{9999}, AnswerStarted{ID: "a", Attempt: 7}, AnswerStarted{ID: "a", Server: "r1"}, Outcome{ID: "z"},
+		Outcome{ID: "a", Attempt: -1}, Outcome{ID: "a", Server: "w1"}, ReservationResult{ID: "z"}, ProbeResult{Server: "z"},
 	} {
 		if out := n.do(e); len(out) != 0 {
 			t.Errorf("%#v: %v", e, out)
 		}
 	}
-	n.end("a", 0, "r1", Parsed)
+	n.end("a", 0, "r1", StatusPrefilled)
 	n.sentTo("w1")
-	if out := n.end("a", 0, "r1", Parsed); len(out) != 0 {
+	if out := n.end("a", 0, "r1", StatusPrefilled); len(out) != 0 {
 		t.Errorf("repeated outcome: %v", out)
 	}
 }
--- a/settings.go
+++ b/settings.go
@@ -8,12 +8,12 @@
 )
 
 // check tells what is impossible about settings.
-func (set Settings) check() error {
+func (set Settings) validate() error {
 	if len(set.Kinds) == 0 || len(set.Classes) == 0 {
 		return errors.New("ashwood: settings name no kind of server or no class of requests")
 	}
 	for _, k := range set.Kinds {
-		if k.Role < RoleRead || k.Role > RoleBoth {
+		if k.Role < RoleRead || k.Role > RoleMixed {
 			return fmt.Errorf("ashwood: kind %q has no role", k.Name)
 		}
 	}
@@ -28,8 +28,8 @@
 		value float64
 	}{
 		{"the number of nodes", float64(set.Nodes)}, {"the attempt cap", float64(set.Limits.MaxAttempts)},
-		{"the fall multiple", r.FallMultiple}, {"the cold share", r.ColdFrom},
-		{"the release time", float64(r.Release)}, {"the fall window", float64(r.FallWindow)},
+		{"the fall multiple", r.SlowStartMultiple}, {"the cold share", r.SlowStartCapacity},
+		{"the release time", float64(r.ReleaseTimeout)}, {"the fall window", float64(r.SlowStartWindow)},
 	} {
 		if f.value < 0 {
 			return fmt.Errorf("ashwood: %s is below zero", f.name)
@@ -42,7 +42,7 @@
 func (set Settings) withDefaults() Settings {
 	set.Nodes = max(set.Nodes, 1)
 	set.Classes = slices.Clone(set.Classes)
-	for _, d := range []*time.Duration{&set.Rules.FallWindow, &set.Rules.ColdTime, &set.Rules.Release} {
+	for _, d := range []*time.Duration{&set.Rules.SlowStartWindow, &set.Rules.SlowStartDuration, &set.Rules.ReleaseTimeout} {
 		if *d <= 0 {
 			*d = time.Second
 		}
--- a/share_test.go
+++ b/share_test.go
@@ -12,25 +12,25 @@
 	sends := func(processes int) (n int) {
 		set := settings()
 		set.Nodes = 3
-		set.Rules = Rules{FallMultiple: 2.5, FallWindow: time.Second, ColdFrom: 0.31, ColdTime: 12 * time.Second, Release: time.Second}
+		set.Rules = Rules{SlowStartMultiple: 2.5, SlowStartWindow: time.Second, SlowStartCapacity: 0.31, SlowStartDuration: 12 * time.Second, ReleaseTimeout: time.Second}
 		for range processes {
 			r := newNode(t, set, reader("warm"), reader("cold"))
-			r.s.copies = float64(processes)
+			r.s.processes = float64(processes)
 			cold := r.s.servers["cold"]
 			for i := range 200 { // what a warm reader is seen to do
-				r.s.servers["warm"].done.Add(r.now+time.Duration(i)*10*time.Millisecond, time.Second, 1000)
+				r.s.servers["warm"].warmThroughput.Add(r.now+time.Duration(i)*10*time.Millisecond, time.Second, 1000)
 			}
 			r.now += 2 * time.Second
-			cold.Started, cold.since = r.now, r.now-time.Second
+			cold.Started, cold.restartedAt = r.now, r.now-time.Second
 			for range 100 {
-				q := &request{Request: Request{ID: RequestID(fmt.Sprint(n)), Class: "chat", PromptTokens: 1000}, class: r.s.classes["chat"]}
+				q := &trackedRequest{Request: Request{ID: RequestID(fmt.Sprint(n)), Class: "chat", PromptTokens: 1000}, class: r.s.classes["chat"]}
 				r.s.now = r.now
 				if q.class == nil {
 					t.Fatal("no such class")
 				}
-				r.s.cost[q.class] = 1000
+				r.s.classTokens[q.class] = 1000
 				if r.s.slowStartAllows(cold, q) {
-					cold.sends.Add(r.now, 1000)
+					cold.slowStartSends.Add(r.now, 1000)
 					n++
 				}
 			}
@@ -51,22 +51,22 @@
 	}
 	want := func(listed, avoided int) {
 		t.Helper()
-		if l, a := r.Engines(); l != listed || a != avoided {
+		if l, a := r.CountEngines(); l != listed || a != avoided {
 			t.Errorf("%d listed, %d avoided, want %d and %d", l, a, listed, avoided)
 		}
 	}
 	want(0, 0)
 	draining := reader("c")
-	draining.State = StateFading
-	r.Update(ListWhole, []Server{reader("a"), reader("b"), draining})
+	draining.State = StateDraining
+	r.Update(MembershipSnapshot, []Server{reader("a"), reader("b"), draining})
 	want(3, 1)
-	r.sched.servers["a"].ejected = true
+	r.scheduler.servers["a"].ejected = true
 	want(3, 2)
 	gone := reader("b")
-	gone.State = StateOff
-	r.Update(ListPatch, []Server{gone})
+	gone.State = StateRemoved
+	r.Update(MembershipDelta, []Server{gone})
 	want(2, 2)
-	r.Update(ListWhole, []Server{reader("b")})
+	r.Update(MembershipSnapshot, []Server{reader("b")})
 	want(1, 0)
 }
 
--- a/silence_test.go
+++ b/silence_test.go
@@ -14,8 +14,8 @@
 	set.Classes[0].Aim = 5 * time.Second // it is not overdue before
 	n = newNode(t, set, reader("r1"), writer("w1", 0), writer("w2", 0), writer("w3", 0))
 	n.do(Request{ID: "a", Class: class, Session: 1, PromptTokens: 320, TimeLeft: 5 * time.Second})
-	n.end("a", 0, "r1", Parsed)
-	a, _ := pick[Attempt](n)
+	n.end("a", 0, "r1", StatusPrefilled)
+	a, _ := pick[Send](n)
 	return n, string(a.Server)
 }
 
@@ -32,7 +32,7 @@
 		if !found {
 			return actions
 		}
-		actions = append(actions, n.do(Timer{next.Token})...)
+		actions = append(actions, n.do(TimerFired{next.Token})...)
 	}
 }
 
@@ -51,17 +51,17 @@
 func TestSilence_UnansweredProbe(t *testing.T) {
 	for class, leaves := range map[string]bool{"chat": true, "pay": false} {
 		n, w := atWriter(t, class)
-		if probes := asked[Probe](n.until(signWaitWrite)); len(probes) != 1 || string(probes[0].Server) != w {
+		if probes := asked[Probe](n.until(livenessWaitDecode)); len(probes) != 1 || string(probes[0].Server) != w {
 			t.Fatalf("%s: probes %v, want one of %s", class, probes, w)
 		}
-		if cancels := asked[Cancel](n.until(signAnswerWrite)); len(cancels) > 0 != leaves {
+		if cancels := asked[Cancel](n.until(livenessTimeoutDecode)); len(cancels) > 0 != leaves {
 			t.Fatalf("%s: cancelled %v", class, cancels)
 		}
 		if !leaves {
 			continue
 		}
-		n.end("a", 1, w, CalledOff)
-		if a, ok := pick[Attempt](n); !ok || string(a.Server) == w {
+		n.end("a", 1, w, StatusCancelled)
+		if a, ok := pick[Send](n); !ok || string(a.Server) == w {
 			t.Errorf("%s: sent to %q after %s", class, a.Server, w)
 		}
 	}
@@ -71,15 +71,15 @@
 // an answer that this node is too late to know of.
 func TestSilence_NoSilence(t *testing.T) {
 	for name, happens := range map[string]func(n *node, w ServerID){
-		"answered":               func(n *node, w ServerID) { n.do(Probed{Server: w, Status: Served}) },
-		"answered with an error": func(n *node, w ServerID) { n.do(Probed{Server: w, Status: ServerError}) },
-		"this node was held up":  func(n *node, _ ServerID) { n.now += signAnswerWrite + 2*signHeldUp },
+		"answered":               func(n *node, w ServerID) { n.do(ProbeResult{Server: w, Status: StatusServed}) },
+		"answered with an error": func(n *node, w ServerID) { n.do(ProbeResult{Server: w, Status: StatusServerError}) },
+		"this node was held up":  func(n *node, _ ServerID) { n.now += livenessTimeoutDecode + 2*maxTimerLateness },
 	} {
 		n, w := atWriter(t, "chat")
-		n.until(signWaitWrite)
+		n.until(livenessWaitDecode)
 		n.now += 10 * ms
 		happens(n, ServerID(w))
-		actions := n.until(signEvery + signWaitWrite)
+		actions := n.until(livenessInterval + livenessWaitDecode)
 		first := slices.IndexFunc(actions, func(a Action) bool { _, ok := a.(Probe); return ok })
 		left := slices.IndexFunc(actions, func(a Action) bool { _, ok := a.(Cancel); return ok })
 		if first < 0 || left >= 0 && left < first {
@@ -95,8 +95,8 @@
 	set.Classes[2].Aim = 5 * time.Second // it is not overdue before
 	n := newNode(t, set, reader("r1"), reader("r2"), writer("w1", 0))
 	n.do(Request{ID: "a", Class: "pay", Session: 1, PromptTokens: 320, TimeLeft: 5 * time.Second})
-	n.until(signWaitRead)
-	if len(asked[Cancel](n.until(signAnswerRead))) != 1 {
+	n.until(livenessWaitPrefill)
+	if len(asked[Cancel](n.until(livenessTimeoutPrefill))) != 1 {
 		t.Errorf("it is not left: %v", n.out)
 	}
 }
@@ -105,17 +105,17 @@
 // yet: they do a moment later. Those that still have not then have stopped.
 func TestSilence_AnswersOfAServerThatIsJustBack(t *testing.T) {
 	n, w := atWriter(t, "chat")
-	n.do(First{ID: "a", Attempt: 1, Server: ServerID(w)})
-	v, r, since := n.s.servers[ServerID(w)], n.s.reqs["a"], n.now
+	n.do(AnswerStarted{ID: "a", Attempt: 1, Server: ServerID(w)})
+	v, r, since := n.s.servers[ServerID(w)], n.s.requests["a"], n.now
 	n.now += 4 * time.Second
-	v.began[writing] = since + ms // another answer, to what was sent later, begins
-	v.hear(n.now)
+	v.latestStartedSend[stageDecode] = since + ms // another answer, to what was sent later, begins
+	v.recordResponse(n.now)
 	for _, tt := range []struct {
 		after time.Duration
 		want  bool
-	}{{0, false}, {backWait, true}} {
+	}{{0, false}, {recoveryGrace, true}} {
 		n.s.now = n.now + tt.after
-		if over, _ := n.s.stopped(r, 1, v, since, since, false); over != tt.want {
+		if over, _ := n.s.answerStalled(r, 1, v, since, since, false); over != tt.want {
 			t.Errorf("%v behind its return: stopped %v, want %v", tt.after, over, tt.want)
 		}
 	}
--- a/size_test.go
+++ b/size_test.go
@@ -37,7 +37,7 @@
 	for _, nodes := range []int{50, 300} {
 		n := newNode(t, nodesOf(nodes), fleetOf(30, 30)...)
 		n.ask("a", 1, 7)
-		first, _ := pick[Attempt](n)
+		first, _ := pick[Send](n)
 		n.ask("b", 1, 7)
 		n.sentTo(string(first.Server))
 	}
@@ -51,8 +51,8 @@
 		set.Reports = ReportInline
 		n := newNode(t, set, fleetOf(30, 0)...)
 		n.ask("a", 1, 7)
-		first, _ := pick[Attempt](n)
-		for _, v := range n.s.order {
+		first, _ := pick[Send](n)
+		for _, v := range n.s.sortedServers {
 			switch v.ID {
 			case first.Server: // it holds the prefix and is at work
 				v.report, v.reportAt = Report{ReportInFlight: 2}, n.now
@@ -60,18 +60,18 @@
 				v.report, v.reportAt = Report{ReportInFlight: 3}, n.now
 			}
 		}
-		n.s.servers[first.Server].reads = 0 // what is in flight here tells nothing
-		for key := uint64(2); ; key++ {     // a session that would come here too
+		n.s.servers[first.Server].pendingPrefills = 0 // what is in flight here tells nothing
+		for key := uint64(2); ; key++ {               // a session that would come here too
 			other := newNode(t, set, fleetOf(30, 0)...)
 			other.ask("b", key, 7)
-			if a, _ := pick[Attempt](other); a.Server == first.Server {
+			if a, _ := pick[Send](other); a.Server == first.Server {
 				n.ask("b", key, 7)
 				n.sentTo(string(first.Server))
 				break
 			}
 		}
 		n.s.servers[first.Server].report = Report{ReportInFlight: 30}
-		if n.ask("c", 1, 7); slices.Contains(n.out, Action(Attempt{ID: "c", Server: first.Server, Timeout: 5 * time.Second})) {
+		if n.ask("c", 1, 7); slices.Contains(n.out, Action(Send{ID: "c", Server: first.Server, Timeout: 5 * time.Second})) {
 			t.Errorf("%d nodes: a overloaded home is taken", nodes)
 		}
 	}
@@ -84,11 +84,11 @@
 		low, high float64
 	}{
 		{1, 3, 1, 3, 3}, {2, 3, 1, 6, 6}, // own counts tell
-		{50, 1, 0.04, 1, countGap}, {300, 1, 0.01, 1, countGap}, // chance
+		{50, 1, 0.04, 1, maxLoadGap}, {300, 1, 0.01, 1, maxLoadGap}, // chance
 		{50, 20, 2, 300, 1000}, // more than chance gives
 		{50, 0, 0, 0, 0},
 	} {
-		if got := trend.Fleet(tt.nodes, tt.own, tt.mean, 1); got < tt.low || got > tt.high {
+		if got := trend.FleetTotal(tt.nodes, tt.own, tt.mean, 1); got < tt.low || got > tt.high {
 			t.Errorf("%d nodes, own %v of mean %v: %v", tt.nodes, tt.own, tt.mean, got)
 		}
 	}
@@ -101,24 +101,24 @@
 		n := newNode(t, nodesOf(nodes), fleetOf(20, 20)...)
 		for i := 0; i < 30; i++ {
 			n.now += time.Second
-			n.s.pace[reading].Observe(n.now, 50*ms, 320)
+			n.s.stageLatency[stagePrefill].Observe(n.now, 50*ms, 320)
 		}
 		n.ask("a", 1, 0)
-		a, _ := pick[Attempt](n)
+		a, _ := pick[Send](n)
 		n.now += 600 * ms
-		n.s.now, n.s.out = n.now, nil
-		n.s.overdue(n.s.reqs["a"], 0)
-		n.out = n.s.out
+		n.s.now, n.s.actions = n.now, nil
+		n.s.handleOverdue(n.s.requests["a"], 0)
+		n.out = n.s.actions
 		if _, got := pick[Cancel](n); got != want {
 			t.Errorf("%d nodes: called off %v, want %v", nodes, got, want)
 		}
 		n.now += time.Second
-		n.s.now, n.s.out = n.now, nil
-		n.s.overdue(n.s.reqs["a"], 0)
-		n.out = n.s.out
+		n.s.now, n.s.actions = n.now, nil
+		n.s.handleOverdue(n.s.requests["a"], 0)
+		n.out = n.s.actions
 		wants[Cancel](n) // an answer that never comes, though the server may serve others
-		n.end("a", 0, string(a.Server), CalledOff)
-		if b, _ := pick[Attempt](n); b.Server == a.Server || b.Server == "" {
+		n.end("a", 0, string(a.Server), StatusCancelled)
+		if b, _ := pick[Send](n); b.Server == a.Server || b.Server == "" {
 			t.Errorf("%d nodes: after %s to %q", nodes, a.Server, b.Server)
 		}
 	}
@@ -138,7 +138,7 @@
 	} {
 		n := newNode(t, nodesOf(tt.nodes), fleetOf(20, 20)...)
 		for i := 0; i < 30; i++ {
-			n.s.pace[reading].Observe(n.now, tt.latency, 320)
+			n.s.stageLatency[stagePrefill].Observe(n.now, tt.latency, 320)
 		}
 		n.now += tt.age
 		n.ask("a", 1, 0)
@@ -154,9 +154,9 @@
 	for latency, other := range map[time.Duration]bool{2 * ms: false, 300 * ms: true} {
 		n := newNode(t, settings(), reader("r1"), reader("r2"), writer("w1", 0))
 		n.ask("a", 1, 7)
-		a, _ := pick[Attempt](n)
-		n.do(Outcome{ID: "a", Server: a.Server, Status: TurnedAway, Latency: latency})
-		b, _ := pick[Attempt](n)
+		a, _ := pick[Send](n)
+		n.do(Outcome{ID: "a", Server: a.Server, Status: StatusRejected, Latency: latency})
+		b, _ := pick[Send](n)
 		if b.Server == a.Server {
 			t.Fatalf("%v: back to %s", latency, a.Server)
 		}
@@ -164,8 +164,8 @@
 		n.sentTo(string(b.Server))
 		n.do(Request{ID: "other", Class: "pay", Session: 1, Prefix: 7, PrefixTokens: 160, PromptTokens: 160,
 			TimeLeft: 5 * time.Second})
-		x, _ := pick[Attempt](n)
-		if got := n.s.usable(&request{class: n.s.classes["pay"]}, n.s.servers[a.Server]); got != other {
+		x, _ := pick[Send](n)
+		if got := n.s.usable(&trackedRequest{class: n.s.classes["pay"]}, n.s.servers[a.Server]); got != other {
 			t.Errorf("%v: usable for others %v, want %v; sent to %s", latency, got, other, x.Server)
 		}
 	}
@@ -177,13 +177,13 @@
 func TestNewServersGetTheirPartFromManyNodes(t *testing.T) {
 	const nodes, perSecond, seconds = 80, 90, 12
 	set := nodesOf(nodes)
-	set.Rules.FallMultiple, set.Rules.ColdFrom, set.Rules.ColdTime = 2.5, 0.31, 12*time.Second
+	set.Rules.SlowStartMultiple, set.Rules.SlowStartCapacity, set.Rules.SlowStartDuration = 2.5, 0.31, 12*time.Second
 	old := fleetOf(24, 36)
 	patch := []Server{}
 	for i, v := range old {
 		if i%5 < 3 {
 			gone := v
-			gone.State = StateOff
+			gone.State = StateRemoved
 			next := v
 			next.ID, next.Started = "new-"+v.ID, time.Hour
 			patch = append(patch, gone, next)
@@ -194,7 +194,7 @@
 		n := newNode(t, set, old...)
 		n.s.rng.Seed(int64(i))
 		n.now = time.Hour
-		n.do(Members{Form: ListPatch, Entries: patch})
+		n.do(MembershipUpdate{Form: MembershipDelta, Entries: patch})
 		all = append(all, n)
 	}
 	sent := map[ServerID][]time.Duration{}
@@ -203,15 +203,15 @@
 		n.now = time.Hour + time.Duration(k)*time.Second/perSecond
 		id := fmt.Sprint("q", k)
 		n.ask(id, uint64(k), uint64(k%40+1))
-		a, _ := pick[Attempt](n)
-		n.end(id, 0, string(a.Server), Parsed)
-		b, _ := pick[Attempt](n)
-		n.do(Outcome{ID: RequestID(id), Attempt: 1, Server: b.Server, Status: Served, Done: true, Latency: 9 * ms})
+		a, _ := pick[Send](n)
+		n.end(id, 0, string(a.Server), StatusPrefilled)
+		b, _ := pick[Send](n)
+		n.do(Outcome{ID: RequestID(id), Attempt: 1, Server: b.Server, Status: StatusServed, RequestDone: true, Latency: 9 * ms})
 		sent[a.Server], sent[b.Server] = append(sent[a.Server], n.now), append(sent[b.Server], n.now)
 	}
-	share := set.Rules.FallMultiple * set.Rules.ColdFrom
+	share := set.Rules.SlowStartMultiple * set.Rules.SlowStartCapacity
 	total := map[Role]int{}
-	for _, v := range all[0].s.order {
+	for _, v := range all[0].s.sortedServers {
 		if v.Started == 0 {
 			continue
 		}
@@ -224,7 +224,7 @@
 		if most := can*seconds + nodes*2/3; float64(len(got)) > most { // each node may hold a turn in hand
 			t.Errorf("%s got %d requests, of %.0f that it can do", v.ID, len(got), most)
 		}
-		if in := mostWithin(got, set.Rules.FallWindow); float64(in) > slowStartLimit(can) {
+		if in := mostWithin(got, set.Rules.SlowStartWindow); float64(in) > slowStartLimit(can) {
 			t.Errorf("%s got %d requests within a second, of %.1f that it can do", v.ID, in, can)
 		}
 	}
@@ -256,15 +256,15 @@
 					continue
 				}
 				probes++
-				if at, before := last[p.Server]; before && n.now-at < probeEvery {
+				if at, before := last[p.Server]; before && n.now-at < loadProbeInterval {
 					t.Errorf("%s is asked again after %v", p.Server, n.now-at)
 				}
 				last[p.Server] = n.now
-				n.do(Probed{Server: p.Server, Status: Served, Report: Report{ReportInFlight: 1}})
+				n.do(ProbeResult{Server: p.Server, Status: StatusServed, Report: Report{ReportInFlight: 1}})
 			}
 		}
 	}
-	if probes == 0 || probes > probesAtOnce*requests {
+	if probes == 0 || probes > maxProbesPerChoice*requests {
 		t.Errorf("%d probes for %d requests", probes, requests)
 	}
 }
@@ -284,12 +284,12 @@
 			n.s.rng.Seed(seed)
 			for i := range 5 {
 				n.ask(fmt.Sprint(i), uint64(i), 0)
-				n.end(fmt.Sprint(i), 0, "r1", Parsed)
-				b, _ := pick[Attempt](n)
+				n.end(fmt.Sprint(i), 0, "r1", StatusPrefilled)
+				b, _ := pick[Send](n)
 				if asked++; b.Server == "small" {
 					small++
 				}
-				n.do(Outcome{ID: RequestID(fmt.Sprint(i)), Attempt: 1, Server: b.Server, Status: Served, Done: true, Latency: 9 * ms})
+				n.do(Outcome{ID: RequestID(fmt.Sprint(i)), Attempt: 1, Server: b.Server, Status: StatusServed, RequestDone: true, Latency: 9 * ms})
 			}
 		}
 		if part := float64(small) / float64(asked); part < least || part > 0.45 || nodes == 3 && part > 0 {
@@ -311,10 +311,10 @@
 		set.Reports, set.Limits.Probes = ReportInline, true
 		n := newNode(t, set, fleetOf(6, 6)...)
 		for i := range 6 {
-			n.do(Probed{Server: ServerID(fmt.Sprint("r", i)), Status: Served, Report: Report{ReportInFlight: 2}})
+			n.do(ProbeResult{Server: ServerID(fmt.Sprint("r", i)), Status: StatusServed, Report: Report{ReportInFlight: 2}})
 		}
-		n.do(Probed{Server: "r3", Status: Served, Report: Report{ReportInFlight: tt.inflight}})
-		pool := n.s.pool(&request{class: n.s.classes["chat"]}, reads)
+		n.do(ProbeResult{Server: "r3", Status: StatusServed, Report: Report{ReportInFlight: tt.inflight}})
+		pool := n.s.eligibleServers(&trackedRequest{class: n.s.classes["chat"]}, isPrefill)
 		if left := len(pool) == 5; left != tt.left {
 			t.Errorf("%+v: %d readers to choose from", tt, len(pool))
 		}
@@ -327,16 +327,16 @@
 		n.now += 200 * ms
 		id := fmt.Sprint("q", i)
 		n.ask(id, uint64(i), uint64(i))
-		a, _ := pick[Attempt](n)
-		n.end(id, 0, string(a.Server), Parsed)
-		b, _ := pick[Attempt](n)
-		n.do(Outcome{ID: RequestID(id), Attempt: 1, Server: b.Server, Status: Served, Done: true, Latency: 9 * ms})
+		a, _ := pick[Send](n)
+		n.end(id, 0, string(a.Server), StatusPrefilled)
+		b, _ := pick[Send](n)
+		n.do(Outcome{ID: RequestID(id), Attempt: 1, Server: b.Server, Status: StatusServed, RequestDone: true, Latency: 9 * ms})
 	}
-	if most := int(2 * 2 * blockExpiry / (200 * ms)); n.s.table.Len() > most || len(n.s.reqs) > 0 {
-		t.Errorf("%d runs and %d requests remembered, at most %d and none", n.s.table.Len(), len(n.s.reqs), most)
+	if most := int(2 * 2 * blockExpiry / (200 * ms)); n.s.prefixTable.Len() > most || len(n.s.requests) > 0 {
+		t.Errorf("%d runs and %d requests remembered, at most %d and none", n.s.prefixTable.Len(), len(n.s.requests), most)
 	}
-	if math.Abs(n.s.table.Uses()-float64(n.s.table.Len()/2)) > 1 {
-		t.Errorf("%v uses counted for %d runs", n.s.table.Uses(), n.s.table.Len())
+	if math.Abs(n.s.prefixTable.TotalUses()-float64(n.s.prefixTable.Len()/2)) > 1 {
+		t.Errorf("%v uses counted for %d runs", n.s.prefixTable.TotalUses(), n.s.prefixTable.Len())
 	}
 }
 
@@ -347,7 +347,7 @@
 		b.Fatal(err)
 	}
 	now := time.Hour
-	out := s.Handle(now, Members{Form: ListStale, Entries: fleetOf(40, 60)}, nil)
+	out := s.Handle(now, MembershipUpdate{Form: MembershipStale, Entries: fleetOf(40, 60)}, nil)
 	for i := 0; b.Loop(); i++ {
 		now += 500 * ms
 		id := RequestID(fmt.Sprint("q", i))
@@ -355,9 +355,9 @@
 			PromptTokens: 4000, TimeLeft: 5 * time.Second}, out[:0])
 		for n := 0; n < 2; n++ {
 			for _, a := range out {
-				if a, ok := a.(Attempt); ok {
-					st := []Status{Parsed, Served}[n]
-					out = s.Handle(now, Outcome{ID: id, Attempt: n, Server: a.Server, Status: st, Done: n == 1,
+				if a, ok := a.(Send); ok {
+					st := []Status{StatusPrefilled, StatusServed}[n]
+					out = s.Handle(now, Outcome{ID: id, Attempt: n, Server: a.Server, Status: st, RequestDone: n == 1,
 						Latency: 50 * ms}, nil)
 					break
 				}
--- a/state.go
+++ b/state.go
@@ -16,187 +16,187 @@
 
 // health is the trust in a server, or in the path to a zone.
 type health struct {
-	fail    float64       // failing share of recent attempts
-	until   time.Duration // ejected until
-	backoff time.Duration
-	ejected bool
-	trial   RequestID // the single request that tries it again
+	failureRate  float64       // failing share of recent attempts
+	ejectedUntil time.Duration // ejected until
+	backoff      time.Duration
+	ejected      bool
+	trialRequest RequestID // the single request that tries it again
 }
 
-type server struct {
+type trackedServer struct {
 	Server
 	health
-	path        *health // to its zone
-	role        Role
-	memory      float64
-	listed      bool    // on; anything else gets nothing new
-	reads       int     // own unfinished reads
-	queue       float64 // own tokens that wait to be read or fetched
-	held        float64 // own prompt tokens sent to it as a writer, until the answer's end
-	sentSince   float64 // of those, sent since the report
-	report      Report
-	reportAt    time.Duration
-	polled      time.Duration // last asked for it
-	heardAt     time.Duration // it last sent anything back
-	backAt      time.Duration // it was heard again after a silence
-	signAsked   time.Duration // last probed for a sign of life
-	runs        prefix.Held
-	hash        uint64                // of its id
-	ratio       float64               // latency against what its role takes for like work
-	alive       time.Duration         // it last finished or began something
-	began       [stages]time.Duration // the latest send that it has begun to answer
-	pausedUntil time.Duration
-	refuses     map[[2]string]time.Duration // kinds of request, until when
-	pause       time.Duration               // the last pause after it would not take a request
-	sends       slowstart.Sends             // in slow start
-	since       time.Duration               // known to have started anew
-	credit      slowstart.Credit            // where many nodes share its budget in slow start
-	phase       float64                     // drawn then, of this node among those that share its slow start
-	done        trend.Rate                  // work finished once warm
+	zonePath          *health // to its zone
+	role              Role
+	memoryTokens      float64
+	active            bool    // on; anything else gets nothing new
+	pendingPrefills   int     // own unfinished reads
+	queuedTokens      float64 // own tokens that wait to be read or fetched
+	decodeTokens      float64 // own prompt tokens sent to it as a writer, until the answer's end
+	sentSinceReport   float64 // of those, sent since the report
+	report            Report
+	reportAt          time.Duration
+	loadProbedAt      time.Duration // last asked for it
+	lastResponseAt    time.Duration // it last sent anything back
+	recoveredAt       time.Duration // it was heard again after a silence
+	livenessProbedAt  time.Duration // last probed for a sign of life
+	prefixRuns        prefix.ServerRuns
+	idHash            uint64                   // of its id
+	latencyRatio      float64                  // latency against what its role takes for like work
+	lastProgressAt    time.Duration            // it last finished or began something
+	latestStartedSend [numStages]time.Duration // the latest send that it has begun to answer
+	pausedUntil       time.Duration
+	rejectsUntil      map[[2]string]time.Duration // kinds of request, until when
+	pauseLength       time.Duration               // the last pause after it would not take a request
+	slowStartSends    slowstart.Sends             // in slow start
+	restartedAt       time.Duration               // known to have started anew
+	slowStartCredit   slowstart.Credit            // where many nodes share its budget in slow start
+	slowStartPhase    float64                     // drawn then, of this node among those that share its slow start
+	warmThroughput    trend.Rate                  // work finished once warm
 }
 
 // stage is what an attempt does.
 type stage int
 
 const (
-	reading    stage = iota
-	writing          // with a state from the same cell, or none
-	writingFar       // the state has to leave the reader's cell
-	stages
+	stagePrefill   stage = iota
+	stageDecode          // with a state from the same cell, or none
+	stageDecodeFar       // the state has to leave the reader's cell
+	numStages
 )
 
 // attempt is one send.
-type attempt struct {
-	srv    *server
-	write  bool // it may answer
-	out    bool
-	begun  bool // its answer has
-	stage  stage
-	sent   time.Duration
-	tokens float64 // to be read or fetched
-	queue  float64 // own tokens waiting there, these included
-	kept   float64 // tokens that the table was sure of
-	silent bool    // its server has left a probe without an answer since
+type trackedAttempt struct {
+	server        *trackedServer
+	decodes       bool // it may answer
+	inFlight      bool
+	answerStarted bool // its answer has
+	stage         stage
+	sentAt        time.Duration
+	workTokens    float64 // to be read or fetched
+	queuedTokens  float64 // own tokens waiting there, these included
+	cachedTokens  float64 // tokens that the table was sure of
+	serverSilent  bool    // its server has left a probe without an answer since
 }
 
 // overtaken tells that its server has begun what was sent later: its connection may have
 // fallen silent, and then its wait says nothing of how long the work takes.
-func (a *attempt) overtaken() bool { return a.srv.began[a.stage] > a.sent }
+func (a *trackedAttempt) overtaken() bool { return a.server.latestStartedSend[a.stage] > a.sentAt }
 
-type request struct {
+type trackedRequest struct {
 	Request
-	class    *Class
-	deadline time.Duration
-	arrived  time.Duration
-	idle     time.Duration // of the last outcome; rule 5 counts from it
-	attempts []*attempt
-	ran      *attempt // the first that may have had an effect
-	out      int
-	state    *server // reader that holds its read state
-	ahead    *server // writer asked to hold a place
-	held     bool    // and it does
-	polls    int     // how often its homes were asked for their load
-	near     bool    // a connect to another zone never came up: it goes on in this one
-	asked    int     // places asked for
-	tried    map[*server]bool
-	done     bool
+	class             *Class
+	deadline          time.Duration
+	arrivedAt         time.Duration
+	idleSince         time.Duration // of the last outcome; rule 5 counts from it
+	attempts          []*trackedAttempt
+	firstRun          *trackedAttempt // the first that may have had an effect
+	inFlight          int
+	stateHolder       *trackedServer // reader that holds its read state
+	reservation       *trackedServer // writer asked to hold a place
+	reservationHeld   bool           // and it does
+	probeRounds       int            // how often its homes were asked for their load
+	stayInZone        bool           // a connect to another zone never came up: it goes on in this one
+	reservationsAsked int            // places asked for
+	tried             map[*trackedServer]bool
+	done              bool
 }
 
 // timer tells what a Timer event is for: an attempt to look at, or one of these.
-type timer struct {
-	id      RequestID
-	what    int
-	attempt int // with lookForSign
+type pendingTimer struct {
+	requestID RequestID
+	purpose   int
+	attempt   int // with lookForSign
 }
 
 const (
-	lookAgain = -1 - iota
-	watchAgain
-	endRequests
-	lookForSign
+	timerAdvance = -1 - iota
+	timerWatch
+	timerShutdown
+	timerLiveness
 )
 
 // Scheduler makes the decisions of one node.
 type Scheduler struct {
-	set        Settings
-	rng        *rand.Rand
-	kinds      map[string]Kind
-	classes    map[string]*Class
-	quota      map[string]float64 // this node's part of a tenant's share
-	asked      map[string]*trend.Rate
-	topWorth   float64
-	minAim     time.Duration
-	longest    float64            // tokens of a prompt that fits into the memory of some server of each stage
-	crowd      float64            // of nodes: 0 where own counts tell of the fleet (up to two), near 1 where they are chance
-	impatience map[string]float64 // of a tenant's clients: how far before the shortest aim they leave
-	servers    map[ServerID]*server
-	order      []*server          // by id, so that no loop depends on map order
-	zones      map[string]*health // paths to other zones
-	reqs       map[RequestID]*request
-	timers     map[uint64]timer
-	next       uint64
-	copies     float64       // processes that count as this one node
-	endsAt     time.Duration // by then each request has its answer; math.MaxInt64 = not known
-	table      prefix.Table
-	pace       [stages]trend.Line
-	cost       map[*Class]float64
-	prompt     float64    // tokens of a prompt
-	coming     trend.Rate // tokens of the prompts that come in
-	now        time.Duration
-	out        []Action
+	settings         Settings
+	rng              *rand.Rand
+	kinds            map[string]Kind
+	classes          map[string]*Class
+	tenantQuota      map[string]float64 // this node's part of a tenant's share
+	tenantRate       map[string]*trend.Rate
+	maxWorth         float64
+	minAim           time.Duration
+	maxPromptTokens  float64            // tokens of a prompt that fits into the memory of some server of each stage
+	unseenShare      float64            // of nodes: 0 where own counts tell of the fleet (up to two), near 1 where they are chance
+	tenantImpatience map[string]float64 // of a tenant's clients: how far before the shortest aim they leave
+	servers          map[ServerID]*trackedServer
+	sortedServers    []*trackedServer   // by id, so that no loop depends on map order
+	zonePaths        map[string]*health // paths to other zones
+	requests         map[RequestID]*trackedRequest
+	timers           map[uint64]pendingTimer
+	lastTimer        uint64
+	processes        float64       // processes that count as this one node
+	shutdownAt       time.Duration // by then each request has its answer; math.MaxInt64 = not known
+	prefixTable      prefix.Table
+	stageLatency     [numStages]trend.LatencyLine
+	classTokens      map[*Class]float64
+	meanPromptTokens float64    // tokens of a prompt
+	arrivingTokens   trend.Rate // tokens of the prompts that come in
+	now              time.Duration
+	actions          []Action
 }
 
-func (s *Scheduler) act(a Action) { s.out = append(s.out, a) }
+func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
 
-func (s *Scheduler) after(d time.Duration, t timer) {
-	s.next++
-	s.timers[s.next] = t
-	s.act(SetTimer{At: s.now + max(d, time.Millisecond), Token: s.next})
+func (s *Scheduler) setTimer(d time.Duration, t pendingTimer) {
+	s.lastTimer++
+	s.timers[s.lastTimer] = t
+	s.emit(SetTimer{At: s.now + max(d, time.Millisecond), Token: s.lastTimer})
 }
 
 // find gives the attempt that an event is about, if it is still out.
-func (s *Scheduler) find(id RequestID, n int, v ServerID) (*request, *attempt) {
-	r := s.reqs[id]
-	if r == nil || n < 0 || n >= len(r.attempts) || !r.attempts[n].out || r.attempts[n].srv.ID != v {
+func (s *Scheduler) findInFlight(id RequestID, n int, v ServerID) (*trackedRequest, *trackedAttempt) {
+	r := s.requests[id]
+	if r == nil || n < 0 || n >= len(r.attempts) || !r.attempts[n].inFlight || r.attempts[n].server.ID != v {
 		return nil, nil
 	}
 	return r, r.attempts[n]
 }
 
-func (s *Scheduler) heard(v *server, rep Report) {
+func (s *Scheduler) recordReport(v *trackedServer, rep Report) {
 	if len(rep) > 0 {
-		v.report, v.reportAt, v.sentSince = rep, s.now, 0
+		v.report, v.reportAt, v.sentSinceReport = rep, s.now, 0
 	}
 }
 
-func newServer(id ServerID) *server {
-	return &server{ratio: 1, runs: prefix.Held{}, refuses: map[[2]string]time.Duration{}, hash: rendezvous.Hash(string(id))}
+func newServer(id ServerID) *trackedServer {
+	return &trackedServer{latencyRatio: 1, prefixRuns: prefix.ServerRuns{}, rejectsUntil: map[[2]string]time.Duration{}, idHash: rendezvous.Hash(string(id))}
 }
 
 // running is the unfinished work that a server last reported, in requests of the mean prompt, 0
 // without a report. Prompts differ by orders of magnitude: where tokens are told, they count. Of
 // few nodes, whose own counts are in requests, requests do.
-func (s *Scheduler) running(v *server) float64 {
-	if waiting, told := v.report[ReportWaiting]; told && s.prompt > 0 && s.set.Nodes > manyNodes {
-		return waiting * 1000 / s.prompt
+func (s *Scheduler) reportedLoad(v *trackedServer) float64 {
+	if waiting, told := v.report[ReportWaiting]; told && s.meanPromptTokens > 0 && s.settings.Nodes > manyNodes {
+		return waiting * 1000 / s.meanPromptTokens
 	}
 	return max(v.report[ReportInFlight], v.report[ReportQueue])
 }
 
 // score is the rank of a server for a key, alike at all nodes.
-func (v *server) score(key uint64) uint64 { return rendezvous.Weight(v.hash, key) }
+func (v *trackedServer) rendezvousWeight(key uint64) uint64 { return rendezvous.Weight(v.idHash, key) }
 
 // homesIn gives n readers of a pool by the session's key, of so many by the prefix's.
-func (r *request) homesIn(pool []*server, many, n int) []*server {
+func (r *trackedRequest) affinityTargetsIn(pool []*trackedServer, many, n int) []*trackedServer {
 	prefix := cmp.Or(r.Prefix, r.Session)
-	homes := rendezvous.Top(pool, many, func(v *server) uint64 { return v.score(prefix) })
-	return rendezvous.Top(homes, n, func(v *server) uint64 { return v.score(r.Session) })
+	homes := rendezvous.Top(pool, many, func(v *trackedServer) uint64 { return v.rendezvousWeight(prefix) })
+	return rendezvous.Top(homes, n, func(v *trackedServer) uint64 { return v.rendezvousWeight(r.Session) })
 }
 
 // byZone parts servers into those of this node's zone and others.
-func (s *Scheduler) byZone(pool []*server) (near, far []*server) {
+func (s *Scheduler) splitByZone(pool []*trackedServer) (near, far []*trackedServer) {
 	for _, v := range pool {
-		if v.Zone == s.set.Zone {
+		if v.Zone == s.settings.Zone {
 			near = append(near, v)
 		} else {
 			far = append(far, v)
@@ -208,14 +208,14 @@
 // transferDelay is how much longer an answer takes to begin where its state has to leave
 // the reader's cell, less with the age of what is known of it.
 func (s *Scheduler) transferDelay() float64 {
-	far := &s.pace[writingFar]
-	return max(far.Y-s.pace[writing].Y, 0) * math.Exp(-float64(s.now-far.Last)/float64(4*s.minAim))
+	far := &s.stageLatency[stageDecodeFar]
+	return max(far.Mean-s.stageLatency[stageDecode].Mean, 0) * math.Exp(-float64(s.now-far.Last)/float64(4*s.minAim))
 }
 
 // mean averages a figure over the listed servers of a role that have it.
-func (s *Scheduler) mean(role Role, figure func(*server) (float64, bool)) (mean, n float64) {
-	for _, v := range s.order {
-		if x, ok := figure(v); ok && v.listed && v.role == role {
+func (s *Scheduler) meanOver(role Role, figure func(*trackedServer) (float64, bool)) (mean, n float64) {
+	for _, v := range s.sortedServers {
+		if x, ok := figure(v); ok && v.active && v.role == role {
 			n++
 			mean += (x - mean) / n
 		}
@@ -225,56 +225,56 @@
 
 // parts gives the two runs of a prompt's leading blocks: what it shares with
 // other sessions, then its session's own.
-func (r *request) parts() []prefix.Part {
+func (r *trackedRequest) prefixParts() []prefix.Part {
 	all, shared := int(r.PromptTokens)/blockTokens, 0
 	if r.Prefix != 0 {
 		shared = min(int(r.PrefixTokens)/blockTokens, all)
 	}
-	return []prefix.Part{{Key: prefix.Key{Hash: r.Prefix}, Blocks: shared}, {Key: prefix.Key{Hash: r.Session, Own: true}, Blocks: all - shared}}
+	return []prefix.Part{{Key: prefix.Key{Hash: r.Prefix}, Blocks: shared}, {Key: prefix.Key{Hash: r.Session, PerSession: true}, Blocks: all - shared}}
 }
 
 // match counts the leading tokens of a prompt that a server holds, and those
 // that it surely holds.
-func (s *Scheduler) match(r *request, v *server) (tokens, sure float64) {
-	held, known := s.table.Match(s.now, v.runs, r.parts())
+func (s *Scheduler) matchPrefix(r *trackedRequest, v *trackedServer) (tokens, sure float64) {
+	held, known := s.prefixTable.Match(s.now, v.prefixRuns, r.prefixParts())
 	return float64(held * blockTokens), float64(known * blockTokens)
 }
 
 // empty is a scheduler that knows its settings, and nothing of the fleet yet.
-func empty(set Settings, seed int64) *Scheduler {
+func newScheduler(set Settings, seed int64) *Scheduler {
 	s := &Scheduler{
-		set: set, rng: rand.New(rand.NewSource(seed)), kinds: map[string]Kind{}, classes: map[string]*Class{},
-		quota: map[string]float64{}, servers: map[ServerID]*server{}, zones: map[string]*health{},
-		reqs: map[RequestID]*request{}, timers: map[uint64]timer{}, cost: map[*Class]float64{},
-		asked: map[string]*trend.Rate{}, impatience: map[string]float64{},
-		copies: 1, endsAt: math.MaxInt64, table: prefix.Table{MaxBlocks: maxBlocks, Expiry: blockExpiry},
-		minAim: math.MaxInt64, topWorth: math.SmallestNonzeroFloat64,
-		crowd: max(1-2/float64(set.Nodes), 0),
+		settings: set, rng: rand.New(rand.NewSource(seed)), kinds: map[string]Kind{}, classes: map[string]*Class{},
+		tenantQuota: map[string]float64{}, servers: map[ServerID]*trackedServer{}, zonePaths: map[string]*health{},
+		requests: map[RequestID]*trackedRequest{}, timers: map[uint64]pendingTimer{}, classTokens: map[*Class]float64{},
+		tenantRate: map[string]*trend.Rate{}, tenantImpatience: map[string]float64{},
+		processes: 1, shutdownAt: math.MaxInt64, prefixTable: prefix.Table{MaxBlocks: maxBlocks, Expiry: blockExpiry},
+		minAim: math.MaxInt64, maxWorth: math.SmallestNonzeroFloat64,
+		unseenShare: max(1-2/float64(set.Nodes), 0),
 	}
 	for _, kind := range set.Kinds {
 		s.kinds[kind.Name] = kind
 	}
-	s.longest = min(mostMemory(set.Kinds, RoleRead), mostMemory(set.Kinds, RoleWrite))
+	s.maxPromptTokens = min(maxMemory(set.Kinds, RoleRead), maxMemory(set.Kinds, RoleWrite))
 	for i := range set.Classes {
 		c := &set.Classes[i]
 		s.classes[c.Name] = c
-		s.topWorth = max(s.topWorth, c.Worth)
+		s.maxWorth = max(s.maxWorth, c.Worth)
 		s.minAim = min(s.minAim, c.Aim)
 	}
 	for _, t := range set.Tenants {
-		s.quota[t.Name] = t.QuotaPerSec / float64(set.Nodes)
-		s.asked[t.Name] = &trend.Rate{}
+		s.tenantQuota[t.Name] = t.QuotaPerSec / float64(set.Nodes)
+		s.tenantRate[t.Name] = &trend.Rate{}
 	}
 	return s
 }
 
 // mostMemory is the memory in tokens of the largest kind of server of a stage, infinite where
 // there is none or a kind does not tell its own.
-func mostMemory(kinds []Kind, stage Role) float64 {
+func maxMemory(kinds []Kind, stage Role) float64 {
 	most := 0.0
 	for _, kind := range kinds {
 		switch {
-		case kind.Role != stage && kind.Role != RoleBoth:
+		case kind.Role != stage && kind.Role != RoleMixed:
 		case kind.MemoryTokens == 0:
 			return math.Inf(1)
 		default:
@@ -288,10 +288,10 @@
 }
 
 // byCell sums a figure over the listed servers of a role that have it, by cell, and counts them.
-func (s *Scheduler) byCell(role Role, figure func(*server) (float64, bool)) (sum, n map[int]float64) {
+func (s *Scheduler) sumByCell(role Role, figure func(*trackedServer) (float64, bool)) (sum, n map[int]float64) {
 	sum, n = map[int]float64{}, map[int]float64{}
-	for _, v := range s.order {
-		if x, ok := figure(v); ok && v.listed && v.role == role {
+	for _, v := range s.sortedServers {
+		if x, ok := figure(v); ok && v.active && v.role == role {
 			sum[v.Cell] += x
 			n[v.Cell]++
 		}
@@ -301,62 +301,62 @@
 
 // oldestWaits gives, by server of a role, when the oldest of this node's attempts was sent that
 // have no answer yet.
-func (s *Scheduler) oldestWaits(role Role) map[*server]time.Duration {
-	oldest := map[*server]time.Duration{}
-	for _, r := range s.reqs {
+func (s *Scheduler) oldestUnanswered(role Role) map[*trackedServer]time.Duration {
+	oldest := map[*trackedServer]time.Duration{}
+	for _, r := range s.requests {
 		for _, a := range r.attempts {
-			if a.out && !a.begun && a.srv.role == role && (oldest[a.srv] == 0 || a.sent < oldest[a.srv]) {
-				oldest[a.srv] = a.sent
+			if a.inFlight && !a.answerStarted && a.server.role == role && (oldest[a.server] == 0 || a.sentAt < oldest[a.server]) {
+				oldest[a.server] = a.sentAt
 			}
 		}
 	}
 	return oldest
 }
 
-func stageOf(write bool, from, to *server) stage {
+func stageOf(write bool, from, to *trackedServer) stage {
 	switch {
 	case !write:
-		return reading
+		return stagePrefill
 	case from != nil && from.Cell != to.Cell:
-		return writingFar
+		return stageDecodeFar
 	}
-	return writing
+	return stageDecode
 }
 
 // kind is what a throttle may tell requests apart by: a full server says so at
 // once, one that takes its time has room and refuses this kind alone.
-func (r *request) kind() [2]string { return [2]string{r.Class, r.Tenant} }
+func (r *trackedRequest) throttleKey() [2]string { return [2]string{r.Class, r.Tenant} }
 
-func reads(r Role) bool { return r == RoleRead }
+func isPrefill(r Role) bool { return r == RoleRead }
 
-func mixed(r Role) bool { return r == RoleBoth }
+func isMixed(r Role) bool { return r == RoleMixed }
 
-func writes(r Role) bool { return r != RoleRead }
+func canDecode(r Role) bool { return r != RoleRead }
 
 // Handle takes in one event and appends the actions to out. Events come in
 // the order of their times; stray ones are ignored.
 func (s *Scheduler) Handle(now time.Duration, e Event, out []Action) []Action {
-	s.now, s.out = max(now, s.now), out
+	s.now, s.actions = max(now, s.now), out
 	switch e := e.(type) {
-	case Members:
-		s.members(e)
+	case MembershipUpdate:
+		s.handleMembershipUpdate(e)
 	case Request:
-		s.request(e)
-	case First:
-		s.first(e)
-	case PlaceNote:
-		s.placeNote(e)
+		s.handleRequest(e)
+	case AnswerStarted:
+		s.handleAnswerStarted(e)
+	case ReservationResult:
+		s.handleReservationResult(e)
 	case Outcome:
-		s.outcome(e)
-	case Gone:
-		s.gone(e)
-	case Timer:
-		s.timer(e)
-	case Probed:
-		s.probed(e)
-	case Ending:
-		s.ending(e)
+		s.handleOutcome(e)
+	case ClientDisconnected:
+		s.handleClientDisconnected(e)
+	case TimerFired:
+		s.handleTimer(e)
+	case ProbeResult:
+		s.handleProbeResult(e)
+	case Shutdown:
+		s.handleShutdown(e)
 	}
-	out, s.out = s.out, nil
+	out, s.actions = s.actions, nil
 	return out
 }
--- a/storm_test.go
+++ b/storm_test.go
@@ -34,7 +34,7 @@
 
 var stormServers = []Server{
 	reader("r1"), reader("r2"), reader("r3"), writer("w1", 0), writer("w2", 0), writer("w3", 1),
-	{ID: "m1", Zone: "b", Cell: 2, Kind: "mixed", State: StateOn},
+	{ID: "m1", Zone: "b", Cell: 2, Kind: "mixed", State: StateActive},
 }
 
 func isReading(v ServerID) bool { return v[0] == 'r' }
@@ -43,7 +43,7 @@
 	w := &world{t: t, rng: rand.New(rand.NewSource(seed)), n: newNode(t, set, stormServers...),
 		reqs: map[RequestID]*told{}, state: map[ServerID]ServerState{}}
 	for _, v := range stormServers {
-		w.state[v.ID] = StateOn
+		w.state[v.ID] = StateActive
 	}
 	w.take()
 	for i := 0; i < 3000; i++ {
@@ -80,10 +80,10 @@
 			s.Nodes, s.Reports, s.Limits = 20, ReportNone, Limits{MaxAttempts: 4}
 		},
 		"nothing of slow start": func(s *Settings) {
-			s.Nodes, s.Rules = 300, Rules{Release: time.Second}
+			s.Nodes, s.Rules = 300, Rules{ReleaseTimeout: time.Second}
 		},
 		"slow start without a share": func(s *Settings) {
-			s.Nodes, s.Rules.ColdFrom = 300, 0
+			s.Nodes, s.Rules.SlowStartCapacity = 300, 0
 		},
 		"memory of one token": func(s *Settings) {
 			for i := range s.Kinds {
@@ -145,23 +145,23 @@
 		v := stormServers[w.rng.Intn(len(stormServers))]
 		v.State = ServerState(1 + w.rng.Intn(3))
 		if w.rng.Intn(2) == 0 {
-			v.State = StateOn
+			v.State = StateActive
 			v.Started = w.n.now
 		}
 		w.state[v.ID] = v.State
-		w.do(Members{Form: ListPatch, Entries: []Server{v}})
+		w.do(MembershipUpdate{Form: MembershipDelta, Entries: []Server{v}})
 	case k == 15:
-		w.do(Timer{w.rng.Uint64()})
-		w.do(Outcome{ID: "none", Server: "r1", Status: Parsed})
-		w.do(Probed{Server: "w1", Status: Served, Report: Report{ReportMemory: w.rng.Float64()}})
+		w.do(TimerFired{w.rng.Uint64()})
+		w.do(Outcome{ID: "none", Server: "r1", Status: StatusPrefilled})
+		w.do(ProbeResult{Server: "w1", Status: StatusServed, Report: Report{ReportMemory: w.rng.Float64()}})
 	case k == 16:
 		if id, _, ok := w.anyOut(); ok && !w.reqs[id].over && !w.reqs[id].begun && w.reqs[id].final == 0 {
 			w.reqs[id].over = true
-			w.do(Gone{id})
+			w.do(ClientDisconnected{id})
 		}
 	case k == 17:
 		if id, n, ok := w.anyOut(); ok && isReading(w.reqs[id].attempts[n]) {
-			w.do(PlaceNote{ID: id, Attempt: n, Server: "w1", Held: w.rng.Intn(2) == 0})
+			w.do(ReservationResult{ID: id, Attempt: n, Server: "w1", Held: w.rng.Intn(2) == 0})
 		}
 	}
 }
@@ -172,10 +172,10 @@
 		r := w.reqs[RequestID(fmt.Sprint("q", i))]
 		for n := range r.attempts {
 			if r.out[n] && !r.begun && w.n.now >= r.deadline {
-				w.finishAs(RequestID(fmt.Sprint("q", i)), n, NoAnswer)
+				w.finishAs(RequestID(fmt.Sprint("q", i)), n, StatusTimedOut)
 			}
 		}
-		if r.holds && len(r.out) == 0 && w.n.now-r.idle > w.n.s.set.Rules.Release+40*ms {
+		if r.holds && len(r.out) == 0 && w.n.now-r.idle > w.n.s.settings.Rules.ReleaseTimeout+40*ms {
 			w.t.Errorf("rule 5: q%d held something %v after its last outcome", i, w.n.now-r.idle)
 			r.holds = false
 		}
@@ -200,7 +200,7 @@
 		id := RequestID(fmt.Sprint("q", i))
 		for n := 0; n < len(w.reqs[id].attempts); n++ {
 			if w.reqs[id].out[n] {
-				w.finishAs(id, n, NoAnswer)
+				w.finishAs(id, n, StatusTimedOut)
 			}
 		}
 	}
@@ -208,17 +208,17 @@
 
 func (w *world) finish(id RequestID, n int) {
 	r := w.reqs[id]
-	st := []Status{ServerError, TurnedAway, NoConnection, ConnectionLost, Parsed, Served}[w.rng.Intn(6)]
+	st := []Status{StatusServerError, StatusRejected, StatusConnectFailed, StatusConnectionLost, StatusPrefilled, StatusServed}[w.rng.Intn(6)]
 	reading := isReading(r.attempts[n])
-	if reading && (st == Served || w.rng.Intn(2) == 0) {
-		st = Parsed
+	if reading && (st == StatusServed || w.rng.Intn(2) == 0) {
+		st = StatusPrefilled
 	}
-	if !reading && (st == Parsed || w.rng.Intn(2) == 0) {
-		st = Served
+	if !reading && (st == StatusPrefilled || w.rng.Intn(2) == 0) {
+		st = StatusServed
 	}
-	if st == Served && !r.begun && r.final == 0 && !r.over {
+	if st == StatusServed && !r.begun && r.final == 0 && !r.over {
 		r.begun, r.over, r.holds = true, true, false
-		w.do(First{ID: id, Attempt: n, Server: r.attempts[n], Latency: 20 * ms})
+		w.do(AnswerStarted{ID: id, Attempt: n, Server: r.attempts[n], Latency: 20 * ms})
 		return
 	}
 	w.finishAs(id, n, st)
@@ -229,22 +229,22 @@
 	delete(r.out, n)
 	r.idle = w.n.now
 	switch {
-	case st == Parsed:
+	case st == StatusPrefilled:
 		r.holds = true
-	case !isReading(r.attempts[n]) && st != TurnedAway && st != NoConnection && st != NotSent:
+	case !isReading(r.attempts[n]) && st != StatusRejected && st != StatusConnectFailed && st != StatusNotSent:
 		r.ran = true
 	}
-	if st == Served {
+	if st == StatusServed {
 		r.over, r.holds = true, false
 	}
-	w.do(Outcome{ID: id, Attempt: n, Server: r.attempts[n], Status: st, Done: r.over || r.final > 0,
+	w.do(Outcome{ID: id, Attempt: n, Server: r.attempts[n], Status: st, RequestDone: r.over || r.final > 0,
 		Latency: 30 * ms, Report: Report{ReportMemory: w.rng.Float64() / 2}})
 }
 
 func (w *world) fire(i int) {
 	x := w.timers[i]
 	w.timers = append(w.timers[:i], w.timers[i+1:]...)
-	w.do(Timer{x.Token})
+	w.do(TimerFired{x.Token})
 }
 
 func (w *world) take() {
@@ -259,9 +259,9 @@
 			if w.n.now < 2*time.Hour && len(w.timers) < 20000 {
 				w.timers = append(w.timers, a)
 			}
-		case Attempt:
+		case Send:
 			w.attempt(a)
-		case Ahead:
+		case Reserve:
 			w.mustBeOn(a.Server)
 			w.reqs[a.ID].holds, w.reqs[a.ID].idle = true, w.n.now
 		case Release:
@@ -282,12 +282,12 @@
 }
 
 func (w *world) mustBeOn(v ServerID) {
-	if w.state[v] != StateOn {
+	if w.state[v] != StateActive {
 		w.t.Errorf("rule 3: %s is %v", v, w.state[v])
 	}
 }
 
-func (w *world) attempt(a Attempt) {
+func (w *world) attempt(a Send) {
 	r := w.reqs[a.ID]
 	w.mustBeOn(a.Server)
 	switch {
--- a/types.go
+++ b/types.go
@@ -13,7 +13,7 @@
 const (
 	RoleRead  Role = iota + 1 // a reader (prefill): reads prompts
 	RoleWrite                 // a writer (decode): streams answers
-	RoleBoth                  // a mixed server: reads and writes
+	RoleMixed                 // a mixed server: reads and writes
 )
 
 // Effect tells how safe it is to run a request twice.
@@ -21,9 +21,9 @@
 
 // The effects of a request class.
 const (
-	Pure       Effect = iota + 1 // may be repeated freely
-	Token                        // repeats are dropped within a group and a window
-	SideEffect                   // must not run twice
+	Pure        Effect = iota + 1 // may be repeated freely
+	TokenEffect                   // repeats are dropped within a group and a window
+	SideEffect                    // must not run twice
 )
 
 // Scope is the set of servers that drop repeats of a Token request.
@@ -41,15 +41,15 @@
 
 // The statuses of attempts and probes.
 const (
-	Served Status = iota + 1
-	ServerError
-	TurnedAway
-	NoAnswer
-	NoConnection
-	ConnectionLost
-	CalledOff
-	NotSent
-	Parsed
+	StatusServed Status = iota + 1
+	StatusServerError
+	StatusRejected
+	StatusTimedOut
+	StatusConnectFailed
+	StatusConnectionLost
+	StatusCancelled
+	StatusNotSent
+	StatusPrefilled
 )
 
 // ReportMode tells where load reports come from.
@@ -100,7 +100,7 @@
 type Limits struct {
 	MaxAttempts    int // 0 = no cap
 	Cancel         bool
-	SecondCopies   bool
+	Hedging        bool
 	Probes         bool
 	RetryAfter     bool
 	MaxRetryAfter  time.Duration
@@ -110,32 +110,32 @@
 
 // Rules are the figures of the five rules.
 type Rules struct {
-	FallMultiple float64
-	FallWindow   time.Duration
-	ColdFrom     float64 // a server starts at no less than this share of its capacity
-	ColdTime     time.Duration
-	Release      time.Duration
-	AskWithin    time.Duration
+	SlowStartMultiple float64
+	SlowStartWindow   time.Duration
+	SlowStartCapacity float64 // a server starts at no less than this share of its capacity
+	SlowStartDuration time.Duration
+	ReleaseTimeout    time.Duration
+	ResubscribeWithin time.Duration
 }
 
 // Settings are given once, at start. See New for defaults.
 type Settings struct {
-	Node           int
-	Nodes          int
-	Zone           string
-	Kinds          []Kind
-	Classes        []Class
-	Tenants        []Tenant
-	OverShareWorth float64
-	WorthByWork    bool
-	Limits         Limits
-	Rules          Rules
-	Subscribe      bool // the server list must be asked for
-	Reports        ReportMode
-	ReportFields   []string
-	Ahead          bool // places may be held ahead at writers
-	WritersRead    bool // a writer reads a prompt itself where there is no state
-	Resume         bool
+	Node             int
+	Nodes            int
+	Zone             string
+	Kinds            []Kind
+	Classes          []Class
+	Tenants          []Tenant
+	OverShareWorth   float64
+	WorthByWork      bool
+	Limits           Limits
+	Rules            Rules
+	Subscribe        bool // the server list must be asked for
+	Reports          ReportMode
+	ReportFields     []string
+	Reservations     bool // places may be held ahead at writers
+	DecodeCanPrefill bool // a writer reads a prompt itself where there is no state
+	Resume           bool
 }
 
 // ServerState is a server's life cycle as the list tells it.
@@ -143,9 +143,9 @@
 
 // The states of a listed server.
 const (
-	StateOn ServerState = iota + 1
-	StateFading
-	StateOff
+	StateActive ServerState = iota + 1
+	StateDraining
+	StateRemoved
 )
 
 // Server is an entry of the server list.
@@ -161,14 +161,14 @@
 }
 
 // ListForm tells what a Members event brings.
-type ListForm int
+type MembershipForm int
 
 // The forms of a Members event.
 const (
-	ListPatch  ListForm = iota + 1 // changed entries only
-	ListWhole                      // all entries
-	ListStale                      // all entries as last held, maybe out of date
-	ListBroken                     // a call has failed; no entries
+	MembershipDelta    MembershipForm = iota + 1 // changed entries only
+	MembershipSnapshot                           // all entries
+	MembershipStale                              // all entries as last held, maybe out of date
+	MembershipFailed                             // a call has failed; no entries
 )
 
 // Event is something that a scheduler is told: one of Members, Request,
@@ -176,27 +176,27 @@
 type Event interface{ event() }
 
 // Members brings news of the server list.
-type Members struct {
-	Form    ListForm
+type MembershipUpdate struct {
+	Form    MembershipForm
 	Entries []Server
 }
 
 // Request is a client's try, for which one final answer is owed.
 type Request struct {
-	ID           RequestID
-	Class        string
-	Tenant       string
-	Session      uint64
-	Prefix       uint64 // the beginning shared with other sessions; 0 = none
-	PrefixTokens float64
-	PromptTokens float64
-	MaxOut       float64
-	TimeLeft     time.Duration
-	Retry        bool
+	ID              RequestID
+	Class           string
+	Tenant          string
+	Session         uint64
+	Prefix          uint64 // the beginning shared with other sessions; 0 = none
+	PrefixTokens    float64
+	PromptTokens    float64
+	MaxOutputTokens float64
+	TimeLeft        time.Duration
+	Retry           bool
 }
 
 // First tells that an attempt's answer has begun.
-type First struct {
+type AnswerStarted struct {
 	ID      RequestID
 	Attempt int
 	Server  ServerID
@@ -204,7 +204,7 @@
 }
 
 // PlaceNote answers an Ahead.
-type PlaceNote struct {
+type ReservationResult struct {
 	ID      RequestID
 	Attempt int
 	Server  ServerID
@@ -224,24 +224,24 @@
 
 // Outcome tells how an attempt ended.
 type Outcome struct {
-	ID      RequestID
-	Attempt int
-	Server  ServerID
-	Status  Status
-	Done    bool    // the request is over
-	Note    float64 // kept tokens, or 1 with TurnedAway: no state to fetch
-	Latency time.Duration
-	Report  Report
+	ID          RequestID
+	Attempt     int
+	Server      ServerID
+	Status      Status
+	RequestDone bool    // the request is over
+	Detail      float64 // kept tokens, or 1 with TurnedAway: no state to fetch
+	Latency     time.Duration
+	Report      Report
 }
 
 // Gone tells that the client has left.
-type Gone struct{ ID RequestID }
+type ClientDisconnected struct{ ID RequestID }
 
 // Timer tells that a timer set with SetTimer has come due.
-type Timer struct{ Token uint64 }
+type TimerFired struct{ Token uint64 }
 
 // Probed answers a Probe.
-type Probed struct {
+type ProbeResult struct {
 	Server  ServerID
 	Status  Status
 	Latency time.Duration
@@ -249,31 +249,31 @@
 }
 
 // Ending tells that this node ends: what has no answer by then gets one.
-type Ending struct{ At time.Duration }
-
-func (Members) event()   {}
-func (Request) event()   {}
-func (First) event()     {}
-func (PlaceNote) event() {}
-func (Outcome) event()   {}
-func (Gone) event()      {}
-func (Timer) event()     {}
-func (Probed) event()    {}
-func (Ending) event()    {}
+type Shutdown struct{ Deadline time.Duration }
+
+func (MembershipUpdate) event()   {}
+func (Request) event()            {}
+func (AnswerStarted) event()      {}
+func (ReservationResult) event()  {}
+func (Outcome) event()            {}
+func (ClientDisconnected) event() {}
+func (TimerFired) event()         {}
+func (ProbeResult) event()        {}
+func (Shutdown) event()           {}
 
 // Action is something that a scheduler wants done: one of Attempt, Ahead,
 // Release, Cancel, Refuse, Fail, SetTimer, Probe and Watch.
 type Action interface{ action() }
 
 // Attempt sends a request to a server; attempts are numbered from 0.
-type Attempt struct {
+type Send struct {
 	ID      RequestID
 	Server  ServerID
 	Timeout time.Duration
 }
 
 // Ahead asks a writer to hold a place for a request that is being read.
-type Ahead struct {
+type Reserve struct {
 	ID     RequestID
 	Server ServerID
 }
@@ -288,31 +288,31 @@
 }
 
 // Why tells for what reason a request was given up, for logs and counts.
-type Why string
+type Reason string
 
 // The reasons to give a request up.
 const (
-	WhyUnknown  Why = "unknown-class"
-	WhySpent    Why = "spent" // no time or no further attempt left
-	WhyNoReader Why = "no-reader"
-	WhyNoWriter Why = "no-writer"
-	WhyNoRoom   Why = "no-room"  // the writers' memory is spoken for
-	WhyTooLate  Why = "too-late" // a first token would be
-	WhyTooLong  Why = "too-long" // no server's memory takes the prompt
-	WhyEnding   Why = "ending"   // this node ends
+	ReasonUnknownClass    Reason = "unknown-class"
+	ReasonExhausted       Reason = "spent" // no time or no further attempt left
+	ReasonNoPrefillServer Reason = "no-reader"
+	ReasonNoDecodeServer  Reason = "no-writer"
+	ReasonNoMemory        Reason = "no-room"  // the writers' memory is spoken for
+	ReasonTooLate         Reason = "too-late" // a first token would be
+	ReasonPromptTooLong   Reason = "too-long" // no server's memory takes the prompt
+	ReasonShutdown        Reason = "ending"   // this node ends
 )
 
 // Refuse is a final answer: trying again does no harm.
 type Refuse struct {
 	ID         RequestID
 	RetryAfter time.Duration
-	Why        Why
+	Reason     Reason
 }
 
 // Fail is a final answer that promises nothing.
 type Fail struct {
-	ID  RequestID
-	Why Why
+	ID     RequestID
+	Reason Reason
 }
 
 // SetTimer asks for a Timer event.
@@ -327,8 +327,8 @@
 // Watch subscribes to changes of the server list.
 type Watch struct{}
 
-func (Attempt) action()  {}
-func (Ahead) action()    {}
+func (Send) action()     {}
+func (Reserve) action()  {}
 func (Release) action()  {}
 func (Cancel) action()   {}
 func (Refuse) action()   {}
--- a/waits_test.go
+++ b/waits_test.go
@@ -11,28 +11,28 @@
 func TestAWaitThatOthersOvertookDoesNotSlowThePace(t *testing.T) {
 	for _, overtaken := range []bool{true, false} {
 		n := newNode(t, settings(), reader("r"), writer("w", 0))
-		n.s.pace[writing].Observe(n.now, 50*ms, 320)
+		n.s.stageLatency[stageDecode].Observe(n.now, 50*ms, 320)
 		n.ask("a", 1, 0)
-		n.end("a", 0, "r", Parsed)
-		a := n.s.reqs["a"].attempts[1]
-		limit := n.s.limit(n.s.reqs["a"], a)
+		n.end("a", 0, "r", StatusPrefilled)
+		a := n.s.requests["a"].attempts[1]
+		limit := n.s.overdueAfter(n.s.requests["a"], a)
 		v := n.s.servers["w"]
-		v.alive = n.now + 100*ms // it has been at work since
+		v.lastProgressAt = n.now + 100*ms // it has been at work since
 		if overtaken {
-			v.began[writing] = n.now + 50*ms
+			v.latestStartedSend[stageDecode] = n.now + 50*ms
 		}
 		look := func(after time.Duration) bool {
-			n.now = a.sent + after
-			n.s.now, n.s.out = n.now, nil
-			n.s.overdue(n.s.reqs["a"], 1)
-			n.out = n.s.out
+			n.now = a.sentAt + after
+			n.s.now, n.s.actions = n.now, nil
+			n.s.handleOverdue(n.s.requests["a"], 1)
+			n.out = n.s.actions
 			_, left := pick[Cancel](n)
 			return left
 		}
 		if look(limit + limit/2) {
 			t.Errorf("overtaken %v: left before twice its time", overtaken)
 		}
-		slower := n.s.limit(n.s.reqs["a"], a) > limit
+		slower := n.s.overdueAfter(n.s.requests["a"], a) > limit
 		if left := look(2*limit + ms); left != overtaken || slower == overtaken {
 			t.Errorf("overtaken %v: left %v after twice its time, slower pace %v", overtaken, left, slower)
 		}
@@ -46,18 +46,18 @@
 	for _, overtaken := range []bool{true, false} {
 		n := newNode(t, settings(), reader("r"), writer("w", 0))
 		for range 20 {
-			n.s.pace[writing].Observe(n.now, 50*ms, 320)
+			n.s.stageLatency[stageDecode].Observe(n.now, 50*ms, 320)
 		}
 		n.do(Request{ID: "order", Class: "pay", PromptTokens: 320, TimeLeft: 5 * time.Second})
-		n.end("order", 0, "r", Parsed)
-		a := n.s.reqs["order"].attempts[1]
+		n.end("order", 0, "r", StatusPrefilled)
+		a := n.s.requests["order"].attempts[1]
 		if overtaken {
-			n.s.servers["w"].began[writing] = a.sent + 50*ms
+			n.s.servers["w"].latestStartedSend[stageDecode] = a.sentAt + 50*ms
 		}
-		before := n.s.limit(n.s.reqs["order"], a)
+		before := n.s.overdueAfter(n.s.requests["order"], a)
 		n.now += 5 * time.Second
-		n.do(Outcome{ID: "order", Attempt: 1, Server: "w", Status: NoAnswer, Latency: 5 * time.Second})
-		after := n.s.limit(&request{class: n.s.classes["pay"]}, a)
+		n.do(Outcome{ID: "order", Attempt: 1, Server: "w", Status: StatusTimedOut, Latency: 5 * time.Second})
+		after := n.s.overdueAfter(&trackedRequest{class: n.s.classes["pay"]}, a)
 		if slower := after > before; slower == overtaken {
 			t.Errorf("overtaken %v: overdue after %v, %v before", overtaken, after, before)
 		}
