--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -245,7 +245,7 @@
 	if conn == nil {
 		return // a host's own listener: there is no log
 	}
-	reqlog.Write(conn.listener.log, reqlog.Change{ID: string(req.ID), Class: req.Class, State: reqlog.Read, Left: req.Remaining},
+	reqlog.Write(conn.listener.log, reqlog.Change{ID: string(req.ID), Class: req.Class, State: reqlog.Read, Remaining: req.Remaining},
 		slog.Int64("connection_ms", time.Since(conn.acceptedAt).Milliseconds()), slog.Uint64("of_connection", ctx.ConnRequestNum()))
 }
 
--- a/router/answer.go
+++ b/router/answer.go
@@ -18,7 +18,7 @@
 	gateway.Stream
 	ctx        context.Context
 	release    func()
-	countEnd   func(metrics.End)
+	countEnd   func(metrics.RequestEnd)
 	complete   bool // Next has returned io.EOF
 	clientGone bool // the client disconnected first
 	counted    bool // the end is already counted, here or by another process
@@ -27,7 +27,7 @@
 func (r *Router) newStream(ctx context.Context, id lifecycle.ID, class string, inner gateway.Stream) *stream {
 	return &stream{
 		Stream: inner, ctx: ctx, release: func() { r.release(id) },
-		countEnd: func(how metrics.End) { r.gateway.Metrics().Ended(class, how) },
+		countEnd: func(how metrics.RequestEnd) { r.gateway.Metrics().RequestEnded(class, how) },
 	}
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -196,8 +196,8 @@
 func (r *Router) WriteMetrics(w io.Writer) error {
 	listed, avoided := r.gateway.Engines()
 	holds, oldest := r.gateway.Holds()
-	return r.gateway.Metrics().Statsd(w, metricsPrefix, metrics.Gauges{
-		Open: r.InFlight(), Listed: listed, Avoided: avoided, Holds: holds, OldestHold: oldest,
+	return r.gateway.Metrics().WriteStatsd(w, metricsPrefix, metrics.Gauges{
+		OpenRequests: r.InFlight(), Engines: listed, EnginesAvoided: avoided, OpenHolds: holds, OldestHoldAge: oldest,
 	})
 }
 
@@ -236,9 +236,9 @@
 	reply, err := r.serve(ctx, req)
 	switch {
 	case err != nil || reply.Kind == gateway.Failed:
-		r.gateway.Metrics().Ended(req.Class, metrics.Faulted)
+		r.gateway.Metrics().RequestEnded(req.Class, metrics.Faulted)
 	case reply.Kind == gateway.Refused:
-		r.gateway.Metrics().Ended(req.Class, metrics.Throttled)
+		r.gateway.Metrics().RequestEnded(req.Class, metrics.Throttled)
 	}
 	return reply, err
 }
@@ -299,7 +299,7 @@
 
 // newLogEntry makes the log entry of a request's new state.
 func newLogEntry(req *gateway.Request, state reqlog.State, reason string) reqlog.Change {
-	return reqlog.Change{ID: string(req.ID), Class: req.Class, State: state, Left: req.Remaining, Reason: reason}
+	return reqlog.Change{ID: string(req.ID), Class: req.Class, State: state, Remaining: req.Remaining, Reason: reason}
 }
 
 // admit admits a request, or returns the reason for refusing it.
