--- a/facade.go
+++ b/facade.go
@@ -19,8 +19,8 @@
 
 // Errors that Pick returns.
 var (
-	ErrUnknownClass = errors.New("ashwood: unknown request class")
-	ErrDuplicate    = errors.New("ashwood: a request with this id is in flight")
+	ErrUnknownClass = errors.New("ashwood: unknown class of requests")
+	ErrDuplicate    = errors.New("ashwood: a request of this id is being served")
 )
 
 // RequestInfo is what the decisions need to know about a request.
--- a/gateway/types.go
+++ b/gateway/types.go
@@ -14,15 +14,15 @@
 
 // Errors of replies, streams and calls to engines.
 var (
-	ErrClientGone        = errors.New("gateway: the client disconnected")
-	ErrFirstTokenTimeout = errors.New("gateway: timed out waiting for the first token")
-	ErrStalled           = errors.New("gateway: the answer stream stalled")
+	ErrClientGone        = errors.New("gateway: the client has left")
+	ErrFirstTokenTimeout = errors.New("gateway: no first token in time")
+	ErrStalled           = errors.New("gateway: the answer has stalled")
 
 	// ErrUnanswered reports a call that was written completely to a connection that stayed up, and was not answered in time.
-	ErrUnanswered = errors.New("gateway: the call was written but not answered in time")
+	ErrUnanswered = errors.New("gateway: written, and not answered")
 	// ErrLocalFailure reports a call that failed on this machine, for example because no socket was free. It says nothing about
 	// the engine.
-	ErrLocalFailure = errors.New("gateway: the call failed on this machine")
+	ErrLocalFailure = errors.New("gateway: this machine could not make the call")
 )
 
 // Clock provides the current time and timers; see SystemClock.
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -132,10 +132,10 @@
 }
 
 var (
-	errLineTooLong    = fmt.Errorf("the line exceeds %d bytes", maxLineBytes)
-	errLineTimeout    = errors.New("timeout while reading the line")
-	errLineIncomplete = fmt.Errorf("the line is incomplete: %w", io.EOF)
-	errLineNotText    = errors.New("the line is not plain UTF-8 text")
+	errLineTooLong    = fmt.Errorf("a line has %d bytes at most", maxLineBytes)
+	errLineTimeout    = errors.New("the line did not end in time")
+	errLineIncomplete = fmt.Errorf("the line has no end: %w", io.EOF)
+	errLineNotText    = errors.New("the line is no text")
 )
 
 // readLine reads one line and returns it without its end.
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -48,10 +48,10 @@
 		"vars\nmore":                             "YES\na:1|c\nEND\n",
 		"Check\n":                                "NO unknown call",
 		"\n":                                     "NO unknown call",
-		"check":                                  "NO timeout while reading the line",
-		strings.Repeat("x", maxLineBytes) + "\n": "NO the line exceeds 128 bytes",
-		"\xff\xfe\n":                             "NO the line is not plain UTF-8 text",
-		"check\x00\n":                            "NO the line is not plain UTF-8 text",
+		"check":                                  "NO the line did not end in time",
+		strings.Repeat("x", maxLineBytes) + "\n": "NO a line has 128 bytes at most",
+		"\xff\xfe\n":                             "NO the line is no text",
+		"check\x00\n":                            "NO the line is no text",
 		"GET / HTTP/1.1\r\n\r\n":                 "NO unknown call",
 	} {
 		c := dial(t, addr)
@@ -64,7 +64,7 @@
 	c := dial(t, addr) // a half-closed connection with an incomplete line
 	io.WriteString(c, "check")
 	c.(*net.TCPConn).CloseWrite()
-	if got, _ := io.ReadAll(c); !strings.HasPrefix(string(got), "NO the line is incomplete") {
+	if got, _ := io.ReadAll(c); !strings.HasPrefix(string(got), "NO the line has no end") {
 		t.Errorf("incomplete line: %q", got)
 	}
 	c = dial(t, addr) // a panic in a call ends only that call
--- a/internal/grpcfront/call.go
+++ b/internal/grpcfront/call.go
@@ -22,7 +22,7 @@
 	trailerSeen *atomic.Bool // a trailer came from the engine
 }
 
-var errNotReady = errors.New("grpcfront: the request must not be sent any more")
+var errNotReady = errors.New("grpcfront: not to be sent any more") // sent to clients
 
 func (c *engineCall) report() ashwood.Report {
 	if v := c.Trailer().Get(trailerLoad); len(v) > 0 {
@@ -69,7 +69,7 @@
 		result.Status = ashwood.StatusServerError
 	}
 	if errors.Is(err, io.EOF) {
-		err = errors.New("stream ended without a token")
+		err = errors.New("ended without a token")
 	}
 	return gateway.AttemptResult{Result: result, Err: c.wrapError(engine, err)}
 }
--- a/internal/platform/chunks.go
+++ b/internal/platform/chunks.go
@@ -18,7 +18,7 @@
 	maxInterimResponses = 8  // 1xx responses before the final one
 )
 
-var errMalformed = errors.New("platform: malformed response")
+var errMalformed = errors.New("platform: a spoilt answer") // sent to clients
 
 // chunkedReader reads a chunked body. Unlike the standard library's reader it limits the
 // size of a chunk and the time for it: startTimeout starts the timeout in which a chunk
@@ -61,7 +61,7 @@
 	}
 	end, err := c.readLine()
 	if err == nil && len(end) > 0 {
-		err = fmt.Errorf("%w: a chunk is longer than its size", errMalformed)
+		err = fmt.Errorf("%w: a chunk goes on beyond its size", errMalformed)
 	}
 	return n, err
 }
@@ -85,7 +85,7 @@
 			return err
 		}
 	}
-	return fmt.Errorf("%w: too many trailer lines", errMalformed)
+	return fmt.Errorf("%w: no end behind the last chunk", errMalformed)
 }
 
 // readLine returns a line without its line break.
@@ -93,7 +93,7 @@
 	line, err := c.reader.ReadSlice('\n')
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull), err == nil && len(line) > maxChunkLine:
-		return nil, fmt.Errorf("%w: a chunk line is too long", errMalformed)
+		return nil, fmt.Errorf("%w: a line of a chunk does not end", errMalformed)
 	case err != nil:
 		return nil, unexpectedEOF(err)
 	}
--- a/internal/platform/engines.go
+++ b/internal/platform/engines.go
@@ -166,7 +166,7 @@
 func (e *Engines) readHeader(c *engineConn, response *fasthttp.ResponseHeader) error {
 	for range maxInterimResponses {
 		if first, err := c.reader.Peek(1); err != nil || first[0] != 'H' {
-			return cmp.Or(err, fmt.Errorf("%w: the response begins with %q", errMalformed, first))
+			return cmp.Or(err, fmt.Errorf("%w: it begins with %q", errMalformed, first))
 		}
 		stopTimeout := e.startTimeout(c, completionTimeout)
 		err := response.Read(c.reader)
@@ -178,7 +178,7 @@
 			break
 		}
 	}
-	return fmt.Errorf("%w: no final response after 1xx responses", errMalformed)
+	return fmt.Errorf("%w: no answer behind 1xx", errMalformed)
 }
 
 // startTimeout makes all reads and writes on a connection fail after ms milliseconds
@@ -188,7 +188,7 @@
 	return func() { cancel() }
 }
 
-var errNotReady = errors.New("platform: the call was cancelled before it was sent")
+var errNotReady = errors.New("platform: not to be sent any more") // sent to clients
 
 func newRequestHeader(method, target, addr string) *fasthttp.RequestHeader {
 	h := &fasthttp.RequestHeader{}
@@ -258,7 +258,7 @@
 	default:
 		result.Status = ashwood.StatusServerError
 	}
-	return gateway.AttemptResult{Result: result, Err: fmt.Errorf("platform: engine %s responded with status %d", attempt.Engine.ID, code)}
+	return gateway.AttemptResult{Result: result, Err: fmt.Errorf("platform: %s answered %d", attempt.Engine.ID, code)}
 }
 
 // failedAnswer returns the status of an attempt without a usable response, which says
@@ -272,7 +272,7 @@
 	default:
 		status = ashwood.StatusConnectFailed
 	}
-	return gateway.AttemptResult{Result: ashwood.Result{Status: status}, Err: fmt.Errorf("platform: no response from the engine: %w", err)}
+	return gateway.AttemptResult{Result: ashwood.Result{Status: status}, Err: fmt.Errorf("platform: no answer: %w", err)}
 }
 
 // readShortBody reads a response body of at most maxShortBody bytes and returns the
@@ -301,11 +301,11 @@
 	case n == -1:
 		body, err = io.ReadAll(io.LimitReader(&chunkedReader{reader: c.reader, startTimeout: func() func() { return func() {} }}, maxShortBody))
 		if err == nil && len(body) == maxShortBody {
-			err = fmt.Errorf("%w: the body of a short response does not end", errMalformed)
+			err = fmt.Errorf("%w: a short answer without end", errMalformed)
 		}
 		return body, err
 	}
-	return nil, fmt.Errorf("%w: no usable content length", errMalformed)
+	return nil, fmt.Errorf("%w: no usable length", errMalformed)
 }
 
 // Reserve asks a decode engine for a reservation.
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -285,7 +285,7 @@
 func (b *answerBody) Read(p []byte) (n int, err error) {
 	defer func() { // fasthttp calls Read outside the handler, which has its own recover
 		if value := recover(); value != nil {
-			err = fmt.Errorf("platform: panic while reading an answer's stream: %v", value)
+			err = fmt.Errorf("platform: panic in a stream: %v", value)
 		}
 	}()
 	if len(b.pending) == 0 {
@@ -295,7 +295,7 @@
 		piece, err := b.stream.Next()
 		if err != nil {
 			if b.complete = errors.Is(err, io.EOF); !b.complete {
-				err = fmt.Errorf("platform: the answer's stream broke: %w", err)
+				err = fmt.Errorf("platform: broken stream: %w", err)
 			}
 			return 0, err
 		}
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -76,7 +76,7 @@
 			s.firstEvent = event
 			return nil
 		case len(event) > maxChunkSize:
-			return fmt.Errorf("%w: the first event is too long", errMalformed)
+			return fmt.Errorf("%w: an event does not end", errMalformed)
 		}
 	}
 }
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -213,7 +213,7 @@
 			return fmt.Errorf("xds: cluster: %w", err)
 		}
 		if in.GetName() == "" {
-			return errors.New("xds: cluster without a name")
+			return errors.New("xds: a cluster without a name")
 		}
 		if len(c.cfg.Clusters) > 0 && !slices.Contains(c.cfg.Clusters, in.GetName()) {
 			continue
@@ -278,7 +278,7 @@
 		}
 		for _, v := range list {
 			if seen[v.ID] {
-				return nil, fmt.Errorf("xds: two endpoints have the same id %q", v.ID)
+				return nil, fmt.Errorf("xds: two endpoints have the id %q", v.ID)
 			}
 			seen[v.ID] = true
 			all = append(all, v)
@@ -293,7 +293,7 @@
 		for _, e := range l.GetLbEndpoints() {
 			at := e.GetEndpoint().GetAddress().GetSocketAddress()
 			if at.GetAddress() == "" || at.GetPortValue() == 0 {
-				return nil, errors.New("endpoint without a socket address")
+				return nil, errors.New("an endpoint without a socket address")
 			}
 			addr := net.JoinHostPort(at.GetAddress(), strconv.Itoa(int(at.GetPortValue())))
 			v := ashwood.Server{
