--- a/cmd/ashlab/compare.go
+++ b/cmd/ashlab/compare.go
@@ -64,18 +64,18 @@
 			if err != nil {
 				return err
 			}
-			d := record.Compare(a, b)
-			if err := d.Print(cmd.OutOrStdout(), a, b); err != nil {
+			distance := record.Compare(a, b)
+			if err := distance.Print(cmd.OutOrStdout(), a, b); err != nil {
 				return err
 			}
 			if out != "" {
-				if err := writeJSON(out, d); err != nil {
+				if err := writeJSON(out, distance); err != nil {
 					return err
 				}
 			}
 			if cmd.Flags().Changed("bound") {
-				if d.Most > bound {
-					return fmt.Errorf("%w: %.3f, the bound is %.3f", errApart, d.Most, bound)
+				if distance.Most > bound {
+					return fmt.Errorf("%w: %.3f, the bound is %.3f", errBoundExceeded, distance.Most, bound)
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "within %.3f\n", bound)
 			}
--- a/cmd/ashlab/emulate.go
+++ b/cmd/ashlab/emulate.go
@@ -17,8 +17,8 @@
 	"ashwood.example/ashwood/lab/scenario"
 )
 
-// address is a box's, as emulate prints it.
-type address struct {
+// engineAddress is a box's, as emulate prints it.
+type engineAddress struct {
 	ID   string `json:"id"`
 	Kind string `json:"kind"`
 	Zone string `json:"zone"`
@@ -31,7 +31,7 @@
 	var grpc bool
 	var ip string
 	var gateways int
-	var hold time.Duration
+	var delay time.Duration
 	cmd := &cobra.Command{
 		Use: "emulate SCENARIO", Args: cobra.ExactArgs(1), Short: "Serve a scenario's boxes and discovery for gateways of your own",
 		Long: `Serves a scenario's boxes and one agent of discovery for each gateway on loopback.
@@ -56,7 +56,7 @@
 			if err != nil {
 				return err
 			}
-			err = emulate(cmd, em, plan, hold)
+			err = emulate(cmd, em, plan, delay)
 			return errors.Join(err, em.Close())
 		},
 	}
@@ -64,18 +64,18 @@
 	f.BoolVar(&grpc, "grpc", false, "boxes speak gRPC too")
 	f.StringVar(&ip, "ip", emulator.DefaultIP, "loopback address of all listeners")
 	f.IntVar(&gateways, "gateways", 0, "how many gateways it is for; 0 = as the scenario says")
-	f.DurationVar(&hold, "delay", 5*time.Second, "until the scenario's time begins")
+	f.DurationVar(&delay, "delay", 5*time.Second, "until the scenario's time begins")
 	return cmd
 }
 
 func emulate(cmd *cobra.Command, em *emulator.Emulator, plan *scenario.Plan, delay time.Duration) error {
 	out := json.NewEncoder(cmd.OutOrStdout())
 	for g := range plan.Gateways {
-		var boxes []address
-		for _, b := range em.Engines(g) {
-			boxes = append(boxes, address{b.ID, b.Kind, b.Zone, b.Cell, b.HTTP, b.GRPC})
+		var engines []engineAddress
+		for _, engine := range em.Engines(g) {
+			engines = append(engines, engineAddress{engine.ID, engine.Kind, engine.Zone, engine.Cell, engine.HTTP, engine.GRPC})
 		}
-		if err := out.Encode(map[string]any{"gateway": g, "discovery": em.DiscoveryAddr(g), "boxes": boxes, "settings": plan.Settings(g)}); err != nil {
+		if err := out.Encode(map[string]any{"gateway": g, "discovery": em.DiscoveryAddr(g), "boxes": engines, "settings": plan.Settings(g)}); err != nil {
 			return err
 		}
 	}
@@ -86,15 +86,15 @@
 		return err
 	}
 	sleep(cmd.Context(), time.Duration(plan.LengthS*float64(time.Second)))
-	breaks := em.Rules().Violations()
-	for _, b := range breaks {
-		fmt.Fprintf(cmd.ErrOrStderr(), "BROKEN RULE %s, request %s, box %s: %s\n", b.Rule, b.Request, b.Engine, b.Text)
+	violations := em.Rules().Violations()
+	for _, violation := range violations {
+		fmt.Fprintf(cmd.ErrOrStderr(), "BROKEN RULE %s, request %s, box %s: %s\n", violation.Rule, violation.Request, violation.Engine, violation.Text)
 	}
-	if st := em.Stats(); st.Late() {
-		fmt.Fprintf(cmd.ErrOrStderr(), "LATE: the emulator was %.1f ms late at p99\n", st.LateP99)
+	if stats := em.Stats(); stats.Late() {
+		fmt.Fprintf(cmd.ErrOrStderr(), "LATE: the emulator was %.1f ms late at p99\n", stats.LateP99)
 	}
-	if len(breaks) > 0 {
-		return errBroken
+	if len(violations) > 0 {
+		return errRuleViolated
 	}
 	return nil
 }
@@ -139,25 +139,25 @@
 				}
 				clients = append(clients, client)
 			}
-			check := rules.New(rules.PlatformLimits())
-			runner := load.Runner{Plan: plan, Clients: clients, Clock: c, Watch: check}
-			_, sum := runner.Run(cmd.Context(), c.Now(), load.Draw(plan))
+			checker := rules.New(rules.PlatformLimits())
+			runner := load.Runner{Plan: plan, Clients: clients, Clock: c, Observer: checker}
+			_, summary := runner.Run(cmd.Context(), c.Now(), load.Draw(plan))
 			for _, client := range clients {
 				client.Close()
 			}
 			w := cmd.OutOrStdout()
 			fmt.Fprintf(w, "%d asked, service %.4f, worst class %.4f, first token p50 %.0f, p99 %.0f ms, sent late by %.2f ms at p99\n",
-				sum.Whole.Offered, sum.Service, sum.WorstClass, sum.Whole.FirstP50, sum.Whole.FirstP99, sum.IntendedLag)
-			for kind, n := range sum.Whole.Kinds {
+				summary.Whole.Offered, summary.Service, summary.WorstClass, summary.Whole.FirstP50, summary.Whole.FirstP99, summary.IntendedLag)
+			for kind, n := range summary.Whole.Kinds {
 				fmt.Fprintf(w, "%-10s %d\n", kind, n)
 			}
 			if out != "" {
-				if err := writeJSON(out, sum); err != nil {
+				if err := writeJSON(out, summary); err != nil {
 					return err
 				}
 			}
-			if len(check.Violations()) > 0 {
-				return fmt.Errorf("%w: %s", errBroken, check.Violations()[0].Text)
+			if len(checker.Violations()) > 0 {
+				return fmt.Errorf("%w: %s", errRuleViolated, checker.Violations()[0].Text)
 			}
 			return nil
 		},
--- a/cmd/ashlab/main.go
+++ b/cmd/ashlab/main.go
@@ -17,28 +17,28 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := root().ExecuteContext(ctx); err != nil {
+	if err := rootCommand().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "ashlab:", err)
 		stop()
 		os.Exit(exitCode(err))
 	}
 }
 
-// errBroken is the error of a run in which a rule was broken or a gateway crashed.
-var errBroken = errors.New("a rule was broken or a gateway crashed")
+// errRuleViolated is the error of a run in which a rule was broken or a gateway crashed.
+var errRuleViolated = errors.New("a rule was broken or a gateway crashed")
 
-// errApart is the error of two recordings that lie further apart than asked for.
-var errApart = errors.New("the recordings lie further apart than the bound")
+// errBoundExceeded is the error of two recordings that lie further apart than asked for.
+var errBoundExceeded = errors.New("the recordings lie further apart than the bound")
 
 // exitCode tells a verdict (1) from a run that could not be made (2).
 func exitCode(err error) int {
-	if errors.Is(err, errBroken) || errors.Is(err, errApart) {
+	if errors.Is(err, errRuleViolated) || errors.Is(err, errBoundExceeded) {
 		return 1
 	}
 	return 2
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	var verbose bool
 	cmd := &cobra.Command{
 		Use: "ashlab", Short: "Emulates fleets and rehearses incidents against gateways", SilenceUsage: true, SilenceErrors: true,
--- a/cmd/ashlab/main_test.go
+++ b/cmd/ashlab/main_test.go
@@ -15,7 +15,7 @@
 
 func run(args ...string) (string, error) {
 	var out bytes.Buffer
-	cmd := root()
+	cmd := rootCommand()
 	cmd.SetOut(&out)
 	cmd.SetErr(&out)
 	cmd.SetArgs(args)
@@ -23,7 +23,7 @@
 	return out.String(), err
 }
 
-func TestScenariosAreListedAndChecked(t *testing.T) {
+func TestScenarios_ListAndValidate(t *testing.T) {
 	out, err := run("scenarios")
 	if err != nil {
 		t.Fatal(err)
@@ -52,12 +52,12 @@
 
 // Days of the bench are recorded in the repository; a day is no distance from
 // itself, and two lie apart.
-func TestCompareGivesAVerdict(t *testing.T) {
+func TestCompare_Bound(t *testing.T) {
 	const calm, hang = "../../lab/record/days/calm-61.json", "../../lab/record/days/hang-42.json"
 	if out, err := run("compare", calm, calm, "--bound", "0.001"); err != nil || !strings.Contains(out, "within 0.001") {
 		t.Errorf("%s, %v", out, err)
 	}
-	if out, err := run("compare", calm, hang, "--bound", "0.01"); !errors.Is(err, errApart) || exitCode(err) != 1 || !strings.Contains(out, "send-order") {
+	if out, err := run("compare", calm, hang, "--bound", "0.01"); !errors.Is(err, errBoundExceeded) || exitCode(err) != 1 || !strings.Contains(out, "send-order") {
 		t.Errorf("%s, %v", out, err)
 	}
 	if _, err := run("compare", calm, "main.go"); !errors.Is(err, record.ErrShape) {
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestRecordReadsLogs(t *testing.T) {
+func TestRecord_DebugLogs(t *testing.T) {
 	dir := t.TempDir()
 	log, out := filepath.Join(dir, "n0.log"), filepath.Join(dir, "day.json")
 	text := "time=2026-12-01T17:18:05.050Z level=DEBUG msg=answer id=x class=case-chat kind=served ms=50 err=<nil>\n"
@@ -81,7 +81,7 @@
 }
 
 // A fleet's logs are counted by second and by engine; a folder without any is said to be.
-func TestFleetCountsLogs(t *testing.T) {
+func TestFleet_DebugLogs(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := run("fleet", dir); err == nil || exitCode(err) != 2 || !strings.Contains(err.Error(), "*.log") {
 		t.Errorf("an empty folder: %v", err)
--- a/cmd/ashlab/rehearse.go
+++ b/cmd/ashlab/rehearse.go
@@ -16,7 +16,7 @@
 )
 
 func rehearseCommand(logger func() *slog.Logger) *cobra.Command {
-	var opt rehearse.Options
+	var options rehearse.Options
 	var out, recording string
 	var seed uint64
 	var length float64
@@ -40,67 +40,67 @@
 			if cmd.Flags().Changed("length") {
 				s.Shorten(length)
 			}
-			if opt.Scenario, opt.Log = s, logger(); opt.Program == "" {
-				if opt.Program, err = beside("ashwood"); err != nil {
+			if options.Scenario, options.Log = s, logger(); options.Program == "" {
+				if options.Program, err = siblingProgram("ashwood"); err != nil {
 					return err
 				}
 			}
-			if recording != "" && opt.Logs == "" {
+			if recording != "" && options.Logs == "" {
 				dir, err := os.MkdirTemp("", "ashlab")
 				if err != nil {
 					return err
 				}
 				defer os.RemoveAll(dir)
-				opt.Logs = dir
+				options.Logs = dir
 			}
-			if terminal(os.Stderr) {
-				opt.Progress = func(p rehearse.Progress) {
-					fmt.Fprintf(os.Stderr, "\r%3.0f of %.0f s   %d of %d sent, %d answered   %d rules broken ", p.Seconds, p.Length, p.Sent, p.All, p.Done, p.Breaks)
+			if isTerminal(os.Stderr) {
+				options.Progress = func(p rehearse.Progress) {
+					fmt.Fprintf(os.Stderr, "\r%3.0f of %.0f s   %d of %d sent, %d answered   %d rules broken ", p.ElapsedS, p.LengthS, p.Sent, p.All, p.Done, p.Violations)
 				}
 				defer fmt.Fprintln(os.Stderr)
 			}
-			rep, err := rehearse.Run(cmd.Context(), opt)
+			report, err := rehearse.Run(cmd.Context(), options)
 			if err != nil {
 				return err
 			}
 			if out != "" {
-				if err := writeJSON(out, rep); err != nil {
+				if err := writeJSON(out, report); err != nil {
 					return err
 				}
 			}
 			if recording != "" {
-				logs, err := filepath.Glob(filepath.Join(opt.Logs, "n*.log"))
+				logs, err := filepath.Glob(filepath.Join(options.Logs, "n*.log"))
 				if err != nil {
 					return err
 				}
-				if err := recordLogs(logs, rep.Scenario, fmt.Sprintf("a rehearsal, seed %d", rep.Seed), recording); err != nil {
+				if err := recordLogs(logs, report.Scenario, fmt.Sprintf("a rehearsal, seed %d", report.Seed), recording); err != nil {
 					return err
 				}
 			}
-			if err := rep.Print(cmd.OutOrStdout()); err != nil {
+			if err := report.Print(cmd.OutOrStdout()); err != nil {
 				return err
 			}
-			if !rep.OK() {
-				return errBroken
+			if !report.OK() {
+				return errRuleViolated
 			}
 			return nil
 		},
 	}
 	f := cmd.Flags()
-	f.IntVar(&opt.Gateways, "gateways", 0, "how many gateways; 0 = as the scenario says")
-	f.StringVar(&opt.Program, "ashwood", "", "the daemon to start; default: the one beside this program")
-	f.BoolVar(&opt.GRPC, "grpc", false, "clients and boxes speak gRPC in place of HTTP/1.1")
-	f.StringVar(&opt.Logs, "logs", "", "folder for the gateways' debug logs")
+	f.IntVar(&options.Gateways, "gateways", 0, "how many gateways; 0 = as the scenario says")
+	f.StringVar(&options.Program, "ashwood", "", "the daemon to start; default: the one beside this program")
+	f.BoolVar(&options.GRPC, "grpc", false, "clients and boxes speak gRPC in place of HTTP/1.1")
+	f.StringVar(&options.Logs, "logs", "", "folder for the gateways' debug logs")
 	f.StringVar(&out, "json", "", "write the report to this file")
 	f.StringVar(&recording, "record", "", "write a recording of the gateways' logs to this file")
 	f.Uint64Var(&seed, "seed", 0, "in place of the scenario's")
 	f.Float64Var(&length, "length", 0, "seconds, in place of the scenario's; faults that begin later are left out")
-	f.Float64Var(&opt.Limits.Cores, "cores", 1, "of a gateway, as its configuration says")
-	f.Float64Var(&opt.Limits.MemoryMB, "memory-mb", 192, "of a gateway")
-	f.IntVar(&opt.Limits.Sockets, "sockets", 1024, "of a gateway")
+	f.Float64Var(&options.Limits.Cores, "cores", 1, "of a gateway, as its configuration says")
+	f.Float64Var(&options.Limits.MemoryMB, "memory-mb", 192, "of a gateway")
+	f.IntVar(&options.Limits.Sockets, "sockets", 1024, "of a gateway")
 	cmd.PreRunE = func(cmd *cobra.Command, args []string) error {
-		if opt.Gateways < 0 || opt.Gateways > 64 {
-			return fmt.Errorf("--gateways: %d is not from 1 to 64", opt.Gateways)
+		if options.Gateways < 0 || options.Gateways > 64 {
+			return fmt.Errorf("--gateways: %d is not from 1 to 64", options.Gateways)
 		}
 		if cmd.Flags().Changed("length") && !(length >= 1 && length <= 86400) {
 			return fmt.Errorf("--length: %v is not from 1 to 86400", length)
@@ -110,8 +110,8 @@
 	return cmd
 }
 
-// beside finds a program in the folder of this one.
-func beside(name string) (string, error) {
+// siblingProgram finds a program in the folder of this one.
+func siblingProgram(name string) (string, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return "", err
@@ -133,7 +133,7 @@
 	return errors.Join(e.Encode(v), f.Close())
 }
 
-func terminal(f *os.File) bool {
+func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
@@ -149,7 +149,7 @@
 			w := cmd.OutOrStdout()
 			if len(args) == 0 {
 				for _, name := range scenario.Names() {
-					if err := describe(w, name); err != nil {
+					if err := printScenario(w, name); err != nil {
 						return err
 					}
 				}
@@ -157,14 +157,14 @@
 			}
 			var errs []error
 			for _, name := range args {
-				errs = append(errs, describe(w, name))
+				errs = append(errs, printScenario(w, name))
 			}
 			return errors.Join(errs...)
 		},
 	}
 }
 
-func describe(w io.Writer, name string) error {
+func printScenario(w io.Writer, name string) error {
 	s, err := scenario.Open(name)
 	if err != nil {
 		return err
--- a/cmd/ashlab/soak.go
+++ b/cmd/ashlab/soak.go
@@ -15,8 +15,8 @@
 	var first uint64
 	var seeds, parallel int
 	var length time.Duration
-	var script, silence, ending bool
-	opt := soak.Options{LogLevel: "debug"}
+	var script, silence, termination bool
+	options := soak.Options{LogLevel: "debug"}
 	cmd := &cobra.Command{
 		Use: "soak", Args: cobra.NoArgs, Short: "Play stories of overlapping faults on real processes, one for each seed",
 		Long: `Draws a story for each seed: gateways, engines, settings, clients, and faults and signals
@@ -26,46 +26,46 @@
 
 It exits with 1 if a rule was broken or a gateway crashed.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if opt.Program == "" {
+			if options.Program == "" {
 				var err error
-				if opt.Program, err = beside("ashwood"); err != nil {
+				if options.Program, err = siblingProgram("ashwood"); err != nil {
 					return err
 				}
 			}
 			var mu sync.Mutex
-			var all sync.WaitGroup
-			var sum soak.Counts
-			broken := 0
+			var workers sync.WaitGroup
+			var total soak.Counts
+			failed := 0
 			next := make(chan uint64)
 			for range max(parallel, 1) {
-				all.Go(func() {
+				workers.Go(func() {
 					for seed := range next {
-						story, one := soak.Generate(seed, length), opt
+						faultScenario, playOptions := soak.Generate(seed, length), options
 						switch {
 						case silence:
-							story = soak.GenerateSilence(seed, length)
-						case ending:
-							story = soak.GenerateEnding(seed, length)
+							faultScenario = soak.GenerateSilence(seed, length)
+						case termination:
+							faultScenario = soak.GenerateEnding(seed, length)
 						}
-						if opt.Logs != "" {
-							one.Logs = filepath.Join(opt.Logs, fmt.Sprint(seed))
+						if options.Logs != "" {
+							playOptions.Logs = filepath.Join(options.Logs, fmt.Sprint(seed))
 						}
-						rep, err := soak.Play(cmd.Context(), story, one)
+						report, err := soak.Play(cmd.Context(), faultScenario, playOptions)
 						mu.Lock()
 						switch {
 						case err != nil:
-							broken++
+							failed++
 							fmt.Fprintf(cmd.OutOrStdout(), "seed %d could not be played: %v\n", seed, err)
-						case !rep.OK():
-							broken++
-							fmt.Fprint(cmd.OutOrStdout(), rep)
+						case !report.OK():
+							failed++
+							fmt.Fprint(cmd.OutOrStdout(), report)
 						case script:
-							fmt.Fprint(cmd.OutOrStdout(), rep)
+							fmt.Fprint(cmd.OutOrStdout(), report)
 						default:
-							fmt.Fprintf(cmd.OutOrStdout(), "seed %d: rules kept; %+v\n", seed, rep.Counts)
+							fmt.Fprintf(cmd.OutOrStdout(), "seed %d: rules kept; %+v\n", seed, report.Counts)
 						}
-						if rep != nil {
-							sum.Add(rep.Counts)
+						if report != nil {
+							total.Add(report.Counts)
 						}
 						mu.Unlock()
 					}
@@ -75,10 +75,10 @@
 				next <- first + uint64(i)
 			}
 			close(next)
-			all.Wait()
-			fmt.Fprintf(cmd.OutOrStdout(), "%d seeds, %d with broken rules; %+v\n", seeds, broken, sum)
-			if broken > 0 {
-				return errBroken
+			workers.Wait()
+			fmt.Fprintf(cmd.OutOrStdout(), "%d seeds, %d with broken rules; %+v\n", seeds, failed, total)
+			if failed > 0 {
+				return errRuleViolated
 			}
 			return nil
 		},
@@ -88,10 +88,10 @@
 	cmd.Flags().IntVar(&parallel, "parallel", 2, "how many stories to play at once")
 	cmd.Flags().DurationVar(&length, "length", 8*time.Second, "for how long clients ask")
 	cmd.Flags().BoolVar(&silence, "silence", false, "stories in which all engines fall silent and come back one by one")
-	cmd.Flags().BoolVar(&ending, "ending", false, "stories of gateways that are told to end and stopped around that")
+	cmd.Flags().BoolVar(&termination, "ending", false, "stories of gateways that are told to end and stopped around that")
 	cmd.MarkFlagsMutuallyExclusive("silence", "ending")
 	cmd.Flags().BoolVar(&script, "script", false, "print the script of every story")
-	cmd.Flags().StringVar(&opt.Program, "program", "", "the gateway's program; ashwood beside this one by default")
-	cmd.Flags().StringVar(&opt.Logs, "logs", "", "a folder for the gateways' logs, one folder a seed")
+	cmd.Flags().StringVar(&options.Program, "program", "", "the gateway's program; ashwood beside this one by default")
+	cmd.Flags().StringVar(&options.Logs, "logs", "", "a folder for the gateways' logs, one folder a seed")
 	return cmd
 }
--- a/contract/contract_test.go
+++ b/contract/contract_test.go
@@ -111,9 +111,9 @@
 	}
 	check := em.Rules()
 	out := tg.Client.Do(context.Background(), t, func() { check.RequestSent(0, id, c.Name, c.Effect == "side_effect", 0) })
-	check.RequestAnswered(out.End, id, out.Answer)
-	if out.Spoilt != "" {
-		check.AnswerCorrupted(out.End, id, out.Spoilt)
+	check.RequestAnswered(out.EndedAt, id, out.Answer)
+	if out.Corruption != "" {
+		check.AnswerCorrupted(out.EndedAt, id, out.Corruption)
 	}
 	if out.Answer == rules.Timeout {
 		return rules.Failure
--- a/contract/targets.go
+++ b/contract/targets.go
@@ -171,20 +171,20 @@
 	a, err := d.r.Do(ctx, &router.Request{
 		Method: http.MethodPost, Target: "/v1/chat/completions", Body: d.body.Body(t),
 		RequestInfo: ashwood.RequestInfo{
-			ID: ashwood.RequestID(t.ID), Class: t.Class.Name, Session: gateway.AffinityKey(t.Session), Prefix: gateway.AffinityKey(t.Shared),
-			PromptTokens: float64(t.PromptTokens), PrefixTokens: float64(t.SharedTokens), MaxOutputTokens: float64(t.MaxOut), Remaining: t.Remaining,
+			ID: ashwood.RequestID(t.ID), Class: t.Class.Name, Session: gateway.AffinityKey(t.Session), Prefix: gateway.AffinityKey(t.SharedPrefix),
+			PromptTokens: float64(t.PromptTokens), PrefixTokens: float64(t.SharedPrefixTokens), MaxOutputTokens: float64(t.MaxOut), Remaining: t.Remaining,
 		},
 	})
 	var refused *router.RefusedError
 	switch {
 	case errors.As(err, &refused):
-		return load.Outcome{Answer: rules.Refused, End: d.clock.Now(), RetryAfter: refused.RetryAfter}
+		return load.Outcome{Answer: rules.Refused, EndedAt: d.clock.Now(), RetryAfter: refused.RetryAfter}
 	case errors.Is(err, router.ErrClientGone):
-		return load.Outcome{Answer: rules.ClientLeft, End: d.clock.Now()}
+		return load.Outcome{Answer: rules.ClientLeft, EndedAt: d.clock.Now()}
 	case err != nil:
-		return load.Outcome{Answer: rules.Failure, End: d.clock.Now()}
+		return load.Outcome{Answer: rules.Failure, EndedAt: d.clock.Now()}
 	}
-	out = load.Outcome{Answer: rules.Served, First: d.clock.Now()}
+	out = load.Outcome{Answer: rules.Served, FirstTokenAt: d.clock.Now()}
 	var text bytes.Buffer
 	for piece, err := range a.Pieces() {
 		if err != nil {
@@ -193,10 +193,10 @@
 		}
 		text.Write(piece)
 	}
-	out.End = d.clock.Now()
-	out.Tokens, out.Spoilt = load.Check(t.ID, text.Bytes())
+	out.EndedAt = d.clock.Now()
+	out.Tokens, out.Corruption = load.Check(t.ID, text.Bytes())
 	if out.Answer == rules.Broken {
-		out.Spoilt = ""
+		out.Corruption = ""
 	}
 	return out
 }
--- a/lab/load/grpc.go
+++ b/lab/load/grpc.go
@@ -19,10 +19,10 @@
 
 // GRPC is a client of the gateway's gRPC front.
 type GRPC struct {
-	cc     *grpc.ClientConn
-	client ashwoodpb.InferenceClient
-	clock  clock.Clock
-	text   []byte
+	conn       *grpc.ClientConn
+	client     ashwoodpb.InferenceClient
+	clock      clock.Clock
+	promptText []byte
 }
 
 // NewGRPC makes a client of the gateway at an address.
@@ -31,48 +31,48 @@
 	if err != nil {
 		return nil, fmt.Errorf("load: %s: %w", addr, err)
 	}
-	return &GRPC{cc: cc, client: ashwoodpb.NewInferenceClient(cc), clock: c, text: NewHTTP(addr, 1, c).text}, nil
+	return &GRPC{conn: cc, client: ashwoodpb.NewInferenceClient(cc), clock: c, promptText: NewHTTP(addr, 1, c).promptText}, nil
 }
 
 // Close ends the connection.
-func (g *GRPC) Close() { g.cc.Close() }
+func (g *GRPC) Close() { g.conn.Close() }
 
 // Do sends a try.
-func (g *GRPC) Do(ctx context.Context, t Try, asked func()) (out Outcome) {
-	tctx, cancel := context.WithCancelCause(ctx)
+func (g *GRPC) Do(ctx context.Context, t Try, sent func()) (out Outcome) {
+	tryCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	stop := g.clock.AfterFunc(t.Remaining+t.Grace, func() { cancel(errTimeout) })
 	defer stop()
 	check := checker{id: t.ID}
-	stream, err := g.client.Generate(tctx, &ashwoodpb.GenerateRequest{
-		RequestId: t.ID, Class: t.Class.Name, Session: t.Session, Prefix: t.Shared, PromptTokens: uint32(t.PromptTokens),
-		PrefixTokens: uint32(t.SharedTokens), MaxTokens: uint32(t.MaxOut), Resent: t.Retry, FirstTokenMs: uint32(t.Remaining),
-		Prompt: g.text[:min(4*t.PromptTokens, maxBody-4096)],
+	stream, err := g.client.Generate(tryCtx, &ashwoodpb.GenerateRequest{
+		RequestId: t.ID, Class: t.Class.Name, Session: t.Session, Prefix: t.SharedPrefix, PromptTokens: uint32(t.PromptTokens),
+		PrefixTokens: uint32(t.SharedPrefixTokens), MaxTokens: uint32(t.MaxOut), Resent: t.Retry, FirstTokenMs: uint32(t.Remaining),
+		Prompt: g.promptText[:min(4*t.PromptTokens, maxBodyBytes-4096)],
 	})
 	if err == nil {
-		asked()
+		sent()
 		for {
-			var piece *ashwoodpb.Token
-			if piece, err = stream.Recv(); err != nil {
+			var token *ashwoodpb.Token
+			if token, err = stream.Recv(); err != nil {
 				break
 			}
-			if out.First == 0 {
+			if out.FirstTokenAt == 0 {
 				stop()
-				out.First = g.clock.Now()
+				out.FirstTokenAt = g.clock.Now()
 			}
-			check.add(piece.GetText())
+			check.addText(token.GetText())
 		}
 	}
-	out.End, out.Tokens, out.Spoilt = g.clock.Now(), check.tokens, check.spoilt
+	out.EndedAt, out.Tokens, out.Corruption = g.clock.Now(), check.tokens, check.corruption
 	st := status.Convert(err)
 	switch {
 	case errors.Is(err, io.EOF):
 		out.Answer = rules.Served
 	case ctx.Err() != nil:
 		out.Answer = rules.ClientLeft
-	case out.First > 0:
+	case out.FirstTokenAt > 0:
 		out.Answer = rules.Broken
-	case errors.Is(context.Cause(tctx), errTimeout), st.Code() == codes.DeadlineExceeded:
+	case errors.Is(context.Cause(tryCtx), errTimeout), st.Code() == codes.DeadlineExceeded:
 		out.Answer = rules.Timeout
 	case st.Code() == codes.ResourceExhausted, st.Code() == codes.Unavailable:
 		for _, d := range st.Details() {
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -21,7 +21,7 @@
 	"ashwood.example/ashwood/lab/scenario"
 )
 
-func plan(t *testing.T, text string) *scenario.Plan {
+func compilePlan(t *testing.T, text string) *scenario.Plan {
 	t.Helper()
 	s, err := scenario.Parse([]byte("name = \"x\"\n" + text))
 	if err != nil {
@@ -34,31 +34,31 @@
 	return p
 }
 
-func TestDrawIsTheScenarios(t *testing.T) {
-	p := plan(t, "length_s = 600\n[load]\nrate_per_s = 30\nburst_cv = 0.2\n[[fault]]\nkind = \"burst\"\nat_s = 300\nlen_s = 60\nfactor = 2.0\n")
-	list := Draw(p)
-	if diff := cmp.Diff(list, Draw(p)); diff != "" {
+func TestDraw_RatesAndSharesOfScenario(t *testing.T) {
+	plan := compilePlan(t, "length_s = 600\n[load]\nrate_per_s = 30\nburst_cv = 0.2\n[[fault]]\nkind = \"burst\"\nat_s = 300\nlen_s = 60\nfactor = 2.0\n")
+	requests := Draw(plan)
+	if diff := cmp.Diff(requests, Draw(plan)); diff != "" {
 		t.Fatal("two draws differ")
 	}
 	usual, burst := 0, 0
 	sessions := map[string]Request{}
 	shared, chat := 0, 0
-	for _, r := range list {
+	for _, r := range requests {
 		if r.At >= 300e3 && r.At < 360e3 {
 			burst++
 		} else {
 			usual++
 		}
-		if last, ok := sessions[r.Session]; ok && (r.PromptTokens <= last.PromptTokens+last.OutTokens || r.Shared != last.Shared) {
+		if last, ok := sessions[r.Session]; ok && (r.PromptTokens <= last.PromptTokens+last.OutputTokens || r.SharedPrefix != last.SharedPrefix) {
 			t.Fatalf("a turn that does not hold the one before: %+v after %+v", r, last)
 		}
 		sessions[r.Session] = r
 		if r.Class == 1 {
-			if chat++; r.Shared != "" {
+			if chat++; r.SharedPrefix != "" {
 				shared++
 			}
 		}
-		if r.PromptTokens > maxContext || r.OutTokens < 1 || r.OutTokens > r.MaxOut || r.SharedTokens >= r.PromptTokens {
+		if r.PromptTokens > maxContextTokens || r.OutputTokens < 1 || r.OutputTokens > r.MaxOut || r.SharedPrefixTokens >= r.PromptTokens {
 			t.Fatalf("%+v", r)
 		}
 	}
@@ -68,7 +68,7 @@
 	if got := float64(burst) / 60; math.Abs(got-60) > 9 {
 		t.Errorf("%.1f in the burst, 60 are wanted", got)
 	}
-	if got := float64(chat) / float64(len(list)); math.Abs(got-0.28) > 0.05 {
+	if got := float64(chat) / float64(len(requests)); math.Abs(got-0.28) > 0.05 {
 		t.Errorf("%.2f are case-chat, 0.28 is wanted", got)
 	}
 	if got := float64(shared) / float64(chat); math.Abs(got-0.8) > 0.07 {
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestJudge(t *testing.T) {
+func TestGradeAnswer(t *testing.T) {
 	c := scenario.Class{AimMs: 800, AimMsPerK: 60, DeadlineMs: 4000, TokenMs: 50, Worth: 2, LateWorth: 0.2}
 	for _, tt := range []struct {
 		first, total float64
@@ -85,26 +85,26 @@
 	}{
 		{900, 900 + 99*49, InTime, 2}, {900, 900 + 99*60, Late, 0.4}, {1000, 2000, Late, 0.4}, {900, 900 + 99*110, Late, 0}, {5000, 5100, Late, 0},
 	} {
-		r := Result{Request: Request{PromptTokens: 2000, Worth: 2}, First: tt.first, Total: tt.total, Tokens: 100}
-		if judge(c, &r); r.Kind != tt.kind || r.Earned != tt.earned {
+		r := Result{Request: Request{PromptTokens: 2000, Worth: 2}, FirstTokenMs: tt.first, TotalMs: tt.total, Tokens: 100}
+		if gradeAnswer(c, &r); r.Kind != tt.kind || r.Earned != tt.earned {
 			t.Errorf("%v, %v: %s %v, want %s %v", tt.first, tt.total, r.Kind, r.Earned, tt.kind, tt.earned)
 		}
 	}
 }
 
-// jumps is a clock that stands at each time that is waited for, at once.
-type jumps struct {
+// jumpClock is a clock that stands at each time that is waited for, at once.
+type jumpClock struct {
 	mu  sync.Mutex
 	now float64
 }
 
-func (j *jumps) Now() float64 {
+func (j *jumpClock) Now() float64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.now
 }
 
-func (j *jumps) AfterFunc(ms float64, f func()) func() bool {
+func (j *jumpClock) AfterFunc(ms float64, f func()) func() bool {
 	j.mu.Lock()
 	j.now += ms
 	j.mu.Unlock()
@@ -112,41 +112,41 @@
 	return func() bool { return false }
 }
 
-// client answers from a list, or holds tries back until it is let go.
-type client struct {
-	mu    sync.Mutex
-	say   []Outcome
-	tries []Try
-	hold  chan struct{}
+// fakeClient answers from a list, or holds tries back until it is let go.
+type fakeClient struct {
+	mu       sync.Mutex
+	outcomes []Outcome
+	tries    []Try
+	release  chan struct{}
 }
 
-func (c *client) Do(_ context.Context, t Try, asked func()) Outcome {
+func (c *fakeClient) Do(_ context.Context, t Try, asked func()) Outcome {
 	asked()
 	c.mu.Lock()
 	c.tries = append(c.tries, t)
 	out := Outcome{Answer: rules.Served}
-	if len(c.say) > 0 {
-		out, c.say = c.say[0], c.say[1:]
+	if len(c.outcomes) > 0 {
+		out, c.outcomes = c.outcomes[0], c.outcomes[1:]
 	}
 	c.mu.Unlock()
-	if c.hold != nil {
-		<-c.hold
+	if c.release != nil {
+		<-c.release
 	}
 	return out
 }
 
-func (c *client) Close() {}
+func (c *fakeClient) Close() {}
 
 // No request waits for another one's answer: all are asked while none is answered.
-func TestLoadIsOpenLoop(t *testing.T) {
-	p := plan(t, "length_s = 20\ngateways = 1\n[load]\nimpatient = 0.0\n")
-	for i := range p.Load.Classes { // the clock jumps on while a request's goroutine has yet to begin
-		p.Load.Classes[i].DeadlineMs = 1e9
+func TestRunner_OpenLoop(t *testing.T) {
+	plan := compilePlan(t, "length_s = 20\ngateways = 1\n[load]\nimpatient = 0.0\n")
+	for i := range plan.Load.Classes { // the clock jumps on while a request's goroutine has yet to begin
+		plan.Load.Classes[i].DeadlineMs = 1e9
 	}
-	list := Draw(p)
-	c := &client{hold: make(chan struct{})}
+	list := Draw(plan)
+	c := &fakeClient{release: make(chan struct{})}
 	check := rules.New(rules.PlatformLimits())
-	r := Runner{Plan: p, Clients: []Client{c}, Clock: &jumps{}, Watch: check}
+	r := Runner{Plan: plan, Clients: []Client{c}, Clock: &jumpClock{}, Observer: check}
 	done := make(chan *Summary)
 	go func() {
 		_, s := r.Run(context.Background(), 0, list)
@@ -160,14 +160,14 @@
 			runtime.Gosched()
 		}
 	}
-	close(c.hold)
+	close(c.release)
 	if s := <-done; s.Whole.Offered != len(list) {
 		t.Errorf("%d of %d", s.Whole.Offered, len(list))
 	}
 }
 
-func TestRetriesKeepToTheClasssEffect(t *testing.T) {
-	p := plan(t, "length_s = 10\ngateways = 1\n[load]\nretries = 2\nimpatient = 0.0\nhonour = 1.0\n")
+func TestRunner_RetriesByEffect(t *testing.T) {
+	p := compilePlan(t, "length_s = 10\ngateways = 1\n[load]\nretries = 2\nimpatient = 0.0\nhonour = 1.0\n")
 	for _, c := range []struct {
 		class int
 		say   []Outcome
@@ -177,10 +177,10 @@
 		{0, []Outcome{{Answer: rules.Refused, RetryAfter: 100}, {Answer: rules.Refused}}, 3, InTime},
 		{0, []Outcome{{Answer: rules.Failure}}, 2, InTime}, {0, []Outcome{{Answer: rules.Refused}, {Answer: rules.Refused}, {Answer: rules.Refused}}, 3, Refused},
 		{2, []Outcome{{Answer: rules.Refused}}, 2, InTime}, {2, []Outcome{{Answer: rules.Failure}}, 1, Failed},
-		{2, []Outcome{{Answer: rules.Timeout}}, 1, Timeout}, {2, []Outcome{{}}, 2, InTime}, {0, []Outcome{{Answer: rules.Broken, First: 1}}, 1, Broken},
+		{2, []Outcome{{Answer: rules.Timeout}}, 1, Timeout}, {2, []Outcome{{}}, 2, InTime}, {0, []Outcome{{Answer: rules.Broken, FirstTokenAt: 1}}, 1, Broken},
 	} {
-		cl := &client{say: c.say}
-		r := Runner{Plan: p, Clients: []Client{cl}, Clock: &jumps{}, Watch: rules.New(rules.PlatformLimits())}
+		cl := &fakeClient{outcomes: c.say}
+		r := Runner{Plan: p, Clients: []Client{cl}, Clock: &jumpClock{}, Observer: rules.New(rules.PlatformLimits())}
 		results, _ := r.Run(context.Background(), 0, []Request{{Class: c.class, PromptTokens: 100, Worth: 1}})
 		if results[0].Tries != c.tries || results[0].Kind != c.kind {
 			t.Errorf("class %d, %v: %d tries, %s; want %d, %s", c.class, c.say, results[0].Tries, results[0].Kind, c.tries, c.kind)
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestHTTPClientReadsAnswers(t *testing.T) {
+func TestHTTP_AnswerOutcomes(t *testing.T) {
 	event := func(id string, from, n int) string {
 		return fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n", engine.AnswerText(id, from, n))
 	}
@@ -245,8 +245,8 @@
 			remaining = 30
 		}
 		asked := 0
-		out := c.Do(context.Background(), Try{Request: &Request{Session: tt.how, PromptTokens: 50, SharedTokens: 20}, ID: "00112233445566aa", Remaining: remaining}, func() { asked++ })
-		if out.Answer != tt.answer || out.Tokens != tt.tokens || (out.Spoilt != "") != tt.spoilt || asked != 1 {
+		out := c.Do(context.Background(), Try{Request: &Request{Session: tt.how, PromptTokens: 50, SharedPrefixTokens: 20}, ID: "00112233445566aa", Remaining: remaining}, func() { asked++ })
+		if out.Answer != tt.answer || out.Tokens != tt.tokens || (out.Corruption != "") != tt.spoilt || asked != 1 {
 			t.Errorf("%s: %+v, asked %d times", tt.how, out, asked)
 		}
 		if tt.how == "refused" && out.RetryAfter != 250 {
--- a/lab/load/score.go
+++ b/lab/load/score.go
@@ -23,26 +23,26 @@
 // Result is what became of a first try.
 type Result struct {
 	Request
-	Kind   Kind
-	Tries  int
-	First  float64 // ms from the drawn time to the first token; 0 = none came
-	Total  float64 // ms from the drawn time to the end
-	Tokens int
-	Earned float64
+	Kind         Kind
+	Tries        int
+	FirstTokenMs float64 // ms from the drawn time to the first token; 0 = none came
+	TotalMs      float64 // ms from the drawn time to the end
+	Tokens       int
+	Earned       float64
 }
 
-// judge settles what an answer has earned: all for a first token within the aim
+// gradeAnswer settles what an answer has earned: all for a first token within the aim
 // and the rest at the class's pace, the late share for up to the deadline and
 // twice that pace.
-func judge(c scenario.Class, r *Result) {
+func gradeAnswer(c scenario.Class, r *Result) {
 	pace := 0.0
 	if r.Tokens > 1 {
-		pace = (r.Total - r.First) / float64(r.Tokens-1)
+		pace = (r.TotalMs - r.FirstTokenMs) / float64(r.Tokens-1)
 	}
 	switch {
-	case r.First <= Aim(c, r.Request) && pace <= c.TokenMs:
+	case r.FirstTokenMs <= Aim(c, r.Request) && pace <= c.TokenMs:
 		r.Kind, r.Earned = InTime, r.Worth
-	case r.First <= Deadline(c, r.Request) && pace <= 2*c.TokenMs:
+	case r.FirstTokenMs <= Deadline(c, r.Request) && pace <= 2*c.TokenMs:
 		r.Kind, r.Earned = Late, r.Worth*c.LateWorth
 	default:
 		r.Kind, r.Earned = Late, 0
@@ -85,22 +85,22 @@
 	w.Tries += r.Tries
 	w.Worth += r.Worth
 	w.Earned += r.Earned
-	if r.First > 0 {
-		record(w.first, r.First)
+	if r.FirstTokenMs > 0 {
+		recordMs(w.first, r.FirstTokenMs)
 	}
 	if r.Kind == InTime || r.Kind == Late {
-		record(w.total, r.Total)
+		recordMs(w.total, r.TotalMs)
 	}
 }
 
-func record(h *hdrhistogram.Histogram, ms float64) {
+func recordMs(h *hdrhistogram.Histogram, ms float64) {
 	_ = h.RecordValue(min(max(int64(ms*1000), 1), int64(maxUs))) // the bounds keep it within range
 }
 
-func (w *Window) settle() {
-	at := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	w.FirstP50, w.FirstP99 = at(w.first, 50), at(w.first, 99)
-	w.TotalP50, w.TotalP99 = at(w.total, 50), at(w.total, 99)
+func (w *Window) setQuantiles() {
+	quantile := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+	w.FirstP50, w.FirstP99 = quantile(w.first, 50), quantile(w.first, 99)
+	w.TotalP50, w.TotalP99 = quantile(w.total, 50), quantile(w.total, 99)
 }
 
 // WindowMs is the length of a report's windows.
@@ -114,7 +114,7 @@
 	ByClass     map[string][]*Window `json:"by_class"`
 	Service     float64              `json:"service"`
 	WorstClass  float64              `json:"worst_class"`
-	WorstTen    float64              `json:"worst_10s"`
+	Worst10s    float64              `json:"worst_10s"`
 	Score       float64              `json:"score"` // 0.7 whole, 0.1 worst 10 s, 0.2 worst class
 	IntendedLag float64              `json:"intended_lag_p99_ms"`
 }
@@ -122,39 +122,39 @@
 // Summarize works a run's figures out.
 func Summarize(p *scenario.Plan, results []Result) *Summary {
 	s := &Summary{Whole: newWindow(), Classes: map[string]*Window{}, ByClass: map[string][]*Window{}}
-	n := int((p.LengthS*1000 + WindowMs - 1) / WindowMs)
-	for range n {
+	windowCount := int((p.LengthS*1000 + WindowMs - 1) / WindowMs)
+	for range windowCount {
 		s.Windows = append(s.Windows, newWindow())
 	}
 	for _, c := range p.Load.Classes {
 		s.Classes[c.Name] = newWindow()
-		for range n {
+		for range windowCount {
 			s.ByClass[c.Name] = append(s.ByClass[c.Name], newWindow())
 		}
 	}
 	for _, r := range results {
-		name, at := p.Load.Classes[r.Class].Name, min(int(r.At/WindowMs), n-1)
-		for _, w := range []*Window{s.Whole, s.Classes[name], s.Windows[at], s.ByClass[name][at]} {
+		name, index := p.Load.Classes[r.Class].Name, min(int(r.At/WindowMs), windowCount-1)
+		for _, w := range []*Window{s.Whole, s.Classes[name], s.Windows[index], s.ByClass[name][index]} {
 			w.add(r)
 		}
 	}
-	s.Whole.settle()
-	s.Service, s.WorstClass, s.WorstTen = s.Whole.Service(), 1, 1
+	s.Whole.setQuantiles()
+	s.Service, s.WorstClass, s.Worst10s = s.Whole.Service(), 1, 1
 	for name, w := range s.Classes {
-		w.settle()
+		w.setQuantiles()
 		s.WorstClass = min(s.WorstClass, w.Service())
 		for _, w := range s.ByClass[name] {
-			w.settle()
+			w.setQuantiles()
 		}
 	}
 	for i, w := range s.Windows {
-		w.settle()
-		two := Window{Worth: w.Worth, Earned: w.Earned}
-		if i+1 < n {
-			two.Worth, two.Earned = two.Worth+s.Windows[i+1].Worth, two.Earned+s.Windows[i+1].Earned
-			s.WorstTen = min(s.WorstTen, two.Service())
+		w.setQuantiles()
+		pair := Window{Worth: w.Worth, Earned: w.Earned}
+		if i+1 < windowCount {
+			pair.Worth, pair.Earned = pair.Worth+s.Windows[i+1].Worth, pair.Earned+s.Windows[i+1].Earned
+			s.Worst10s = min(s.Worst10s, pair.Service())
 		}
 	}
-	s.Score = 0.7*s.Service + 0.1*s.WorstTen + 0.2*s.WorstClass
+	s.Score = 0.7*s.Service + 0.1*s.Worst10s + 0.2*s.WorstClass
 	return s
 }
--- a/lab/rehearse/gateways.go
+++ b/lab/rehearse/gateways.go
@@ -27,28 +27,28 @@
 
 // gateway is a running process of the daemon.
 type gateway struct {
-	cmd    *exec.Cmd
-	listen string // its address for HTTP/1.1
-	grpc   string // and for gRPC, "" without
-	waited chan struct{}
-	err    error // of its end
-	closed func() error
+	cmd      *exec.Cmd
+	listen   string // its address for HTTP/1.1
+	grpc     string // and for gRPC, "" without
+	exited   chan struct{}
+	exitErr  error // of its end
+	closeLog func() error
 }
 
-// serving is what the daemon logs once it listens.
-var serving = regexp.MustCompile(`msg=serving\b`)
+// servingLine is what the daemon logs once it listens.
+var servingLine = regexp.MustCompile(`msg=serving\b`)
 
-var addresses = regexp.MustCompile(`\b(grpc|listen)=(\S+)`)
+var addressFields = regexp.MustCompile(`\b(grpc|listen)=(\S+)`)
 
-// launch is all that starting a gateway needs.
-type launch struct {
-	program string
-	dir     string // for its configuration
-	logs    string // folder for its log, "" = none
-	plan    *scenario.Plan
-	em      *emulator.Emulator
-	grpc    bool
-	limits  Limits
+// launcher is all that starting a gateway needs.
+type launcher struct {
+	program   string
+	configDir string // for its configuration
+	logDir    string // folder for its log, "" = none
+	plan      *scenario.Plan
+	emulator  *emulator.Emulator
+	grpc      bool
+	limits    Limits
 }
 
 // Limits are what a gateway's machine allows it.
@@ -59,31 +59,31 @@
 }
 
 // start runs one gateway until it serves.
-func (l launch) start(ctx context.Context, n int) (*gateway, error) {
+func (l launcher) start(ctx context.Context, n int) (*gateway, error) {
 	name := fmt.Sprintf("n%d", n)
-	config, err := l.configure(n, name)
+	config, err := l.writeConfig(n, name)
 	if err != nil {
 		return nil, err
 	}
-	g := &gateway{cmd: exec.Command(l.program), waited: make(chan struct{}), closed: func() error { return nil }}
+	g := &gateway{cmd: exec.Command(l.program), exited: make(chan struct{}), closeLog: func() error { return nil }}
 	g.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config)
 	if l.grpc {
-		operator, err := l.operator(n, name)
+		operator, err := l.writeOperatorConfig(n, name)
 		if err != nil {
 			return nil, err
 		}
 		g.cmd.Env = append(g.cmd.Env, "ASHWOOD_OPERATOR="+operator)
 	}
 	var log io.Writer = io.Discard
-	if l.logs != "" {
-		f, err := os.Create(filepath.Join(l.logs, name+".log"))
+	if l.logDir != "" {
+		f, err := os.Create(filepath.Join(l.logDir, name+".log"))
 		if err != nil {
 			return nil, fmt.Errorf("rehearse: %w", err)
 		}
-		log, g.closed = f, f.Close
+		log, g.closeLog = f, f.Close
 		g.cmd.Env = append(g.cmd.Env, "ASHWOOD_LOG=debug")
 	}
-	out, err := g.cmd.StderrPipe()
+	stderr, err := g.cmd.StderrPipe()
 	if err != nil {
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
@@ -91,59 +91,59 @@
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
 	served := make(chan struct{})
-	go g.follow(out, log, served)
+	go g.followLog(stderr, log, served)
 	select {
 	case <-served:
-	case <-g.waited:
-		return nil, fmt.Errorf("rehearse: %s ended before it served: %w", name, errors.Join(g.err, errEnded))
+	case <-g.exited:
+		return nil, fmt.Errorf("rehearse: %s ended before it served: %w", name, errors.Join(g.exitErr, errExited))
 	case <-ctx.Done():
 		g.kill()
 		return nil, fmt.Errorf("rehearse: %s: %w", name, context.Cause(ctx))
 	}
-	resp, err := http.Get("http://" + g.listen + "/-/ready")
+	response, err := http.Get("http://" + g.listen + "/-/ready")
 	if err != nil {
 		g.kill()
 		return nil, fmt.Errorf("rehearse: %s is not ready: %w", name, err)
 	}
-	resp.Body.Close()
+	response.Body.Close()
 	return g, nil
 }
 
-var errEnded = errors.New("the process has ended")
+var errExited = errors.New("the process has ended")
 
-// follow copies a gateway's log, and waits for the process behind its end.
-func (g *gateway) follow(out io.Reader, log io.Writer, served chan struct{}) {
-	lines := bufio.NewScanner(out)
+// followLog copies a gateway's log, and waits for the process behind its end.
+func (g *gateway) followLog(stderr io.Reader, log io.Writer, served chan struct{}) {
+	lines := bufio.NewScanner(stderr)
 	lines.Buffer(make([]byte, 0, 64<<10), 1<<20)
 	for lines.Scan() {
 		fmt.Fprintln(log, lines.Text())
-		if g.listen == "" && serving.Match(lines.Bytes()) {
-			for _, m := range addresses.FindAllStringSubmatch(lines.Text(), -1) {
-				if m[1] == "grpc" {
-					g.grpc = m[2]
+		if g.listen == "" && servingLine.Match(lines.Bytes()) {
+			for _, field := range addressFields.FindAllStringSubmatch(lines.Text(), -1) {
+				if field[1] == "grpc" {
+					g.grpc = field[2]
 				} else {
-					g.listen = m[2]
+					g.listen = field[2]
 				}
 			}
 			close(served)
 		}
 	}
-	_, _ = io.Copy(log, out) // what a line too long has left
-	g.err = errors.Join(g.cmd.Wait(), g.closed())
-	close(g.waited)
+	_, _ = io.Copy(log, stderr) // what a line too long has left
+	g.exitErr = errors.Join(g.cmd.Wait(), g.closeLog())
+	close(g.exited)
 }
 
-// configure writes a gateway's configuration in the platform's form.
-func (l launch) configure(n int, name string) (path string, err error) {
+// writeConfig writes a gateway's configuration in the platform's form.
+func (l launcher) writeConfig(n int, name string) (path string, err error) {
 	type object = map[string]any
 	var known []object
-	for _, b := range l.em.Engines(n) {
+	for _, engine := range l.emulator.Engines(n) {
 		known = append(known, object{
-			"instanceId": b.ID, "hostPort": b.HTTP, "zone": b.Zone, "machineType": b.Kind, "cell": b.Cell, "lifecycle": "up", "weight": 1, "startedAtMs": 0,
+			"instanceId": engine.ID, "hostPort": engine.HTTP, "zone": engine.Zone, "machineType": engine.Kind, "cell": engine.Cell, "lifecycle": "up", "weight": 1, "startedAtMs": 0,
 		})
 	}
 	raw, err := json.Marshal(object{
-		"name": name, "listen": "127.0.0.1:0", "discovery": l.em.DiscoveryAddr(n), "seed": strconv.FormatUint(l.plan.Seed+uint64(n), 16),
+		"name": name, "listen": "127.0.0.1:0", "discovery": l.emulator.DiscoveryAddr(n), "seed": strconv.FormatUint(l.plan.Seed+uint64(n), 16),
 		"limits":   object{"cores": l.limits.Cores, "memory_mb": l.limits.MemoryMB, "sockets": l.limits.Sockets},
 		"known":    object{"generation": 1, "reset": true, "instances": known},
 		"settings": l.plan.Settings(n),
@@ -151,35 +151,35 @@
 	if err != nil {
 		return "", fmt.Errorf("rehearse: %w", err)
 	}
-	path = filepath.Join(l.dir, name+".json")
+	path = filepath.Join(l.configDir, name+".json")
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		return "", fmt.Errorf("rehearse: %w", err)
 	}
 	return path, nil
 }
 
-// operator writes the operator's file that sets up a gateway's gRPC front.
-func (l launch) operator(n int, name string) (path string, err error) {
-	var boxes []map[string]any
-	for _, b := range l.em.Engines(n) {
-		boxes = append(boxes, map[string]any{"id": b.ID, "address": b.GRPC, "kind": b.Kind, "zone": b.Zone, "cell": b.Cell})
+// writeOperatorConfig writes the operator's file that sets up a gateway's gRPC front.
+func (l launcher) writeOperatorConfig(n int, name string) (path string, err error) {
+	var engines []map[string]any
+	for _, b := range l.emulator.Engines(n) {
+		engines = append(engines, map[string]any{"id": b.ID, "address": b.GRPC, "kind": b.Kind, "zone": b.Zone, "cell": b.Cell})
 	}
-	path = filepath.Join(l.dir, name+".toml")
+	path = filepath.Join(l.configDir, name+".toml")
 	f, err := os.Create(path)
 	if err != nil {
 		return "", fmt.Errorf("rehearse: %w", err)
 	}
-	err = toml.NewEncoder(f).Encode(map[string]any{"grpc": map[string]any{"listen": "127.0.0.1:0", "boxes": boxes}})
+	err = toml.NewEncoder(f).Encode(map[string]any{"grpc": map[string]any{"listen": "127.0.0.1:0", "boxes": engines}})
 	if err := errors.Join(err, f.Close()); err != nil {
 		return "", fmt.Errorf("rehearse: %w", err)
 	}
 	return path, nil
 }
 
-// ended tells whether the process has ended by itself.
-func (g *gateway) ended() bool {
+// hasExited tells whether the process has ended by itself.
+func (g *gateway) hasExited() bool {
 	select {
-	case <-g.waited:
+	case <-g.exited:
 		return true
 	default:
 		return false
@@ -188,32 +188,32 @@
 
 func (g *gateway) kill() {
 	_ = g.cmd.Process.Kill() // it may have ended
-	<-g.waited
+	<-g.exited
 }
 
-// stopWait is how long a gateway may take to end after SIGTERM.
-const stopWait = 30 * time.Second
+// stopTimeout is how long a gateway may take to end after SIGTERM.
+const stopTimeout = 30 * time.Second
 
-// stop ends gateways as a planned restart does, and gives the errors of those
+// stopAll ends gateways as a planned restart does, and gives the errors of those
 // that crashed before, or did not end in order.
-func stop(list []*gateway) (errs []string) {
+func stopAll(gateways []*gateway) (errs []string) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	for i, g := range list {
+	for i, g := range gateways {
 		all.Go(func() {
 			text := ""
-			if g.ended() {
-				text = fmt.Sprintf("gateway %d crashed: %v", i, g.err)
+			if g.hasExited() {
+				text = fmt.Sprintf("gateway %d crashed: %v", i, g.exitErr)
 			} else {
 				_ = g.cmd.Process.Signal(syscall.SIGTERM) // if it has just ended, its error tells
 				select {
-				case <-g.waited:
-					if g.err != nil {
-						text = fmt.Sprintf("gateway %d ended with %v", i, g.err)
+				case <-g.exited:
+					if g.exitErr != nil {
+						text = fmt.Sprintf("gateway %d ended with %v", i, g.exitErr)
 					}
-				case <-time.After(stopWait):
+				case <-time.After(stopTimeout):
 					g.kill()
-					text = fmt.Sprintf("gateway %d did not end within %s of SIGTERM", i, stopWait)
+					text = fmt.Sprintf("gateway %d did not end within %s of SIGTERM", i, stopTimeout)
 				}
 			}
 			if text != "" {
--- a/lab/rehearse/rehearse.go
+++ b/lab/rehearse/rehearse.go
@@ -30,28 +30,28 @@
 
 // Progress tells how far a rehearsal is.
 type Progress struct {
-	Seconds, Length float64
-	Sent, Done, All int
-	Breaks          int
+	ElapsedS, LengthS float64
+	Sent, Done, All   int
+	Violations        int
 }
 
 // Report is all that a rehearsal found.
 type Report struct {
-	Scenario string            `json:"scenario"`
-	Seed     uint64            `json:"seed"`
-	Gateways int               `json:"gateways"`
-	Boxes    int               `json:"boxes"`
-	Wire     string            `json:"wire"`
-	LengthS  float64           `json:"length_s"`
-	Summary  *load.Summary     `json:"summary"`
-	Counts   rules.Counts      `json:"counts"`
-	Breaks   []rules.Violation `json:"breaks"`
-	Crashes  []string          `json:"crashes"`
-	Held     int               `json:"held_at_end"`
-	Emulator emulator.Stats    `json:"emulator"`
-	Usage    []Usage           `json:"gateways_used"`
-	Own      Usage             `json:"lab_used"` // by the emulator and the load
-	begun    float64
+	Scenario     string            `json:"scenario"`
+	Seed         uint64            `json:"seed"`
+	Gateways     int               `json:"gateways"`
+	Engines      int               `json:"boxes"`
+	Wire         string            `json:"wire"`
+	LengthS      float64           `json:"length_s"`
+	Summary      *load.Summary     `json:"summary"`
+	Counts       rules.Counts      `json:"counts"`
+	Violations   []rules.Violation `json:"breaks"`
+	Crashes      []string          `json:"crashes"`
+	HeldAtEnd    int               `json:"held_at_end"`
+	Emulator     emulator.Stats    `json:"emulator"`
+	GatewayUsage []Usage           `json:"gateways_used"`
+	LabUsage     Usage             `json:"lab_used"` // by the emulator and the load
+	startedAt    float64
 }
 
 // Usage is what a gateway's process has used.
@@ -61,30 +61,30 @@
 }
 
 // OK tells whether every rule was kept and every gateway lived.
-func (r *Report) OK() bool { return len(r.Breaks) == 0 && len(r.Crashes) == 0 && r.Held == 0 }
+func (r *Report) OK() bool { return len(r.Violations) == 0 && len(r.Crashes) == 0 && r.HeldAtEnd == 0 }
 
-// settleWait bounds the wait for what is still held after the load; the rule's
+// releaseTimeout bounds the wait for what is still held after the load; the rule's
 // own time is shorter.
-const settleWait = 3 * time.Second
+const releaseTimeout = 3 * time.Second
 
 // Run plays a scenario to its end.
-func Run(ctx context.Context, opt Options) (rep *Report, err error) {
-	s := *opt.Scenario
-	if opt.Gateways > 0 {
-		s.Gateways = opt.Gateways
+func Run(ctx context.Context, options Options) (report *Report, err error) {
+	s := *options.Scenario
+	if options.Gateways > 0 {
+		s.Gateways = options.Gateways
 	}
-	if opt.Log == nil {
-		opt.Log = slog.New(slog.DiscardHandler)
+	if options.Log == nil {
+		options.Log = slog.New(slog.DiscardHandler)
 	}
-	if opt.Limits == (Limits{}) {
-		opt.Limits = Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}
+	if options.Limits == (Limits{}) {
+		options.Limits = Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}
 	}
 	plan, err := s.Compile()
 	if err != nil {
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
 	c := clock.System()
-	em, err := emulator.New(emulator.Config{Plan: plan, GRPC: opt.GRPC, StaticMembership: opt.GRPC, Rules: opt.Rules, Clock: c, Log: opt.Log})
+	em, err := emulator.New(emulator.Config{Plan: plan, GRPC: options.GRPC, StaticMembership: options.GRPC, Rules: options.Rules, Clock: c, Log: options.Log})
 	if err != nil {
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
@@ -94,105 +94,105 @@
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	if opt.Logs != "" {
-		if err := os.MkdirAll(opt.Logs, 0o755); err != nil {
+	if options.Logs != "" {
+		if err := os.MkdirAll(options.Logs, 0o755); err != nil {
 			return nil, fmt.Errorf("rehearse: %w", err)
 		}
 	}
-	l := launch{program: opt.Program, dir: dir, logs: opt.Logs, plan: plan, em: em, grpc: opt.GRPC, limits: opt.Limits}
+	l := launcher{program: options.Program, configDir: dir, logDir: options.Logs, plan: plan, emulator: em, grpc: options.GRPC, limits: options.Limits}
 	gateways, err := startAll(ctx, l, s.Gateways)
 	if err != nil {
 		return nil, err
 	}
-	clients, err := connect(gateways, plan, opt.GRPC, c)
+	clients, err := newClients(gateways, plan, options.GRPC, c)
 	if err != nil {
-		stop(gateways)
+		stopAll(gateways)
 		return nil, err
 	}
-	list := load.Draw(plan)
-	rep = &Report{Scenario: s.Name, Seed: s.Seed, Gateways: s.Gateways, Boxes: len(plan.Engine.Engines), Wire: "http/1.1", LengthS: s.LengthS}
-	if opt.GRPC {
-		rep.Wire = "grpc"
+	requests := load.Draw(plan)
+	report = &Report{Scenario: s.Name, Seed: s.Seed, Gateways: s.Gateways, Engines: len(plan.Engine.Engines), Wire: "http/1.1", LengthS: s.LengthS}
+	if options.GRPC {
+		report.Wire = "grpc"
 	}
 	if err := em.Start(); err != nil {
-		stop(gateways)
+		stopAll(gateways)
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
-	rep.begun = em.StartedAt()
-	runner := load.Runner{Plan: plan, Clients: clients, Clock: c, Watch: em.Rules(), Progress: progress(opt, em, c, len(list), s.LengthS)}
-	_, rep.Summary = runner.Run(ctx, em.StartedAt(), list)
+	report.startedAt = em.StartedAt()
+	runner := load.Runner{Plan: plan, Clients: clients, Clock: c, Observer: em.Rules(), Progress: throttleProgress(options, em, c, len(requests), s.LengthS)}
+	_, report.Summary = runner.Run(ctx, em.StartedAt(), requests)
 	for _, client := range clients {
 		client.Close()
 	}
-	waitIdle(em)
-	rep.Crashes = stop(gateways)
-	rep.Held = em.HoldCount()
-	rep.Counts, rep.Breaks, rep.Emulator = em.Rules().Counts(), em.Rules().Violations(), em.Stats()
-	for _, m := range rep.Emulator.Malformed {
-		rep.Breaks = append(rep.Breaks, rules.Violation{Rule: rules.Unchanged, Text: "a box could not read a request: " + m})
+	waitForReleases(em)
+	report.Crashes = stopAll(gateways)
+	report.HeldAtEnd = em.HoldCount()
+	report.Counts, report.Violations, report.Emulator = em.Rules().Counts(), em.Rules().Violations(), em.Stats()
+	for _, m := range report.Emulator.Malformed {
+		report.Violations = append(report.Violations, rules.Violation{Rule: rules.Unchanged, Text: "a box could not read a request: " + m})
 	}
-	rep.Own = ownUsage()
+	report.LabUsage = ownUsage()
 	for _, g := range gateways {
 		if st := g.cmd.ProcessState; st != nil {
-			rep.Usage = append(rep.Usage, usage(st))
+			report.GatewayUsage = append(report.GatewayUsage, processUsage(st))
 		}
 	}
-	return rep, ctx.Err()
+	return report, ctx.Err()
 }
 
-func startAll(ctx context.Context, l launch, n int) (list []*gateway, err error) {
-	for i := range n {
+func startAll(ctx context.Context, l launcher, count int) (gateways []*gateway, err error) {
+	for i := range count {
 		g, err := l.start(ctx, i)
 		if err != nil {
-			stop(list)
+			stopAll(gateways)
 			return nil, err
 		}
-		list = append(list, g)
+		gateways = append(gateways, g)
 	}
-	return list, nil
+	return gateways, nil
 }
 
-func connect(gateways []*gateway, plan *scenario.Plan, grpc bool, c clock.Clock) (list []load.Client, err error) {
+func newClients(gateways []*gateway, plan *scenario.Plan, grpc bool, c clock.Clock) (clients []load.Client, err error) {
 	for _, g := range gateways {
 		if !grpc {
-			list = append(list, load.NewHTTP(g.listen, plan.Load.Connections, c))
+			clients = append(clients, load.NewHTTP(g.listen, plan.Load.Connections, c))
 			continue
 		}
 		client, err := load.NewGRPC(g.grpc, c)
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, client)
+		clients = append(clients, client)
 	}
-	return list, nil
+	return clients, nil
 }
 
-// progress tells about once a second how far things are.
-func progress(opt Options, em *emulator.Emulator, c clock.Clock, all int, length float64) func(sent, done int) {
-	if opt.Progress == nil {
+// throttleProgress tells about once a second how far things are.
+func throttleProgress(options Options, em *emulator.Emulator, c clock.Clock, total int, length float64) func(sent, done int) {
+	if options.Progress == nil {
 		return nil
 	}
 	var last float64
-	told := make(chan struct{}, 1)
+	reporting := make(chan struct{}, 1)
 	return func(sent, done int) {
 		select {
-		case told <- struct{}{}:
-			defer func() { <-told }()
+		case reporting <- struct{}{}:
+			defer func() { <-reporting }()
 		default:
 			return
 		}
 		if now := c.Now(); now-last >= 1000 {
 			last = now
-			opt.Progress(Progress{
-				Seconds: (now - em.StartedAt()) / 1000, Length: length, Sent: sent, Done: done, All: all, Breaks: len(em.Rules().Violations()),
+			options.Progress(Progress{
+				ElapsedS: (now - em.StartedAt()) / 1000, LengthS: length, Sent: sent, Done: done, All: total, Violations: len(em.Rules().Violations()),
 			})
 		}
 	}
 }
 
-// waitIdle gives the gateways time to let go of what they hold.
-func waitIdle(em *emulator.Emulator) {
-	for until := time.Now().Add(settleWait); em.HoldCount() > 0 && time.Now().Before(until); {
+// waitForReleases gives the gateways time to let go of what they hold.
+func waitForReleases(em *emulator.Emulator) {
+	for deadline := time.Now().Add(releaseTimeout); em.HoldCount() > 0 && time.Now().Before(deadline); {
 		time.Sleep(20 * time.Millisecond)
 	}
 }
--- a/lab/rehearse/rehearse_test.go
+++ b/lab/rehearse/rehearse_test.go
@@ -28,7 +28,7 @@
 
 // A rehearsal with a crash, a hang and a drain keeps every rule, over both wires;
 // its verdict does not depend on how fast the machine is.
-func TestRehearsalKeepsTheRules(t *testing.T) {
+func TestRun_CIScenarioKeepsRules(t *testing.T) {
 	for _, grpc := range []bool{false, true} {
 		if grpc && testing.Short() {
 			continue
@@ -37,28 +37,28 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rep, err := Run(context.Background(), Options{Scenario: s, Program: program, GRPC: grpc, Rules: rules.RelaxedLimits()})
+		report, err := Run(context.Background(), Options{Scenario: s, Program: program, GRPC: grpc, Rules: rules.RelaxedLimits()})
 		if err != nil {
 			t.Fatal(err)
 		}
 		var text bytes.Buffer
-		if err := rep.Print(&text); err != nil {
+		if err := report.Print(&text); err != nil {
 			t.Fatal(err)
 		}
-		if !rep.OK() {
-			t.Errorf("%s: %s", rep.Wire, text.String())
+		if !report.OK() {
+			t.Errorf("%s: %s", report.Wire, text.String())
 		}
-		c := rep.Counts
+		counts := report.Counts
 		answers := 0
-		for _, n := range c.Answers {
+		for _, n := range counts.Answers {
 			answers += n
 		}
-		if c.Requests < 50 || answers != c.Requests || c.Doubles != 0 {
-			t.Errorf("%s: %d requests, %d answers, %d doubles", rep.Wire, c.Requests, answers, c.Doubles)
+		if counts.Requests < 50 || answers != counts.Requests || counts.Doubles != 0 {
+			t.Errorf("%s: %d requests, %d answers, %d doubles", report.Wire, counts.Requests, answers, counts.Doubles)
 		}
 		// Every box is up most of the time: a gateway that serves nothing is broken.
-		if c.Answers[rules.Served]*2 < c.Requests {
-			t.Errorf("%s: %v of %d", rep.Wire, c.Answers, c.Requests)
+		if counts.Answers[rules.Served]*2 < counts.Requests {
+			t.Errorf("%s: %v of %d", report.Wire, counts.Answers, counts.Requests)
 		}
 		if !strings.Contains(text.String(), "send-order") || !strings.HasSuffix(text.String(), "rules kept\n") {
 			t.Errorf("%s", text.String())
@@ -67,7 +67,7 @@
 }
 
 // A program that does not serve is told of, and leaves nothing running.
-func TestProgramThatEnds(t *testing.T) {
+func TestRun_ProgramExitsBeforeServing(t *testing.T) {
 	s, err := scenario.Open("ci")
 	if err != nil {
 		t.Fatal(err)
--- a/lab/rehearse/usage.go
+++ b/lab/rehearse/usage.go
@@ -5,21 +5,21 @@
 	"syscall"
 )
 
-// usage reads what an ended process has used.
-func usage(st *os.ProcessState) Usage {
-	u := Usage{CPUSeconds: (st.UserTime() + st.SystemTime()).Seconds()}
-	if r, ok := st.SysUsage().(*syscall.Rusage); ok {
-		u.MaxRSSMB = float64(r.Maxrss) / 1024
+// processUsage reads what an ended process has used.
+func processUsage(state *os.ProcessState) Usage {
+	u := Usage{CPUSeconds: (state.UserTime() + state.SystemTime()).Seconds()}
+	if rusage, ok := state.SysUsage().(*syscall.Rusage); ok {
+		u.MaxRSSMB = float64(rusage.Maxrss) / 1024
 	}
 	return u
 }
 
 // ownUsage reads what the emulator and the load, this process, have used.
 func ownUsage() (u Usage) {
-	var r syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &r) == nil {
-		u.CPUSeconds = float64(r.Utime.Nano()+r.Stime.Nano()) / 1e9
-		u.MaxRSSMB = float64(r.Maxrss) / 1024
+	var rusage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &rusage) == nil {
+		u.CPUSeconds = float64(rusage.Utime.Nano()+rusage.Stime.Nano()) / 1e9
+		u.MaxRSSMB = float64(rusage.Maxrss) / 1024
 	}
 	return u
 }
--- a/lab/scenario/defaults.go
+++ b/lab/scenario/defaults.go
@@ -10,7 +10,7 @@
 func defaults() *Scenario {
 	return &Scenario{
 		Seed: 1, LengthS: 40, Gateways: 3,
-		Fleet: Fleet{Zones: []string{"cambridge", "glenorchy", "kingston"}, CellSize: 5, ReadersBegin: 0.6},
+		Fleet: Fleet{Zones: []string{"cambridge", "glenorchy", "kingston"}, CellSize: 5, InitialPrefixShare: 0.6},
 		Load: Load{
 			RatePerS: 22, BurstCV: 0.25, Retries: 1, TryShare: 0.75, Honour: 0.6, BackoffMs: 150, Impatient: 0.005, Connections: 96,
 		},
@@ -27,8 +27,8 @@
 	s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.AtS >= lengthS })
 }
 
-// fill gives lists their defaults, which a file replaces whole.
-func (s *Scenario) fill() {
+// fillDefaults gives lists their defaults, which a file replaces whole.
+func (s *Scenario) fillDefaults() {
 	if len(s.Fleet.Kinds) == 0 {
 		s.Fleet.Kinds = []Kind{{Name: "prefill", Count: 6}, {Name: "decode-a", Count: 4}, {Name: "decode-b", Count: 3}}
 	}
@@ -58,17 +58,17 @@
 	}
 }
 
-// consistent reports what no schema can see.
-func (s *Scenario) consistent() error {
+// checkConsistency reports what no schema can see.
+func (s *Scenario) checkConsistency() error {
 	if len(s.Load.ZoneShares) != len(s.Fleet.Zones) {
 		return fmt.Errorf("load.zone_shares: %d shares for %d zones", len(s.Load.ZoneShares), len(s.Fleet.Zones))
 	}
-	for _, v := range []struct {
-		key string
-		r   [2]float64
+	for _, setting := range []struct {
+		key    string
+		bounds [2]float64
 	}{{"notice_ms", s.Discovery.NoticeMs}, {"silent_notice_ms", s.Discovery.SilentNoticeMs}, {"add_ms", s.Discovery.AddMs}} {
-		if v.r[0] > v.r[1] {
-			return fmt.Errorf("discovery.%s: %v is above %v", v.key, v.r[0], v.r[1])
+		if setting.bounds[0] > setting.bounds[1] {
+			return fmt.Errorf("discovery.%s: %v is above %v", setting.key, setting.bounds[0], setting.bounds[1])
 		}
 	}
 	kinds := map[string]bool{}
@@ -86,18 +86,18 @@
 		classes[c.Name] = true
 	}
 	for i, f := range s.Faults {
-		at := func(key string) string { return fmt.Sprintf("fault[%d].%s", i, key) }
+		path := func(key string) string { return fmt.Sprintf("fault[%d].%s", i, key) }
 		switch {
 		case f.OfKind != "" && !kinds[f.OfKind]:
-			return fmt.Errorf("%s: unknown kind %q", at("of_kind"), f.OfKind)
+			return fmt.Errorf("%s: unknown kind %q", path("of_kind"), f.OfKind)
 		case f.OfZone != "" && !slices.Contains(s.Fleet.Zones, f.OfZone):
-			return fmt.Errorf("%s: unknown zone %q", at("of_zone"), f.OfZone)
+			return fmt.Errorf("%s: unknown zone %q", path("of_zone"), f.OfZone)
 		case f.AtS >= s.LengthS:
-			return fmt.Errorf("%s: %v s lies behind the end at %v s", at("at_s"), f.AtS, s.LengthS)
+			return fmt.Errorf("%s: %v s lies behind the end at %v s", path("at_s"), f.AtS, s.LengthS)
 		case f.Gateway != nil && *f.Gateway >= s.Gateways:
-			return fmt.Errorf("%s: there are %d gateways", at("gateway"), s.Gateways)
-		case len(f.Boxes) > 0 && f.Share > 0:
-			return fmt.Errorf("%s: boxes are named already", at("share"))
+			return fmt.Errorf("%s: there are %d gateways", path("gateway"), s.Gateways)
+		case len(f.Engines) > 0 && f.Share > 0:
+			return fmt.Errorf("%s: boxes are named already", path("share"))
 		}
 	}
 	return nil
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -45,10 +45,10 @@
 type Fleet struct {
 	Zones    []string `toml:"zones"`
 	CellSize int      `toml:"cell_size"` // boxes of a cell, all of one zone
-	// ReadersBegin is the share of a reader's memory that the most used shared
+	// InitialPrefixShare is the share of a reader's memory that the most used shared
 	// beginnings fill at the start, as they do in a fleet that has run for long.
-	ReadersBegin float64 `toml:"readers_begin"`
-	Kinds        []Kind  `toml:"kind"`
+	InitialPrefixShare float64 `toml:"readers_begin"`
+	Kinds              []Kind  `toml:"kind"`
 }
 
 // Kind is a kind of box, with what differs from its defaults. Kinds that are
@@ -58,16 +58,16 @@
 	Role         string   `toml:"role"`
 	Count        int      `toml:"count"`
 	Slots        *int     `toml:"slots"`
-	Queue        *int     `toml:"queue"`
+	MaxQueue     *int     `toml:"queue"`
 	MemoryTokens *float64 `toml:"memory_tokens"`
-	ReadPerS     *float64 `toml:"read_per_s"`
+	PrefillPerS  *float64 `toml:"read_per_s"`
 	StepMs       *float64 `toml:"step_ms"`
 	PerSeqMs     *float64 `toml:"per_seq_ms"`
 	Speed        *float64 `toml:"speed"`
 	SpeedCV      *float64 `toml:"speed_cv"`
-	ColdFrom     *float64 `toml:"cold_from"`
-	ColdMs       *float64 `toml:"cold_ms"`
-	Conns        *int     `toml:"conns"`
+	ColdCapacity *float64 `toml:"cold_from"`
+	WarmUpMs     *float64 `toml:"cold_ms"`
+	MaxConns     *int     `toml:"conns"`
 	Cancel       *string  `toml:"cancel"`
 	DropExpired  *bool    `toml:"drop_expired"`
 	ErrorRate    *float64 `toml:"error_rate"`
@@ -132,7 +132,7 @@
 	AtS     float64  `toml:"at_s"`
 	LenS    float64  `toml:"len_s"`
 	Share   float64  `toml:"share"`
-	Boxes   []string `toml:"boxes"`
+	Engines []string `toml:"boxes"`
 	OfKind  string   `toml:"of_kind"`
 	OfZone  string   `toml:"of_zone"`
 	OfCell  *int     `toml:"of_cell"`
@@ -150,8 +150,8 @@
 		panic(err) // only for a malformed pattern
 	}
 	names := make([]string, len(files))
-	for i, f := range files {
-		names[i] = strings.TrimSuffix(strings.TrimPrefix(f, "scenarios/"), ".toml")
+	for i, file := range files {
+		names[i] = strings.TrimSuffix(strings.TrimPrefix(file, "scenarios/"), ".toml")
 	}
 	sort.Strings(names)
 	return names
@@ -182,19 +182,19 @@
 	if _, err := toml.Decode(string(raw), &tree); err != nil {
 		return nil, err
 	}
-	if err := check(tree); err != nil {
+	if err := validateSchema(tree); err != nil {
 		return nil, err
 	}
 	s := defaults()
 	if _, err := toml.Decode(string(raw), s); err != nil {
 		return nil, err
 	}
-	s.fill()
-	return s, s.consistent()
+	s.fillDefaults()
+	return s, s.checkConsistency()
 }
 
-// check validates a decoded file against the schema.
-func check(tree map[string]any) error {
+// validateSchema validates a decoded file against the schema.
+func validateSchema(tree map[string]any) error {
 	raw, err := json.Marshal(tree) // the validator wants JSON's types
 	if err != nil {
 		return err
@@ -207,44 +207,44 @@
 	if err != nil {
 		return fmt.Errorf("schema: %w", err)
 	}
-	c := jsonschema.NewCompiler()
-	if err := c.AddResource("scenario.json", schema); err != nil {
+	compiler := jsonschema.NewCompiler()
+	if err := compiler.AddResource("scenario.json", schema); err != nil {
 		return fmt.Errorf("schema: %w", err)
 	}
-	compiled, err := c.Compile("scenario.json")
+	compiled, err := compiler.Compile("scenario.json")
 	if err != nil {
 		return fmt.Errorf("schema: %w", err)
 	}
 	err = compiled.Validate(doc)
 	var invalid *jsonschema.ValidationError
 	if errors.As(err, &invalid) {
-		return errors.Join(leaves(invalid)...)
+		return errors.Join(leafErrors(invalid)...)
 	}
 	return err
 }
 
-// leaves are the causes that name a key.
-func leaves(e *jsonschema.ValidationError) (list []error) {
-	for _, cause := range e.Causes {
-		list = append(list, leaves(cause)...)
+// leafErrors are the causes that name a key.
+func leafErrors(invalid *jsonschema.ValidationError) (errs []error) {
+	for _, cause := range invalid.Causes {
+		errs = append(errs, leafErrors(cause)...)
 	}
-	if len(e.Causes) == 0 {
-		list = append(list, fmt.Errorf("%s: %s", keyPath(e.InstanceLocation), e.ErrorKind.LocalizedString(message.NewPrinter(language.English))))
+	if len(invalid.Causes) == 0 {
+		errs = append(errs, fmt.Errorf("%s: %s", keyPath(invalid.InstanceLocation), invalid.ErrorKind.LocalizedString(message.NewPrinter(language.English))))
 	}
-	return list
+	return errs
 }
 
 // keyPath writes a place in a file as its readers know it.
 func keyPath(parts []string) string {
 	var b strings.Builder
-	for _, p := range parts {
+	for _, part := range parts {
 		switch {
-		case strings.Trim(p, "0123456789") == "":
-			b.WriteString("[" + p + "]")
+		case strings.Trim(part, "0123456789") == "":
+			b.WriteString("[" + part + "]")
 		case b.Len() > 0:
-			b.WriteString("." + p)
+			b.WriteString("." + part)
 		default:
-			b.WriteString(p)
+			b.WriteString(part)
 		}
 	}
 	if b.Len() == 0 {
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -12,7 +12,7 @@
 	"ashwood.example/ashwood/lab/engine"
 )
 
-func TestShippedScenariosCompile(t *testing.T) {
+func TestCompile_ShippedScenarios(t *testing.T) {
 	names := Names()
 	for _, want := range []string{"calm", "payday", "crash-and-cold-return", "cold-herd", "black-hole", "silent-rack", "reader-loss", "drain-in-retry"} {
 		if !slices.Contains(names, want) {
@@ -27,35 +27,35 @@
 		if s.Name != name || s.About == "" {
 			t.Errorf("%s: named %q, about %q", name, s.Name, s.About)
 		}
-		a, err := s.Compile()
+		plan, err := s.Compile()
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		b, _ := s.Compile()
-		if diff := cmp.Diff(a.Boxes, b.Boxes); diff != "" {
+		again, _ := s.Compile()
+		if diff := cmp.Diff(plan.EngineFaults, again.EngineFaults); diff != "" {
 			t.Errorf("%s: two draws differ: %s", name, diff)
 		}
-		f, err := engine.New(a.Engine, 0)
+		fleet, err := engine.New(plan.Engine, 0)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		for _, fault := range a.Boxes {
-			if err := f.Inject(fault); err != nil {
+		for _, fault := range plan.EngineFaults {
+			if err := fleet.Inject(fault); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
-		raw, err := json.Marshal(a.Settings(1))
+		raw, err := json.Marshal(plan.Settings(1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		set, err := wire.DecodeSettings(raw)
-		if err != nil || len(set.Kinds) != len(a.Engine.Kinds) || set.Zone != a.Zone(1) {
+		settings, err := wire.DecodeSettings(raw)
+		if err != nil || len(settings.Kinds) != len(plan.Engine.Kinds) || settings.Zone != plan.Zone(1) {
 			t.Errorf("%s: settings: %v", name, err)
 		}
 	}
 }
 
-func TestFaultyScenariosNameTheKey(t *testing.T) {
+func TestParse_InvalidScenarioNamesKey(t *testing.T) {
 	const good = "name = \"x\"\nlength_s = 10\n"
 	for _, c := range []struct{ text, want string }{
 		{"length_s = 10\n", "the file: missing property 'name'"},
@@ -84,27 +84,27 @@
 	}
 }
 
-func TestKindsBeginWithTheirDefaults(t *testing.T) {
+func TestCompile_KindDefaults(t *testing.T) {
 	s, err := Parse([]byte("name = \"x\"\nlength_s = 10\n[[fleet.kind]]\nname = \"prefill\"\ncount = 2\nslots = 3\n[[fleet.kind]]\nname = \"own\"\nrole = \"write\"\ncount = 4\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := s.Compile()
+	plan, err := s.Compile()
 	if err != nil {
 		t.Fatal(err)
 	}
-	def := engine.DefaultKinds()
-	if k := p.Engine.Kinds[0]; k.Slots != 3 || k.MaxQueue != def[0].MaxQueue {
+	defaultKinds := engine.DefaultKinds()
+	if k := plan.Engine.Kinds[0]; k.Slots != 3 || k.MaxQueue != defaultKinds[0].MaxQueue {
 		t.Errorf("prefill: %+v", k)
 	}
-	if k := p.Engine.Kinds[1]; k.Name != "own" || k.Role != engine.RoleDecode || k.Slots != def[1].Slots {
+	if k := plan.Engine.Kinds[1]; k.Name != "own" || k.Role != engine.RoleDecode || k.Slots != defaultKinds[1].Slots {
 		t.Errorf("own: %+v", k)
 	}
 	zones := map[string]int{}
-	for _, b := range p.Engine.Engines {
-		zones[b.Zone]++
+	for _, spec := range plan.Engine.Engines {
+		zones[spec.Zone]++
 	}
-	if len(p.Engine.Engines) != 6 || len(zones) != 3 {
-		t.Errorf("boxes %v", p.Engine.Engines)
+	if len(plan.Engine.Engines) != 6 || len(zones) != 3 {
+		t.Errorf("boxes %v", plan.Engine.Engines)
 	}
 }
