--- a/lab/rehearse/build.go
+++ b/lab/rehearse/build.go
@@ -7,8 +7,9 @@
 	"path/filepath"
 )
 
-// WithDaemon builds the daemon into a folder of its own, calls use with the
-// program's path, and removes it. It is for tests that start the daemon.
+// WithDaemon builds the daemon into a temporary folder, calls use with the path of
+// the program and removes the folder. Tests that start the daemon use it in TestMain;
+// code is what use returned.
 func WithDaemon(use func(program string) int) (code int, err error) {
 	dir, err := os.MkdirTemp("", "ashwood")
 	if err != nil {
--- a/lab/rehearse/rehearse.go
+++ b/lab/rehearse/rehearse.go
@@ -15,27 +15,27 @@
 	"ashwood.example/ashwood/lab/scenario"
 )
 
-// Options say how a scenario is played.
+// Options configure a rehearsal.
 type Options struct {
 	Scenario *scenario.Scenario
-	Gateways int          // 0 = as the scenario says
-	Program  string       // the built daemon
-	GRPC     bool         // clients and boxes speak gRPC, not HTTP/1.1; the boxes' list is static
+	Gateways int          // 0 = the scenario's number
+	Program  string       // path of the daemon's binary
+	GRPC     bool         // clients and engines speak gRPC, not HTTP/1.1; membership is static
 	Logs     string       // folder for the gateways' debug logs, "" = none
-	Limits   Limits       // zero = the platform's largest
-	Rules    rules.Limits // zero = the platform's
+	Limits   Limits       // zero value: 1 core, 192 MB and 1024 sockets, the platform's maximum
+	Rules    rules.Limits // zero value: the platform's limits
 	Log      *slog.Logger
 	Progress func(Progress) // called about once a second; may be nil
 }
 
-// Progress tells how far a rehearsal is.
+// Progress is the state of a running rehearsal.
 type Progress struct {
 	ElapsedS, LengthS float64
 	Sent, Done, All   int
 	Violations        int
 }
 
-// Report is all that a rehearsal found.
+// Report is the result of a rehearsal.
 type Report struct {
 	Scenario     string            `json:"scenario"`
 	Seed         uint64            `json:"seed"`
@@ -50,24 +50,25 @@
 	HeldAtEnd    int               `json:"held_at_end"`
 	Emulator     emulator.Stats    `json:"emulator"`
 	GatewayUsage []Usage           `json:"gateways_used"`
-	LabUsage     Usage             `json:"lab_used"` // by the emulator and the load
+	LabUsage     Usage             `json:"lab_used"` // used by this process: the emulator and the load
 	startedAt    float64
 }
 
-// Usage is what a gateway's process has used.
+// Usage is the CPU time and peak memory of a process.
 type Usage struct {
 	CPUSeconds float64 `json:"cpu_s"`
 	MaxRSSMB   float64 `json:"max_rss_mb"`
 }
 
-// OK tells whether every rule was kept and every gateway lived.
+// OK tells whether no rule was violated, no gateway crashed and no hold was left.
 func (r *Report) OK() bool { return len(r.Violations) == 0 && len(r.Crashes) == 0 && r.HeldAtEnd == 0 }
 
-// releaseTimeout bounds the wait for what is still held after the load; the rule's
-// own time is shorter.
+// releaseTimeout bounds the wait, after the load, for gateways to release what
+// engines still hold. The limit of the rule on holds is shorter.
 const releaseTimeout = 3 * time.Second
 
-// Run plays a scenario to its end.
+// Run plays a scenario to its end and reports on it. The error says why the rehearsal
+// could not be made; violations and crashes are part of the report.
 func Run(ctx context.Context, options Options) (report *Report, err error) {
 	s := *options.Scenario
 	if options.Gateways > 0 {
@@ -129,7 +130,7 @@
 	report.HeldAtEnd = em.HoldCount()
 	report.Counts, report.Violations, report.Emulator = em.Rules().Counts(), em.Rules().Violations(), em.Stats()
 	for _, m := range report.Emulator.Malformed {
-		report.Violations = append(report.Violations, rules.Violation{Rule: rules.Unchanged, Text: "a box could not read a request: " + m})
+		report.Violations = append(report.Violations, rules.Violation{Rule: rules.Unchanged, Text: "an engine received a malformed request: " + m})
 	}
 	report.LabUsage = ownUsage()
 	for _, g := range gateways {
@@ -167,7 +168,8 @@
 	return clients, nil
 }
 
-// throttleProgress tells about once a second how far things are.
+// throttleProgress returns a callback for the load that passes the state on to
+// options.Progress at most once a second; nil if nobody wants it.
 func throttleProgress(options Options, em *emulator.Emulator, c clock.Clock, total int, length float64) func(sent, done int) {
 	if options.Progress == nil {
 		return nil
@@ -190,7 +192,7 @@
 	}
 }
 
-// waitForReleases gives the gateways time to let go of what they hold.
+// waitForReleases waits until engines hold nothing any more, at most releaseTimeout.
 func waitForReleases(em *emulator.Emulator) {
 	for deadline := time.Now().Add(releaseTimeout); em.HoldCount() > 0 && time.Now().Before(deadline); {
 		time.Sleep(20 * time.Millisecond)
--- a/lab/rehearse/text.go
+++ b/lab/rehearse/text.go
@@ -10,10 +10,11 @@
 	"ashwood.example/ashwood/lab/load"
 )
 
-// maxViolationsShown is how many broken rules a report prints in full.
+// maxViolationsShown is how many violations a report prints in full.
 const maxViolationsShown = 10
 
-// Print writes a report as tables by class and by window.
+// Print writes the report as text: tables by class and by window, usage, crashes,
+// violations and a verdict.
 func (r *Report) Print(w io.Writer) error {
 	summary := r.Summary
 	fmt.Fprintf(w, "%s, seed %d: %d gateways, %d boxes, %s, %.0f s\n", r.Scenario, r.Seed, r.Gateways, r.Engines, r.Wire, r.LengthS)
@@ -73,6 +74,8 @@
 	return err
 }
 
+// printRow writes a window as a row of a table, with the shares in percent of the
+// requests offered.
 func printRow(table io.Writer, name string, window *load.Window) {
 	share := func(kinds ...load.Kind) float64 {
 		n := 0
--- a/lab/rehearse/usage.go
+++ b/lab/rehearse/usage.go
@@ -5,7 +5,7 @@
 	"syscall"
 )
 
-// processUsage reads what an ended process has used.
+// processUsage returns the usage of a process that has exited.
 func processUsage(state *os.ProcessState) Usage {
 	u := Usage{CPUSeconds: (state.UserTime() + state.SystemTime()).Seconds()}
 	if rusage, ok := state.SysUsage().(*syscall.Rusage); ok {
@@ -14,7 +14,7 @@
 	return u
 }
 
-// ownUsage reads what the emulator and the load, this process, have used.
+// ownUsage returns the usage of this process, which runs the emulator and the load.
 func ownUsage() (u Usage) {
 	var rusage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &rusage) == nil {
