--- a/lab/load/grpc.go
+++ b/lab/load/grpc.go
@@ -25,7 +25,8 @@
 	promptText []byte
 }
 
-// NewGRPC makes a client of the gateway at an address.
+// NewGRPC returns a client of the gateway at an address. The connection is
+// made on the first call; the gRPC library's own retries are off.
 func NewGRPC(addr string, c clock.Clock) (*GRPC, error) {
 	cc, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry())
 	if err != nil {
@@ -34,10 +35,10 @@
 	return &GRPC{conn: cc, client: ashwoodpb.NewInferenceClient(cc), clock: c, promptText: NewHTTP(addr, 1, c).promptText}, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (g *GRPC) Close() { g.conn.Close() }
 
-// Do sends a try.
+// Do sends a try and reads its answer; see Client.
 func (g *GRPC) Do(ctx context.Context, t Try, sent func()) (out Outcome) {
 	tryCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/lab/load/http.go
+++ b/lab/load/http.go
@@ -20,19 +20,19 @@
 	"ashwood.example/ashwood/lab/rules"
 )
 
-// maxEventGapMs is how long a client waits for the next piece of a begun answer.
+// maxEventGapMs is how long a client waits for the next line of an answer that has begun.
 const maxEventGapMs = 30000.0
 
-// HTTP is a client of the platform's protocol.
+// HTTP is a client of the gateway's HTTP/1.1 front, the platform's protocol.
 type HTTP struct {
 	url        string
 	clock      clock.Clock
 	http       *http.Transport
-	promptText []byte // from which prompts are cut
+	promptText []byte // filler that prompts are cut from
 }
 
-// NewHTTP makes a client of the gateway at an address, with so many connections
-// at most; further tries wait for one.
+// NewHTTP returns a client of the gateway at an address that opens at most the given
+// number of connections; further tries wait for a free one.
 func NewHTTP(addr string, connections int, c clock.Clock) *HTTP {
 	return &HTTP{
 		url: "http://" + addr + "/v1/chat/completions", clock: c,
@@ -44,13 +44,13 @@
 	}
 }
 
-// maxBodyBytes is the most that the platform takes.
+// maxBodyBytes is the largest request body that the platform accepts.
 const maxBodyBytes = 256 << 10
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (h *HTTP) Close() { h.http.CloseIdleConnections() }
 
-// Body is a request's JSON, with four characters for each token of its prompt.
+// Body returns a request's JSON body, with four characters for each token of its prompt.
 func (h *HTTP) Body(t Try) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"metadata":{"class":%q,"session":%q,"prefix":%q,"prompt_len":%d,"prefix_len":%d},"model":"chat","stream":true,"max_tokens":%d,"messages":[`,
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	req.GetBody = nil // nothing is sent again but by Do
+	req.GetBody = nil // only Do may send a request again
 	labels := fmt.Sprintf("prompt_len=%d,prefix_len=%d,max_out=%d", t.PromptTokens, t.SharedPrefixTokens, t.MaxOut)
 	if t.SharedPrefix != "" {
 		labels = "prefix=" + t.SharedPrefix + "," + labels
@@ -84,8 +84,9 @@
 	return req, nil
 }
 
-// Do sends a try. A connection that the gateway closed just as the request was
-// written to it is replaced once, as the protocol has clients do.
+// Do sends a try and reads its answer; see Client. If the gateway closes a reused
+// connection while the request is written to it, Do sends the try once more on
+// another one, as the protocol requires of clients.
 func (h *HTTP) Do(ctx context.Context, t Try, sent func()) Outcome {
 	body := h.Body(t)
 	tryCtx, cancel := context.WithCancelCause(ctx)
@@ -111,7 +112,7 @@
 		if resp, err = h.http.RoundTrip(req); err == nil || !reused || tryCtx.Err() != nil {
 			if err != nil && !wrote && tryCtx.Err() == nil {
 				stop()
-				return Outcome{EndedAt: h.clock.Now()} // no gateway there: it was never asked
+				return Outcome{EndedAt: h.clock.Now()} // no gateway is reachable, so the request was never sent
 			}
 			break
 		}
@@ -142,13 +143,13 @@
 	default:
 		out.Answer = rules.Failure
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodyBytes)) // for the connection to be used again
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodyBytes)) // lets the connection be reused
 	return out
 }
 
-var errTimeout = errors.New("load: the client's time is up")
+var errTimeout = errors.New("load: the client's timeout expired")
 
-// readStream reads an answer's events to their end.
+// readStream reads an answer's events to the end of the stream.
 func (h *HTTP) readStream(ctx context.Context, cancel context.CancelCauseFunc, t Try, body io.Reader) (out Outcome) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 4096), 64<<10)
@@ -169,9 +170,9 @@
 	switch err := lines.Err(); {
 	case err == nil && check.complete:
 		out.Answer = rules.Served
-	case err == nil: // the last chunk came, and the answer was not whole
+	case err == nil: // the last chunk came, but no [DONE] event
 		out.Answer = rules.Served
-		out.Corruption = "an answer that is not whole ended with the last chunk"
+		out.Corruption = "the body ended properly, but the answer is incomplete"
 	case errors.Is(context.Cause(ctx), context.Canceled):
 		out.Answer = rules.ClientLeft
 	default:
@@ -180,27 +181,28 @@
 	return out
 }
 
-// checker compares an answer's tokens with what its engine sent.
+// checker compares an answer's tokens with those that its engine sent.
 type checker struct {
 	id         string
 	tokens     int
 	corruption string
-	complete   bool // its end has come
+	complete   bool // [DONE] was received
 }
 
-// Check compares a whole answer's text with what its engine sent, and counts its tokens.
+// Check compares the events of a complete answer with what its engine sent. It returns
+// the number of tokens and what is wrong with them, "" if nothing is.
 func Check(id string, text []byte) (tokens int, corruption string) {
 	c := checker{id: id}
 	for line := range bytes.Lines(text) {
 		c.addLine(bytes.TrimSpace(line))
 	}
 	if !c.complete && c.corruption == "" {
-		c.corruption = "the answer is not whole"
+		c.corruption = "the answer is incomplete"
 	}
 	return c.tokens, c.corruption
 }
 
-// addLine takes in a line of an answer.
+// addLine processes a line of an answer's event stream.
 func (c *checker) addLine(line []byte) {
 	data, ok := bytes.CutPrefix(line, []byte("data: "))
 	if !ok {
@@ -220,16 +222,18 @@
 	}
 }
 
+// addText compares the next piece of an answer with what the engine sent.
 func (c *checker) addText(text string) {
 	n := len(text) / 4
 	if want := engine.AnswerText(c.id, c.tokens, n); text != want && c.corruption == "" {
-		c.corruption = fmt.Sprintf("tokens from %d on are %.24q, the engine sent %.24q", c.tokens, text, want)
+		c.corruption = fmt.Sprintf("tokens from %d on are %.24q, but the engine sent %.24q", c.tokens, text, want)
 	}
 	c.tokens += n
 }
 
+// checkTokenCount compares the engine's own count with the tokens received.
 func (c *checker) checkTokenCount(n string) {
 	if n = strings.TrimSpace(n); n != strconv.Itoa(c.tokens) && c.corruption == "" {
-		c.corruption = fmt.Sprintf("%d tokens came, the engine tells of %s", c.tokens, n)
+		c.corruption = fmt.Sprintf("%d tokens were received, the engine reports %s", c.tokens, n)
 	}
 }
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -38,7 +38,7 @@
 	plan := compilePlan(t, "length_s = 600\n[load]\nrate_per_s = 30\nburst_cv = 0.2\n[[fault]]\nkind = \"burst\"\nat_s = 300\nlen_s = 60\nfactor = 2.0\n")
 	requests := Draw(plan)
 	if diff := cmp.Diff(requests, Draw(plan)); diff != "" {
-		t.Fatal("two draws differ")
+		t.Fatal("two draws of one plan differ")
 	}
 	usual, burst := 0, 0
 	sessions := map[string]Request{}
@@ -50,7 +50,7 @@
 			usual++
 		}
 		if last, ok := sessions[r.Session]; ok && (r.PromptTokens <= last.PromptTokens+last.OutputTokens || r.SharedPrefix != last.SharedPrefix) {
-			t.Fatalf("a turn that does not hold the one before: %+v after %+v", r, last)
+			t.Fatalf("a turn does not contain the turn before: %+v after %+v", r, last)
 		}
 		sessions[r.Session] = r
 		if r.Class == 1 {
@@ -63,16 +63,16 @@
 		}
 	}
 	if got := float64(usual) / 540; math.Abs(got-30) > 3 {
-		t.Errorf("%.1f requests a second, 30 are wanted", got)
+		t.Errorf("%.1f requests per second, want 30", got)
 	}
 	if got := float64(burst) / 60; math.Abs(got-60) > 9 {
-		t.Errorf("%.1f in the burst, 60 are wanted", got)
+		t.Errorf("%.1f requests per second in the burst, want 60", got)
 	}
 	if got := float64(chat) / float64(len(requests)); math.Abs(got-0.28) > 0.05 {
-		t.Errorf("%.2f are case-chat, 0.28 is wanted", got)
+		t.Errorf("share of case-chat: %.2f, want 0.28", got)
 	}
 	if got := float64(shared) / float64(chat); math.Abs(got-0.8) > 0.07 {
-		t.Errorf("%.2f of case-chat share a beginning, 0.8 is wanted", got)
+		t.Errorf("share of case-chat requests with a shared prefix: %.2f, want 0.8", got)
 	}
 }
 
@@ -87,12 +87,12 @@
 	} {
 		r := Result{Request: Request{PromptTokens: 2000, Worth: 2}, FirstTokenMs: tt.first, TotalMs: tt.total, Tokens: 100}
 		if gradeAnswer(c, &r); r.Kind != tt.kind || r.Earned != tt.earned {
-			t.Errorf("%v, %v: %s %v, want %s %v", tt.first, tt.total, r.Kind, r.Earned, tt.kind, tt.earned)
+			t.Errorf("first token %v ms, total %v ms: %s earned %v, want %s, %v", tt.first, tt.total, r.Kind, r.Earned, tt.kind, tt.earned)
 		}
 	}
 }
 
-// jumpClock is a clock that stands at each time that is waited for, at once.
+// jumpClock is a clock that jumps to each time waited for as soon as a timer is set.
 type jumpClock struct {
 	mu  sync.Mutex
 	now float64
@@ -112,7 +112,8 @@
 	return func() bool { return false }
 }
 
-// fakeClient answers from a list, or holds tries back until it is let go.
+// fakeClient answers with outcomes in order, then with Served. If release is set, it
+// answers only once that is closed.
 type fakeClient struct {
 	mu       sync.Mutex
 	outcomes []Outcome
@@ -137,10 +138,10 @@
 
 func (c *fakeClient) Close() {}
 
-// No request waits for another one's answer: all are asked while none is answered.
+// No request waits for another one's answer: all requests are sent while none is answered.
 func TestRunner_OpenLoop(t *testing.T) {
 	plan := compilePlan(t, "length_s = 20\ngateways = 1\n[load]\nimpatient = 0.0\n")
-	for i := range plan.Load.Classes { // the clock jumps on while a request's goroutine has yet to begin
+	for i := range plan.Load.Classes { // the clock jumps ahead before a request's goroutine starts
 		plan.Load.Classes[i].DeadlineMs = 1e9
 	}
 	list := Draw(plan)
@@ -152,17 +153,17 @@
 		_, s := r.Run(context.Background(), 0, list)
 		done <- s
 	}()
-	for check.Counts().Requests < len(list) { // ends only if all are asked
+	for check.Counts().Requests < len(list) { // ends only if all are sent
 		select {
 		case <-done:
-			t.Fatal("it ended with tries unanswered")
+			t.Fatal("the run ended with unanswered tries")
 		default:
 			runtime.Gosched()
 		}
 	}
 	close(c.release)
 	if s := <-done; s.Whole.Offered != len(list) {
-		t.Errorf("%d of %d", s.Whole.Offered, len(list))
+		t.Errorf("%d of %d requests in the summary", s.Whole.Offered, len(list))
 	}
 }
 
@@ -247,10 +248,10 @@
 		asked := 0
 		out := c.Do(context.Background(), Try{Request: &Request{Session: tt.how, PromptTokens: 50, SharedPrefixTokens: 20}, ID: "00112233445566aa", Remaining: remaining}, func() { asked++ })
 		if out.Answer != tt.answer || out.Tokens != tt.tokens || (out.Corruption != "") != tt.spoilt || asked != 1 {
-			t.Errorf("%s: %+v, asked %d times", tt.how, out, asked)
+			t.Errorf("%s: %+v, sent %d times", tt.how, out, asked)
 		}
 		if tt.how == "refused" && out.RetryAfter != 250 {
-			t.Errorf("to return after %v ms", out.RetryAfter)
+			t.Errorf("retry after %v ms, want 250", out.RetryAfter)
 		}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -259,8 +260,8 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	out := NewHTTP(addr, 1, clock.System()).Do(context.Background(), Try{Request: &Request{PromptTokens: 5}, ID: "x", Remaining: 20000}, func() { t.Error("asked of nobody") })
+	out := NewHTTP(addr, 1, clock.System()).Do(context.Background(), Try{Request: &Request{PromptTokens: 5}, ID: "x", Remaining: 20000}, func() { t.Error("the request counts as sent") })
 	if out.Answer != "" {
-		t.Errorf("no gateway there: %+v", out)
+		t.Errorf("unreachable gateway: %+v", out)
 	}
 }
--- a/lab/load/plan.go
+++ b/lab/load/plan.go
@@ -1,6 +1,8 @@
-// Package load asks gateways for what a scenario's clients would. It is open
-// loop: all first tries are drawn ahead, a late answer never makes the next one
-// later, and latency counts from the time that was drawn.
+// Package load sends a scenario's load to gateways, as its clients would, and scores
+// the answers. The load is open-loop: all first tries are drawn in advance, a late
+// answer never delays the next request, and latency counts from the intended time
+// that was drawn. It starts no gateways or engines, and leaves it to its Observer to
+// decide whether an answer violates a rule.
 package load
 
 import (
@@ -14,29 +16,30 @@
 	"ashwood.example/ashwood/lab/scenario"
 )
 
-// Request is a first try as it was drawn.
+// Request is a request as drawn, before its first try.
 type Request struct {
-	At                 float64 // ms from the begin
+	At                 float64 // ms since the start of the run
 	Class              int     // index into the scenario's classes
 	Session            string
-	SharedPrefix       string // the beginning shared with other sessions, "" = none
+	SharedPrefix       string // prefix shared with other sessions, "" = none
 	PromptTokens       int
 	SharedPrefixTokens int
-	OutputTokens       int // the true length of its answer
+	OutputTokens       int // length of its answer
 	MaxOut             int
-	Estimate           float64 // a rough guess of the answer's time in ms
+	Estimate           float64 // the client's rough estimate of the answer's duration in ms
 	Zone               int
 	Worth              float64
 }
 
-// Limits of what is drawn.
+// Constants of the draw.
 const (
 	maxContextTokens = 32000
-	leadInMs         = 120e3 // before the begin, from when on sessions are drawn
-	tokenPaceMs      = 25.0  // a token's time, for when a session's next turn comes
+	leadInMs         = 120e3 // sessions are drawn from this long before the start, so that some are under way
+	tokenPaceMs      = 25.0  // assumed time per token, for when a session's next turn comes
 )
 
-// Draw gives all first tries of a scenario in order of their times.
+// Draw returns all requests of a scenario, ordered by their times. It depends only on
+// the plan and its seed.
 func Draw(p *scenario.Plan) []Request {
 	d := drawer{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0x10ad))}
 	length := p.LengthS * 1000
@@ -54,14 +57,16 @@
 	return d.requests
 }
 
+// drawer draws the requests of a plan.
 type drawer struct {
 	plan         *scenario.Plan
 	rng          *rand.Rand
 	sessionCount int
 	requests     []Request
-	rateFactors  map[int]float64 // of a second, against the mean
+	rateFactors  map[int]float64 // by second, relative to the mean
 }
 
+// totalShare is the sum of the classes' shares, by which they are normalized.
 func (d *drawer) totalShare() (sum float64) {
 	for _, c := range d.plan.Load.Classes {
 		sum += c.Share
@@ -69,7 +74,8 @@
 	return sum
 }
 
-// rateFactor is how busy a second is against the mean, alike for all classes.
+// rateFactor is the request rate in the second of a time, relative to the mean; it is
+// the same for all classes.
 func (d *drawer) rateFactor(at float64) float64 {
 	if d.rateFactors == nil {
 		d.rateFactors = map[int]float64{}
@@ -86,9 +92,10 @@
 	return 1
 }
 
-// drawSessions draws a class's sessions and their turns.
+// drawSessions draws a class's sessions and their turns by thinning a Poisson process of
+// the highest rate.
 func (d *drawer) drawSessions(class int, perMs, from, to float64) {
-	const maxFactor = 6.0 // times the mean rate, above which a second is cut off
+	const maxFactor = 6.0 // rates above this multiple of the mean are capped
 	for at := from; ; {
 		at += d.rng.ExpFloat64() / (perMs * maxFactor)
 		if at >= to {
@@ -105,7 +112,8 @@
 	}
 }
 
-// drawBurst draws what comes beyond the usual: requests of sessions that began before.
+// drawBurst draws a burst's additional requests: single turns of sessions that began
+// earlier.
 func (d *drawer) drawBurst(class int, perMs float64, window scenario.FaultWindow) {
 	for at := window.From; ; {
 		at += d.rng.ExpFloat64() / perMs
@@ -120,8 +128,8 @@
 	}
 }
 
-// drawSession draws turns, of which the last so many are asked for; the last of
-// them at a time, where one alone is.
+// drawSession draws a session's turns and adds the last kept of them to the requests,
+// the first of these at the given time. The turns before only lengthen the context.
 func (d *drawer) drawSession(class int, at float64, turns, kept int) {
 	c := d.plan.Load.Classes[class]
 	d.sessionCount++
@@ -151,10 +159,12 @@
 	}
 }
 
+// drawTokens draws a log-normal number of tokens with the given mean, at least 1.
 func (d *drawer) drawTokens(mean, sigma float64) int {
 	return max(1, int(math.Round(mean*math.Exp(sigma*d.rng.NormFloat64()-sigma*sigma/2))))
 }
 
+// drawZone draws a zone's index by the zones' shares.
 func (d *drawer) drawZone() int {
 	at := d.rng.Float64()
 	for i, share := range d.plan.Load.ZoneShares {
@@ -166,7 +176,7 @@
 	return len(d.plan.Load.ZoneShares) - 1
 }
 
-// drawZipf draws an index below n with weights falling as 1/(i+1)^s.
+// drawZipf draws an index i below n with weight 1/(i+1)^exponent.
 func drawZipf(rng *rand.Rand, n int, exponent float64) int {
 	sum := 0.0
 	for i := range n {
@@ -181,13 +191,13 @@
 	return n - 1
 }
 
-// Deadline is how long in ms a client waits for the first token, over all its
-// tries; it grows with the prompt, twice as much as the aim.
+// Deadline is the time in ms that a client waits for the first token, over all its
+// tries. It grows with the prompt, twice as fast as the aim.
 func Deadline(c scenario.Class, r Request) float64 {
 	return c.DeadlineMs + 2*c.AimMsPerK*float64(r.PromptTokens)/1000
 }
 
-// Aim is the time in ms within which the first token earns the whole worth.
+// Aim is the time in ms to the first token that earns full worth.
 func Aim(c scenario.Class, r Request) float64 {
 	return c.AimMs + c.AimMsPerK*float64(r.PromptTokens)/1000
 }
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -14,35 +14,35 @@
 	"ashwood.example/ashwood/lab/scenario"
 )
 
-// Try is one sending of a request to a gateway.
+// Try is one try of a request: one message to a gateway, with an id of its own.
 type Try struct {
 	*Request
 	ID        string
 	Class     scenario.Class
-	Remaining float64 // ms that the client says it will wait for the first token
-	Grace     float64 // and for how much longer it does
+	Remaining float64 // ms that the client states it waits for the first token
+	Grace     float64 // ms that it waits beyond that
 	Retry     bool
 }
 
-// Outcome is what a client saw of a try.
+// Outcome is what a client observed of a try. Its Answer is "" if the request reached no gateway.
 type Outcome struct {
 	Answer       rules.Answer
-	FirstTokenAt float64 // time of the first token on the clock; 0 = none
+	FirstTokenAt float64 // time on the clock; 0 = no token came
 	EndedAt      float64
 	Tokens       int
-	RetryAfter   float64 // ms, with a refusal
-	Corruption   string  // what came that no engine sent
+	RetryAfter   float64 // ms to wait, of a refusal
+	Corruption   string  // how the answer differs from what the engine sent, "" = not at all
 }
 
 // Client sends tries to one gateway and reads their answers.
 type Client interface {
-	// Do sends a try. Asked is called once it is written whole. Canceling ctx is
-	// the client's leaving.
-	Do(ctx context.Context, t Try, asked func()) Outcome
+	// Do sends a try and waits for its outcome. It calls sent once the request has
+	// been written completely. Canceling ctx means that the client leaves early.
+	Do(ctx context.Context, t Try, sent func()) Outcome
 	Close()
 }
 
-// Observer is told of each try; rules.Checker is one.
+// Observer is notified of each try and its answer; rules.Checker implements it.
 type Observer interface {
 	RequestSent(at float64, id, class string, sideEffect bool, gateway int)
 	RequestAnswered(at float64, id string, a rules.Answer)
@@ -52,15 +52,15 @@
 // Runner sends a plan's load.
 type Runner struct {
 	Plan     *scenario.Plan
-	Clients  []Client // by gateway
+	Clients  []Client // one for each gateway, by its number
 	Clock    clock.Clock
 	Observer Observer
-	Progress func(sent, done int) // called now and then; may be nil
+	Progress func(sent, done int) // called after each request, from several goroutines; may be nil
 }
 
-// Run sends all requests at their times, counted from begin on the clock, and
-// waits for their answers. When ctx ends, nothing more is sent and what is out
-// is given up.
+// Run sends all requests at their times, counted from start on the clock, and waits
+// for their answers. When ctx ends, nothing more is sent and requests in flight are
+// abandoned.
 func (r *Runner) Run(ctx context.Context, start float64, requests []Request) ([]Result, *Summary) {
 	results := make([]Result, len(requests))
 	var pending sync.WaitGroup
@@ -92,7 +92,9 @@
 	return results, s
 }
 
-// runRequest takes a first try and its retries to their end.
+// runRequest sends a request's first try and its retries. Side effects are retried only
+// if they were refused or reached no gateway, since they may have run otherwise.
+// Answers that have begun are never retried.
 func (r *Runner) runRequest(ctx context.Context, start float64, req *Request, index int) Result {
 	rng := rand.New(rand.NewPCG(r.Plan.Seed, uint64(index)|1<<40))
 	class, settings := r.Plan.Load.Classes[req.Class], r.Plan.Load
@@ -141,7 +143,7 @@
 			result.Kind = Broken
 		case rules.ClientLeft:
 			result.Kind = Left
-		default: // failed, dropped, or no gateway there
+		default: // failed, dropped, or no gateway was reachable
 			result.Kind, retry = Failed, outcome.Answer == "" || class.Effect != "side_effect"
 		}
 		if !retry {
@@ -160,8 +162,8 @@
 	return result
 }
 
-// pickGateway deals requests out over the gateways of a zone, or over all where the
-// zone has none.
+// pickGateway spreads requests evenly, by n, over the gateways of a zone, or over all
+// gateways if the zone has none.
 func (r *Runner) pickGateway(zone, n int) int {
 	var inZone []int
 	for g := range r.Clients {
@@ -175,7 +177,7 @@
 	return inZone[n%len(inZone)]
 }
 
-// waitUntil sleeps until a time on the clock.
+// waitUntil waits until a time on the clock, or returns the error of ctx if it ends first.
 func waitUntil(ctx context.Context, c clock.Clock, at float64) error {
 	remaining := at - c.Now()
 	if remaining <= 0 {
--- a/lab/load/score.go
+++ b/lab/load/score.go
@@ -6,34 +6,35 @@
 	"ashwood.example/ashwood/lab/scenario"
 )
 
-// Kind tells how a request ended for its client, retries counted under the first try.
+// Kind tells how a request ended for its client after all its tries.
 type Kind string
 
-// The ends of requests.
+// The kinds of results.
 const (
 	InTime  Kind = "in-time"
 	Late    Kind = "late" // the first token came after the aim, or the rest too slowly
 	Refused Kind = "refused"
 	Failed  Kind = "failed"
-	Broken  Kind = "broken" // its stream broke
+	Broken  Kind = "broken" // the stream ended early
 	Timeout Kind = "timeout"
 	Left    Kind = "left" // the client left early
 )
 
-// Result is what became of a first try.
+// Result is how a request ended, and what it earned.
 type Result struct {
 	Request
 	Kind         Kind
 	Tries        int
-	FirstTokenMs float64 // ms from the drawn time to the first token; 0 = none came
-	TotalMs      float64 // ms from the drawn time to the end
+	FirstTokenMs float64 // ms from the intended time to the first token; 0 = none came
+	TotalMs      float64 // ms from the intended time to the end
 	Tokens       int
 	Earned       float64
 }
 
-// gradeAnswer settles what an answer has earned: all for a first token within the aim
-// and the rest at the class's pace, the late share for up to the deadline and
-// twice that pace.
+// gradeAnswer sets what a complete answer earned: full worth if the first token came
+// within the aim and the rest at the class's time per token; the late share if it came
+// within the deadline and the rest at no more than twice that time per token; else
+// nothing.
 func gradeAnswer(c scenario.Class, r *Result) {
 	pace := 0.0
 	if r.Tokens > 1 {
@@ -49,7 +50,7 @@
 	}
 }
 
-// Window is a stretch of a run, or all of it, of one class or of all.
+// Window holds the results of a time window or a whole run, for one class or for all.
 type Window struct {
 	Offered  int          `json:"offered"`
 	Kinds    map[Kind]int `json:"kinds"`
@@ -64,7 +65,7 @@
 	total    *hdrhistogram.Histogram
 }
 
-// Service is the worth earned over the worth asked for; 1 where nothing was.
+// Service is the worth earned, relative to the worth offered; 1 if none was offered.
 func (w *Window) Service() float64 {
 	if w.Worth == 0 {
 		return 1
@@ -72,13 +73,14 @@
 	return w.Earned / w.Worth
 }
 
-// maxUs bounds recorded latencies, in microseconds.
+// maxUs is the highest latency that histograms hold, in microseconds.
 const maxUs = 600e6
 
 func newWindow() *Window {
 	return &Window{Kinds: map[Kind]int{}, first: hdrhistogram.New(1, maxUs, 3), total: hdrhistogram.New(1, maxUs, 3)}
 }
 
+// add counts a result. Latencies of whole answers are recorded for complete ones only.
 func (w *Window) add(r Result) {
 	w.Offered++
 	w.Kinds[r.Kind]++
@@ -93,20 +95,22 @@
 	}
 }
 
+// recordMs records a latency in ms, clamped to the histogram's range.
 func recordMs(h *hdrhistogram.Histogram, ms float64) {
-	_ = h.RecordValue(min(max(int64(ms*1000), 1), int64(maxUs))) // the bounds keep it within range
+	_ = h.RecordValue(min(max(int64(ms*1000), 1), int64(maxUs))) // cannot fail: the value is clamped to the range
 }
 
+// setQuantiles computes the quantiles in ms from the histograms.
 func (w *Window) setQuantiles() {
 	quantile := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	w.FirstP50, w.FirstP99 = quantile(w.first, 50), quantile(w.first, 99)
 	w.TotalP50, w.TotalP99 = quantile(w.total, 50), quantile(w.total, 99)
 }
 
-// WindowMs is the length of a report's windows.
+// WindowMs is the length of a time window in a summary.
 const WindowMs = 5000.0
 
-// Summary is a run's figures: the whole, by class, by window, and by both.
+// Summary holds a run's metrics: in total, by class, by window, and by both.
 type Summary struct {
 	Whole       *Window              `json:"whole"`
 	Classes     map[string]*Window   `json:"classes"`
@@ -115,11 +119,11 @@
 	Service     float64              `json:"service"`
 	WorstClass  float64              `json:"worst_class"`
 	Worst10s    float64              `json:"worst_10s"`
-	Score       float64              `json:"score"` // 0.7 whole, 0.1 worst 10 s, 0.2 worst class
+	Score       float64              `json:"score"` // 0.7 of Service, 0.1 of Worst10s, 0.2 of WorstClass
 	IntendedLag float64              `json:"intended_lag_p99_ms"`
 }
 
-// Summarize works a run's figures out.
+// Summarize computes a run's metrics from the results of its requests.
 func Summarize(p *scenario.Plan, results []Result) *Summary {
 	s := &Summary{Whole: newWindow(), Classes: map[string]*Window{}, ByClass: map[string][]*Window{}}
 	windowCount := int((p.LengthS*1000 + WindowMs - 1) / WindowMs)
