--- a/lab/scenario/compile.go
+++ b/lab/scenario/compile.go
@@ -8,25 +8,26 @@
 	"ashwood.example/ashwood/lab/engine"
 )
 
-// The kinds of faults that are not the model's.
+// The kinds of faults that are not faults of engines (those are engine.FaultKind).
 const (
-	Burst                = "burst"            // the load grows by Factor
-	DiscoveryLate        = "list-late"        // news comes Factor ms later
-	DiscoverySilent      = "list-silent"      // the agent does not answer
-	DiscoveryContradicts = "list-contradicts" // boxes that drain or are gone are told as up again, until the end
+	Burst                = "burst"            // the load is multiplied by Factor
+	DiscoveryLate        = "list-late"        // membership updates come Factor ms later
+	DiscoverySilent      = "list-silent"      // the discovery agent does not answer
+	DiscoveryContradicts = "list-contradicts" // draining and removed engines are reported as up until the window ends
 )
 
-// Plan is a scenario with all that chance settles, but the load, drawn from its
-// seed. Times are ms from the begin.
+// Plan is a scenario with everything random, except the load, drawn from its seed.
+// Times are ms since the start of the run.
 type Plan struct {
 	*Scenario
 	Engine          engine.Config
-	EngineFaults    []engine.Fault // faults of boxes
+	EngineFaults    []engine.Fault // in the order of the file
 	DiscoveryFaults []FaultWindow
 	Bursts          []FaultWindow
 }
 
-// FaultWindow is a stretch of time with a factor. Gateway is -1 for all.
+// FaultWindow is the time during which a burst or a fault of discovery lasts. Gateway is
+// -1 if it concerns all gateways.
 type FaultWindow struct {
 	Kind     string
 	From, To float64
@@ -34,10 +35,11 @@
 	Gateway  int
 }
 
-// Contains tells whether a time lies in the window.
+// Contains tells whether a time lies in the window; the end is not part of it.
 func (w FaultWindow) Contains(at float64) bool { return at >= w.From && at < w.To }
 
-// Compile draws boxes and faults. Two calls give the same.
+// Compile places the engines and draws the faults. The result depends only on the
+// scenario and its seed.
 func (s *Scenario) Compile() (*Plan, error) {
 	p := &Plan{Scenario: s, Engine: engine.DefaultConfig()}
 	p.Engine.Seed = s.Seed
@@ -72,13 +74,13 @@
 	return p, nil
 }
 
-// engineKind gives a kind its defaults and what the file says instead.
+// engineKind returns the kind's defaults with the values of the file in their place.
 func (k Kind) engineKind(known map[string]engine.Kind) (engine.Kind, error) {
 	kind, ok := known[k.Name]
 	if !ok {
 		switch k.Role {
 		case "":
-			return kind, fmt.Errorf("role: it is missing, and %q is no kind with defaults", k.Name)
+			return kind, fmt.Errorf("role: missing, and kind %q has no defaults", k.Name)
 		case string(engine.RolePrefill):
 			kind = known["prefill"]
 		default:
@@ -86,7 +88,7 @@
 		}
 		kind.Name = k.Name
 	} else if k.Role != "" && engine.Role(k.Role) != kind.Role {
-		return kind, fmt.Errorf("role: %q has another role", k.Name)
+		return kind, fmt.Errorf("role: kind %q has another role by default", k.Name)
 	}
 	override(&kind.Slots, k.Slots)
 	override(&kind.MaxQueue, k.MaxQueue)
@@ -107,14 +109,15 @@
 	return kind, nil
 }
 
+// override sets target if the file has a value.
 func override[T any](target *T, value *T) {
 	if value != nil {
 		*target = *value
 	}
 }
 
-// placeEngines deals the boxes out over cells, so that each cell has about the same mix.
-// Cells lie in the zones in turn.
+// placeEngines spreads the engines round-robin over cells, so that each cell has about
+// the same mix of kinds, and the cells round-robin over zones.
 func (p *Plan) placeEngines() {
 	total := 0
 	for _, k := range p.Fleet.Kinds {
@@ -133,7 +136,7 @@
 	}
 }
 
-// addFault draws the boxes that a fault hits.
+// addFault adds a fault to the plan and, unless its engines are named, draws them.
 func (p *Plan) addFault(fault Fault, rng *rand.Rand) error {
 	window := FaultWindow{Kind: fault.Kind, From: fault.AtS * 1000, To: (fault.AtS + fault.LenS) * 1000, Factor: fault.Factor, Gateway: -1}
 	if fault.Gateway != nil {
@@ -155,18 +158,18 @@
 			}
 		}
 		if len(engines) == 0 {
-			return fmt.Errorf("of_kind, of_zone, of_cell: no box matches")
+			return fmt.Errorf("of_kind, of_zone, of_cell: no engine matches")
 		}
 		share := fault.Share
 		if share == 0 {
-			return fmt.Errorf("share: it is missing, and no boxes are named")
+			return fmt.Errorf("share: missing, and boxes names no engines")
 		}
 		rng.Shuffle(len(engines), func(i, j int) { engines[i], engines[j] = engines[j], engines[i] })
 		engines = engines[:min(len(engines), max(1, int(math.Round(share*float64(len(engines))))))]
 	}
 	for i, id := range engines {
 		if !p.hasEngine(id) {
-			return fmt.Errorf("boxes[%d]: there is no box %q", i, id)
+			return fmt.Errorf("boxes[%d]: there is no engine %q", i, id)
 		}
 	}
 	p.EngineFaults = append(p.EngineFaults, engine.Fault{
@@ -184,8 +187,8 @@
 	return false
 }
 
-// Settings is the settings object of a gateway's configuration on this plan, in
-// the platform's form.
+// Settings returns the settings object of a gateway's configuration for this plan, in
+// the platform's format.
 func (p *Plan) Settings(gateway int) map[string]any {
 	var kinds, roles []string
 	var tokens []float64
@@ -225,12 +228,13 @@
 	}
 }
 
-// Prefix names one of the beginnings that a class's sessions share, and gives its
-// length in tokens; 0 is the one most used. Both belong to the scenario's seed.
+// Prefix returns the name and the length in tokens of one of the prefixes that a class's
+// sessions share, by its rank; rank 0 is the most used. The length is drawn from the
+// scenario's seed.
 func (p *Plan) Prefix(class, rank int) (name string, tokens int) {
 	rng := rand.New(rand.NewPCG(p.Seed, uint64(class)<<32|uint64(rank)))
 	return fmt.Sprintf("%04x%012x", class+1, rank+1), max(1, int(p.Load.Classes[class].PrefixTokens*(0.6+0.8*rng.Float64())))
 }
 
-// Zone is where a gateway stands.
+// Zone returns the zone of a gateway.
 func (p *Plan) Zone(gateway int) string { return p.Fleet.Zones[gateway%len(p.Fleet.Zones)] }
--- a/lab/scenario/defaults.go
+++ b/lab/scenario/defaults.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// defaults are the middle of the operators' brief: three zones, 13 boxes, 25
-// requests a second.
+// defaults returns the values of keys that a file leaves out, in the middle of the
+// operators' ranges: three zones, 13 engines, 25 requests a second.
 func defaults() *Scenario {
 	return &Scenario{
 		Seed: 1, LengthS: 40, Gateways: 3,
@@ -21,13 +21,14 @@
 	}
 }
 
-// Shorten changes a scenario's length. Faults that begin behind the end are left out.
+// Shorten changes a scenario's length and removes the faults that begin after its end.
 func (s *Scenario) Shorten(lengthS float64) {
 	s.LengthS = lengthS
 	s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.AtS >= lengthS })
 }
 
-// fillDefaults gives lists their defaults, which a file replaces whole.
+// fillDefaults sets the lists that a file leaves out. A list in the file replaces the
+// default one as a whole.
 func (s *Scenario) fillDefaults() {
 	if len(s.Fleet.Kinds) == 0 {
 		s.Fleet.Kinds = []Kind{{Name: "prefill", Count: 6}, {Name: "decode-a", Count: 4}, {Name: "decode-b", Count: 3}}
@@ -58,7 +59,7 @@
 	}
 }
 
-// checkConsistency reports what no schema can see.
+// checkConsistency checks what the schema can't express: relations between keys.
 func (s *Scenario) checkConsistency() error {
 	if len(s.Load.ZoneShares) != len(s.Fleet.Zones) {
 		return fmt.Errorf("load.zone_shares: %d shares for %d zones", len(s.Load.ZoneShares), len(s.Fleet.Zones))
@@ -68,20 +69,20 @@
 		bounds [2]float64
 	}{{"notice_ms", s.Discovery.NoticeMs}, {"silent_notice_ms", s.Discovery.SilentNoticeMs}, {"add_ms", s.Discovery.AddMs}} {
 		if setting.bounds[0] > setting.bounds[1] {
-			return fmt.Errorf("discovery.%s: %v is above %v", setting.key, setting.bounds[0], setting.bounds[1])
+			return fmt.Errorf("discovery.%s: minimum %v is above maximum %v", setting.key, setting.bounds[0], setting.bounds[1])
 		}
 	}
 	kinds := map[string]bool{}
 	for i, k := range s.Fleet.Kinds {
 		if kinds[k.Name] {
-			return fmt.Errorf("fleet.kind[%d].name: %q comes twice", i, k.Name)
+			return fmt.Errorf("fleet.kind[%d].name: %q is used twice", i, k.Name)
 		}
 		kinds[k.Name] = true
 	}
 	classes := map[string]bool{}
 	for i, c := range s.Load.Classes {
 		if classes[c.Name] {
-			return fmt.Errorf("load.class[%d].name: %q comes twice", i, c.Name)
+			return fmt.Errorf("load.class[%d].name: %q is used twice", i, c.Name)
 		}
 		classes[c.Name] = true
 	}
@@ -93,11 +94,11 @@
 		case f.OfZone != "" && !slices.Contains(s.Fleet.Zones, f.OfZone):
 			return fmt.Errorf("%s: unknown zone %q", path("of_zone"), f.OfZone)
 		case f.AtS >= s.LengthS:
-			return fmt.Errorf("%s: %v s lies behind the end at %v s", path("at_s"), f.AtS, s.LengthS)
+			return fmt.Errorf("%s: %v s is not before the end at %v s", path("at_s"), f.AtS, s.LengthS)
 		case f.Gateway != nil && *f.Gateway >= s.Gateways:
-			return fmt.Errorf("%s: there are %d gateways", path("gateway"), s.Gateways)
+			return fmt.Errorf("%s: there are only %d gateways, numbered from 0", path("gateway"), s.Gateways)
 		case len(f.Engines) > 0 && f.Share > 0:
-			return fmt.Errorf("%s: boxes are named already", path("share"))
+			return fmt.Errorf("%s: not allowed together with boxes", path("share"))
 		}
 	}
 	return nil
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,6 +1,7 @@
-// Package scenario reads rehearsals from TOML: a fleet, a load, and what goes
-// wrong when. A file is checked against a JSON Schema; errors name the key.
-// Compile draws all that chance settles from the scenario's seed.
+// Package scenario reads scenarios of rehearsals from TOML: a fleet of engines, a load,
+// and a schedule of faults. A file is checked against a JSON Schema; errors name the
+// key. Compile draws everything random, except the load, from the scenario's seed. The
+// package plays nothing; the packages engine, news and load do.
 package scenario
 
 import (
@@ -26,8 +27,8 @@
 //go:embed scenarios/*.toml
 var shipped embed.FS
 
-// Scenario is a rehearsal as its file gives it. Times are seconds in the file's
-// keys that end in _s, milliseconds in those that end in _ms.
+// Scenario holds the contents of a scenario file. Keys that end in _s are in seconds,
+// those that end in _ms in milliseconds.
 type Scenario struct {
 	Name      string    `toml:"name"`
 	About     string    `toml:"about"`
@@ -41,18 +42,19 @@
 	Faults    []Fault   `toml:"fault"`
 }
 
-// Fleet tells which boxes there are.
+// Fleet describes the engines.
 type Fleet struct {
 	Zones    []string `toml:"zones"`
-	CellSize int      `toml:"cell_size"` // boxes of a cell, all of one zone
-	// InitialPrefixShare is the share of a reader's memory that the most used shared
-	// beginnings fill at the start, as they do in a fleet that has run for long.
+	CellSize int      `toml:"cell_size"` // engines in a cell, all in one zone
+	// InitialPrefixShare is the share of a prefill engine's memory that the most used
+	// shared prefixes fill at the start, as in a fleet that has run for a long time.
 	InitialPrefixShare float64 `toml:"readers_begin"`
 	Kinds              []Kind  `toml:"kind"`
 }
 
-// Kind is a kind of box, with what differs from its defaults. Kinds that are
-// named like one of engine.DefaultKinds begin with its figures.
+// Kind is a kind of engine; nil fields keep the default. The defaults are those of the
+// kind of the same name in engine.DefaultKinds. A kind of another name needs a role, and
+// takes the defaults of prefill or decode-a.
 type Kind struct {
 	Name         string   `toml:"name"`
 	Role         string   `toml:"role"`
@@ -73,21 +75,21 @@
 	ErrorRate    *float64 `toml:"error_rate"`
 }
 
-// Load tells what clients ask for.
+// Load describes the clients and their requests.
 type Load struct {
-	RatePerS    float64   `toml:"rate_per_s"` // first tries, over all classes
-	BurstCV     float64   `toml:"burst_cv"`   // spread of the rate from second to second
-	Retries     int       `toml:"retries"`    // of a client after a refusal or a failure
-	TryShare    float64   `toml:"try_share"`  // of the class's deadline, after which a try is given up
-	Honour      float64   `toml:"honour"`     // share of clients that wait as told
-	BackoffMs   float64   `toml:"backoff_ms"` // before a first retry; it doubles
-	Impatient   float64   `toml:"impatient"`  // share of tries that leave early
+	RatePerS    float64   `toml:"rate_per_s"` // first tries per second, over all classes
+	BurstCV     float64   `toml:"burst_cv"`   // coefficient of variation of the rate from second to second
+	Retries     int       `toml:"retries"`    // maximum of a client after a refusal or a failure
+	TryShare    float64   `toml:"try_share"`  // share of the class's deadline after which a client abandons a try
+	Honour      float64   `toml:"honour"`     // share of clients that wait as Retry-After says
+	BackoffMs   float64   `toml:"backoff_ms"` // before the first retry; doubles with each one
+	Impatient   float64   `toml:"impatient"`  // share of tries whose client leaves early
 	ZoneShares  []float64 `toml:"zone_shares"`
-	Connections int       `toml:"connections"` // that clients keep to a gateway at most
+	Connections int       `toml:"connections"` // maximum of connections from clients to a gateway
 	Classes     []Class   `toml:"class"`
 }
 
-// Class is a class of requests.
+// Class describes a class of requests and its sessions.
 type Class struct {
 	Name         string  `toml:"name"`
 	Share        float64 `toml:"share"` // of sessions' requests
@@ -111,22 +113,23 @@
 	PrefixZipf   float64 `toml:"prefix_zipf"`
 }
 
-// Discovery tells how late the list is: ranges from which each news is drawn.
+// Discovery describes how late membership updates come: ranges from which the delay of
+// each one is drawn.
 type Discovery struct {
-	NoticeMs       [2]float64 `toml:"notice_ms"`        // that a process has ended
-	SilentNoticeMs [2]float64 `toml:"silent_notice_ms"` // that a machine is silent
-	AddMs          [2]float64 `toml:"add_ms"`           // that a box is up or drains
+	NoticeMs       [2]float64 `toml:"notice_ms"`        // until an ended process is reported
+	SilentNoticeMs [2]float64 `toml:"silent_notice_ms"` // until an unreachable machine is reported
+	AddMs          [2]float64 `toml:"add_ms"`           // until a new or draining engine is reported
 	SpreadMs       float64    `toml:"spread_ms"`        // between gateways
 }
 
-// Network is the time that one way takes.
+// Network is the one-way latency within a zone and between zones.
 type Network struct {
 	SameMs  float64 `toml:"same_ms"`
 	CrossMs float64 `toml:"cross_ms"`
 }
 
-// Fault is something that goes wrong for a while, with boxes that are named or a
-// share of those that match.
+// Fault is a fault for a limited time, at the engines that are named or at a share of
+// those that match the kind, zone and cell.
 type Fault struct {
 	Kind    string   `toml:"kind"`
 	AtS     float64  `toml:"at_s"`
@@ -136,18 +139,18 @@
 	OfKind  string   `toml:"of_kind"`
 	OfZone  string   `toml:"of_zone"`
 	OfCell  *int     `toml:"of_cell"`
-	Gateway *int     `toml:"gateway"` // of list faults: at this gateway's agent alone
+	Gateway *int     `toml:"gateway"` // for faults of discovery: the only gateway whose agent is concerned; nil = all
 	Factor  float64  `toml:"factor"`
 }
 
-// ErrUnknown is the error of a name that no scenario has.
+// ErrUnknown is the error for a name that no shipped scenario has.
 var ErrUnknown = errors.New("scenario: no such scenario")
 
-// Names lists the scenarios that are shipped, in order.
+// Names returns the names of the shipped scenarios, sorted.
 func Names() []string {
 	files, err := fs.Glob(shipped, "scenarios/*.toml")
 	if err != nil {
-		panic(err) // only for a malformed pattern
+		panic(err) // only a malformed pattern is an error
 	}
 	names := make([]string, len(files))
 	for i, file := range files {
@@ -157,7 +160,7 @@
 	return names
 }
 
-// Open reads a shipped scenario by its name, or one from a file by its path.
+// Open reads a shipped scenario by its name, or a file by its path, which ends in .toml.
 func Open(name string) (*Scenario, error) {
 	raw, err := shipped.ReadFile("scenarios/" + name + ".toml")
 	if err != nil {
@@ -195,7 +198,7 @@
 
 // validateSchema validates a decoded file against the schema.
 func validateSchema(tree map[string]any) error {
-	raw, err := json.Marshal(tree) // the validator wants JSON's types
+	raw, err := json.Marshal(tree) // the validator expects the types that JSON decodes to
 	if err != nil {
 		return err
 	}
@@ -223,7 +226,7 @@
 	return err
 }
 
-// leafErrors are the causes that name a key.
+// leafErrors returns the innermost causes of a validation error, each with its key.
 func leafErrors(invalid *jsonschema.ValidationError) (errs []error) {
 	for _, cause := range invalid.Causes {
 		errs = append(errs, leafErrors(cause)...)
@@ -234,7 +237,7 @@
 	return errs
 }
 
-// keyPath writes a place in a file as its readers know it.
+// keyPath formats a location as a path of keys, such as fault[2].share.
 func keyPath(parts []string) string {
 	var b strings.Builder
 	for _, part := range parts {
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -33,7 +33,7 @@
 		}
 		again, _ := s.Compile()
 		if diff := cmp.Diff(plan.EngineFaults, again.EngineFaults); diff != "" {
-			t.Errorf("%s: two draws differ: %s", name, diff)
+			t.Errorf("%s: two draws of one scenario differ: %s", name, diff)
 		}
 		fleet, err := engine.New(plan.Engine, 0)
 		if err != nil {
@@ -65,12 +65,12 @@
 		{good + "[[fault]]\nkind = \"crash\"\nat_s = 1\nlen_s = 1\nshare = 2\n", "fault[0].share: maximum: got 2, want 1"},
 		{good + "[[fault]]\nkind = \"fire\"\nat_s = 1\nlen_s = 1\n", "fault[0].kind: value must be one of"},
 		{good + "[[fault]]\nkind = \"errors\"\nat_s = 1\nlen_s = 1\nshare = 1\n", "fault[0]: missing property 'factor'"},
-		{good + "[[fault]]\nkind = \"crash\"\nat_s = 11\nlen_s = 1\nshare = 1\n", "fault[0].at_s: 11 s lies behind the end at 10 s"},
-		{good + "[[fault]]\nkind = \"crash\"\nat_s = 1\nlen_s = 1\n", "fault[0].share: it is missing, and no boxes are named"},
-		{good + "[[fault]]\nkind = \"crash\"\nat_s = 1\nlen_s = 1\nboxes = [\"none\"]\n", `fault[0].boxes[0]: there is no box "none"`},
+		{good + "[[fault]]\nkind = \"crash\"\nat_s = 11\nlen_s = 1\nshare = 1\n", "fault[0].at_s: 11 s is not before the end at 10 s"},
+		{good + "[[fault]]\nkind = \"crash\"\nat_s = 1\nlen_s = 1\n", "fault[0].share: missing, and boxes names no engines"},
+		{good + "[[fault]]\nkind = \"crash\"\nat_s = 1\nlen_s = 1\nboxes = [\"none\"]\n", `fault[0].boxes[0]: there is no engine "none"`},
 		{good + "[[fault]]\nkind = \"crash\"\nat_s = 1\nlen_s = 1\nshare = 1\nof_zone = \"none\"\n", `fault[0].of_zone: unknown zone "none"`},
-		{good + "[[fleet.kind]]\nname = \"own\"\ncount = 1\n", `fleet.kind[0].role: it is missing, and "own" is no kind with defaults`},
-		{good + "[discovery]\nnotice_ms = [5, 1]\n", "discovery.notice_ms: 5 is above 1"},
+		{good + "[[fleet.kind]]\nname = \"own\"\ncount = 1\n", `fleet.kind[0].role: missing, and kind "own" has no defaults`},
+		{good + "[discovery]\nnotice_ms = [5, 1]\n", "discovery.notice_ms: minimum 5 is above maximum 1"},
 		{good + "[load]\nzone_shares = [1.0]\n", "load.zone_shares: 1 shares for 3 zones"},
 		{"name = ", "toml: line 1"},
 	} {
@@ -79,7 +79,7 @@
 			_, err = s.Compile()
 		}
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v, want %s", c.text, err, c.want)
+			t.Errorf("%q: error %v, want %s", c.text, err, c.want)
 		}
 	}
 }
@@ -105,6 +105,6 @@
 		zones[spec.Zone]++
 	}
 	if len(plan.Engine.Engines) != 6 || len(zones) != 3 {
-		t.Errorf("boxes %v", plan.Engine.Engines)
+		t.Errorf("want 6 engines in 3 zones, have %v", plan.Engine.Engines)
 	}
 }
