--- a/cmd/ashlab/compare.go
+++ b/cmd/ashlab/compare.go
@@ -14,18 +14,18 @@
 func recordCommand() *cobra.Command {
 	var name, source, out string
 	cmd := &cobra.Command{
-		Use: "record LOG… --name NAME --out FILE", Args: cobra.MinimumNArgs(1), Short: "Make a recording of a day from gateways' debug logs",
+		Use: "record LOG… --name NAME --out FILE", Args: cobra.MinimumNArgs(1), Short: "Make a recording from gateways' debug logs",
 		RunE: func(_ *cobra.Command, args []string) error { return recordLogs(args, name, source, out) },
 	}
 	f := cmd.Flags()
-	f.StringVar(&name, "name", "", "of the recording")
-	f.StringVar(&source, "source", "gateways' logs", "what it was recorded from, in words")
+	f.StringVar(&name, "name", "", "name of the recording")
+	f.StringVar(&source, "source", "gateways' logs", "description of what was recorded")
 	f.StringVar(&out, "out", "", "file to write")
 	cobra.CheckErr(errors.Join(cmd.MarkFlagRequired("name"), cmd.MarkFlagRequired("out")))
 	return cmd
 }
 
-// recordLogs writes a recording of gateways' logs to a file.
+// recordLogs makes a recording from gateways' logs and writes it to a file.
 func recordLogs(paths []string, name, source, out string) error {
 	var logs []io.Reader
 	for _, path := range paths {
@@ -51,10 +51,10 @@
 	var bound float64
 	var out string
 	cmd := &cobra.Command{
-		Use: "compare A B", Args: cobra.ExactArgs(2), Short: "Tell how far two recordings lie apart",
+		Use: "compare A B", Args: cobra.ExactArgs(2), Short: "Measure the distance between two recordings",
 		Long: `Prints by class the Kolmogorov-Smirnov distance of the times to the first token and
 of whole answers, and the differences of the shares served, refused and failed.
-With --bound it exits with 1 where any of these lies above it.`,
+With --bound it exits with 1 if any of these is greater than the bound.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			a, err := record.Open(args[0])
 			if err != nil {
@@ -82,7 +82,7 @@
 			return nil
 		},
 	}
-	cmd.Flags().Float64Var(&bound, "bound", 0, "most that any figure may lie apart")
+	cmd.Flags().Float64Var(&bound, "bound", 0, "maximum of each distance and difference")
 	cmd.Flags().StringVar(&out, "json", "", "write the distance to this file")
 	return cmd
 }
--- a/cmd/ashlab/emulate.go
+++ b/cmd/ashlab/emulate.go
@@ -17,7 +17,7 @@
 	"ashwood.example/ashwood/lab/scenario"
 )
 
-// engineAddress is a box's, as emulate prints it.
+// engineAddress is an engine and its addresses, as emulate prints them.
 type engineAddress struct {
 	ID   string `json:"id"`
 	Kind string `json:"kind"`
@@ -33,12 +33,12 @@
 	var gateways int
 	var delay time.Duration
 	cmd := &cobra.Command{
-		Use: "emulate SCENARIO", Args: cobra.ExactArgs(1), Short: "Serve a scenario's boxes and discovery for gateways of your own",
-		Long: `Serves a scenario's boxes and one agent of discovery for each gateway on loopback.
-It prints their addresses as JSON, a line for each gateway, with the settings that
-the gateway's configuration wants. The scenario's faults begin after --delay; it
-ends at the scenario's end or when it is interrupted, and tells the rules that it
-saw broken on the boxes' side.`,
+		Use: "emulate SCENARIO", Args: cobra.ExactArgs(1), Short: "Serve a scenario's engines and discovery for gateways that you start yourself",
+		Long: `Serves a scenario's engines and one discovery agent for each gateway on loopback.
+It prints their addresses as JSON, one line for each gateway, with the settings for
+the gateway's configuration. The scenario's time begins after --delay. The command
+exits at the scenario's end or when it is interrupted, and prints the rule violations
+that the engines observed.`,
 		ValidArgsFunction: completeScenarios,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := scenario.Open(args[0])
@@ -61,13 +61,14 @@
 		},
 	}
 	f := cmd.Flags()
-	f.BoolVar(&grpc, "grpc", false, "boxes speak gRPC too")
+	f.BoolVar(&grpc, "grpc", false, "engines speak gRPC too")
 	f.StringVar(&ip, "ip", emulator.DefaultIP, "loopback address of all listeners")
-	f.IntVar(&gateways, "gateways", 0, "how many gateways it is for; 0 = as the scenario says")
-	f.DurationVar(&delay, "delay", 5*time.Second, "until the scenario's time begins")
+	f.IntVar(&gateways, "gateways", 0, "number of gateways; 0 = the scenario's")
+	f.DurationVar(&delay, "delay", 5*time.Second, "time until the scenario begins")
 	return cmd
 }
 
+// emulate prints the addresses, plays the scenario's faults and prints the violations.
 func emulate(cmd *cobra.Command, em *emulator.Emulator, plan *scenario.Plan, delay time.Duration) error {
 	out := json.NewEncoder(cmd.OutOrStdout())
 	for g := range plan.Gateways {
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// sleep waits; false if the context ended first.
+// sleep waits for d. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -114,7 +115,7 @@
 	var grpc bool
 	var out string
 	cmd := &cobra.Command{
-		Use: "load SCENARIO --to ADDRESS…", Args: cobra.ExactArgs(1), Short: "Send a scenario's load to gateways that run already",
+		Use: "load SCENARIO --to ADDRESS…", Args: cobra.ExactArgs(1), Short: "Send a scenario's load to running gateways",
 		ValidArgsFunction: completeScenarios,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := scenario.Open(args[0])
@@ -164,8 +165,8 @@
 	}
 	f := cmd.Flags()
 	f.StringSliceVar(&addrs, "to", nil, "addresses of the gateways, host:port")
-	f.BoolVar(&grpc, "grpc", false, "over gRPC in place of HTTP/1.1")
-	f.StringVar(&out, "json", "", "write the figures to this file")
+	f.BoolVar(&grpc, "grpc", false, "use gRPC instead of HTTP/1.1")
+	f.StringVar(&out, "json", "", "write the metrics to this file")
 	cobra.CheckErr(cmd.MarkFlagRequired("to"))
 	return cmd
 }
--- a/cmd/ashlab/fleet.go
+++ b/cmd/ashlab/fleet.go
@@ -11,11 +11,11 @@
 func fleetCommand() *cobra.Command {
 	var cold time.Duration
 	cmd := &cobra.Command{
-		Use: "fleet DIR", Args: cobra.ExactArgs(1), Short: "Count over a fleet what its gateways' debug logs tell",
+		Use: "fleet DIR", Args: cobra.ExactArgs(1), Short: "Summarize the debug logs of a fleet's gateways",
 		Long: `Reads a folder with a log for each gateway (*.log, ASHWOOD_LOG=debug) and prints
-what they did in sum, by second and by engine: attempts by outcome, new connections,
-probes, calls for lists, places asked for, answers and refusals by reason, sends to
-engines that were cold, and how long after the news of a drain something was still sent.`,
+what they did in total, by second and by engine: attempts by outcome, new connections,
+probes, discovery calls, reservations requested, answers and refusals by reason, attempts
+sent to cold engines, and how long after the notice of a drain something was still sent.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f, err := fleet.Read(args[0], cold)
 			if err != nil {
@@ -24,6 +24,6 @@
 			return f.Print(cmd.OutOrStdout())
 		},
 	}
-	cmd.Flags().DurationVar(&cold, "cold", 12*time.Second, "for how long after its start an engine counts as cold")
+	cmd.Flags().DurationVar(&cold, "cold", 12*time.Second, "time after its start for which an engine counts as cold")
 	return cmd
 }
--- a/cmd/ashlab/main.go
+++ b/cmd/ashlab/main.go
@@ -1,5 +1,6 @@
-// Command ashlab is the laboratory: it emulates fleets, plays scenarios against
-// gateways, and compares what came of them.
+// Command ashlab is the command line of the laboratory: it emulates fleets, plays
+// scenarios against gateways, and records and compares the results. The packages under
+// lab/ do the work; this one has the flags, the output and the exit codes.
 package main
 
 import (
@@ -24,13 +25,13 @@
 	}
 }
 
-// errRuleViolated is the error of a run in which a rule was broken or a gateway crashed.
+// errRuleViolated is the error of a run in which a rule was violated or a gateway crashed.
 var errRuleViolated = errors.New("a rule was broken or a gateway crashed")
 
-// errBoundExceeded is the error of two recordings that lie further apart than asked for.
+// errBoundExceeded is the error of two recordings whose distance exceeds --bound.
 var errBoundExceeded = errors.New("the recordings lie further apart than the bound")
 
-// exitCode tells a verdict (1) from a run that could not be made (2).
+// exitCode is 1 if a run's verdict is negative, and 2 if the run could not be made.
 func exitCode(err error) int {
 	if errors.Is(err, errRuleViolated) || errors.Is(err, errBoundExceeded) {
 		return 1
@@ -43,7 +44,7 @@
 	cmd := &cobra.Command{
 		Use: "ashlab", Short: "Emulates fleets and rehearses incidents against gateways", SilenceUsage: true, SilenceErrors: true,
 	}
-	cmd.PersistentFlags().BoolVarP(&verbose, "verbose", "v", false, "log what boxes and listeners do, to standard error")
+	cmd.PersistentFlags().BoolVarP(&verbose, "verbose", "v", false, "log what engines and listeners do, to standard error")
 	logger := func() *slog.Logger {
 		if !verbose {
 			return slog.New(slog.DiscardHandler)
--- a/cmd/ashlab/main_test.go
+++ b/cmd/ashlab/main_test.go
@@ -38,10 +38,10 @@
 		t.Fatal(err)
 	}
 	if _, err := run("scenarios", bad); err == nil || !strings.Contains(err.Error(), "length_s: minimum") {
-		t.Errorf("a faulty file: %v", err)
+		t.Errorf("an invalid file: %v", err)
 	}
 	if _, err := run("rehearse", "no-such-day"); !errors.Is(err, scenario.ErrUnknown) || exitCode(err) != 2 {
-		t.Errorf("a name that is none: %v", err)
+		t.Errorf("an unknown scenario: %v", err)
 	}
 	for _, args := range [][]string{{"rehearse", "calm", "--gateways", "99"}, {"rehearse", "calm", "--length", "0"}, {"load", "calm"}, {"compare", "x"}} {
 		if _, err := run(args...); err == nil || exitCode(err) != 2 {
@@ -50,8 +50,8 @@
 	}
 }
 
-// Days of the bench are recorded in the repository; a day is no distance from
-// itself, and two lie apart.
+// The repository holds recordings of runs of the platform's bench. A recording has no
+// distance from itself, and two of different scenarios exceed a small bound.
 func TestCompare_Bound(t *testing.T) {
 	const calm, hang = "../../lab/record/days/calm-61.json", "../../lab/record/days/hang-42.json"
 	if out, err := run("compare", calm, calm, "--bound", "0.001"); err != nil || !strings.Contains(out, "within 0.001") {
@@ -61,7 +61,7 @@
 		t.Errorf("%s, %v", out, err)
 	}
 	if _, err := run("compare", calm, "main.go"); !errors.Is(err, record.ErrShape) {
-		t.Errorf("no recording: %v", err)
+		t.Errorf("a file that is not a recording: %v", err)
 	}
 }
 
@@ -80,7 +80,8 @@
 	}
 }
 
-// A fleet's logs are counted by second and by engine; a folder without any is said to be.
+// Logs are counted by second and by engine; a folder without logs is an error that names
+// the pattern.
 func TestFleet_DebugLogs(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := run("fleet", dir); err == nil || exitCode(err) != 2 || !strings.Contains(err.Error(), "*.log") {
--- a/cmd/ashlab/rehearse.go
+++ b/cmd/ashlab/rehearse.go
@@ -22,11 +22,11 @@
 	var length float64
 	cmd := &cobra.Command{
 		Use: "rehearse SCENARIO", Args: cobra.ExactArgs(1), Short: "Play a scenario: emulator, gateways and load, then a report",
-		Long: `Starts an emulator, gateways and a load on loopback, ends by itself, and prints a
-report by class and by window of 5 s. SCENARIO is a shipped one ("ashlab scenarios"
+		Long: `Starts an emulator, gateways and a load on loopback, and prints a report by class
+and by window of 5 s at the scenario's end. SCENARIO is a shipped one ("ashlab scenarios"
 lists them) or the path of a .toml file.
 
-It exits with 1 if a rule was broken or a gateway crashed, and with 2 if the
+It exits with 1 if a rule was violated or a gateway crashed, and with 2 if the
 rehearsal could not be made.`,
 		ValidArgsFunction: completeScenarios,
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -87,17 +87,17 @@
 		},
 	}
 	f := cmd.Flags()
-	f.IntVar(&options.Gateways, "gateways", 0, "how many gateways; 0 = as the scenario says")
-	f.StringVar(&options.Program, "ashwood", "", "the daemon to start; default: the one beside this program")
-	f.BoolVar(&options.GRPC, "grpc", false, "clients and boxes speak gRPC in place of HTTP/1.1")
+	f.IntVar(&options.Gateways, "gateways", 0, "number of gateways; 0 = the scenario's")
+	f.StringVar(&options.Program, "ashwood", "", "daemon to start; default: ashwood in this program's folder")
+	f.BoolVar(&options.GRPC, "grpc", false, "clients and engines speak gRPC instead of HTTP/1.1")
 	f.StringVar(&options.Logs, "logs", "", "folder for the gateways' debug logs")
 	f.StringVar(&out, "json", "", "write the report to this file")
 	f.StringVar(&recording, "record", "", "write a recording of the gateways' logs to this file")
-	f.Uint64Var(&seed, "seed", 0, "in place of the scenario's")
-	f.Float64Var(&length, "length", 0, "seconds, in place of the scenario's; faults that begin later are left out")
-	f.Float64Var(&options.Limits.Cores, "cores", 1, "of a gateway, as its configuration says")
-	f.Float64Var(&options.Limits.MemoryMB, "memory-mb", 192, "of a gateway")
-	f.IntVar(&options.Limits.Sockets, "sockets", 1024, "of a gateway")
+	f.Uint64Var(&seed, "seed", 0, "seed instead of the scenario's")
+	f.Float64Var(&length, "length", 0, "seconds, instead of the scenario's; faults that begin later are left out")
+	f.Float64Var(&options.Limits.Cores, "cores", 1, "cores of a gateway in its configuration")
+	f.Float64Var(&options.Limits.MemoryMB, "memory-mb", 192, "memory of a gateway in its configuration")
+	f.IntVar(&options.Limits.Sockets, "sockets", 1024, "sockets of a gateway in its configuration")
 	cmd.PreRunE = func(cmd *cobra.Command, args []string) error {
 		if options.Gateways < 0 || options.Gateways > 64 {
 			return fmt.Errorf("--gateways: %d is not from 1 to 64", options.Gateways)
@@ -110,7 +110,7 @@
 	return cmd
 }
 
-// siblingProgram finds a program in the folder of this one.
+// siblingProgram returns the path of a program in the folder of this one.
 func siblingProgram(name string) (string, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -118,7 +118,7 @@
 	}
 	path := filepath.Join(filepath.Dir(self), name)
 	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("no %s beside this program (go build -o bin/ ./cmd/... makes it): %w", name, err)
+		return "", fmt.Errorf("no %s in the folder of this program (go build -o bin/ ./cmd/... builds it): %w", name, err)
 	}
 	return path, nil
 }
@@ -133,6 +133,7 @@
 	return errors.Join(e.Encode(v), f.Close())
 }
 
+// isTerminal tells whether a file is a character device, as a terminal is.
 func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
@@ -164,6 +165,7 @@
 	}
 }
 
+// printScenario reads and compiles a scenario and prints a line about it.
 func printScenario(w io.Writer, name string) error {
 	s, err := scenario.Open(name)
 	if err != nil {
--- a/cmd/ashlab/soak.go
+++ b/cmd/ashlab/soak.go
@@ -18,13 +18,13 @@
 	var script, silence, termination bool
 	options := soak.Options{LogLevel: "debug"}
 	cmd := &cobra.Command{
-		Use: "soak", Args: cobra.NoArgs, Short: "Play stories of overlapping faults on real processes, one for each seed",
-		Long: `Draws a story for each seed: gateways, engines, settings, clients, and faults and signals
-that overlap. Plays it on real processes over loopback, and counts every rule from what engines
-and clients see. A story that breaks one is printed with its script and what its requests went
-through; --first SEED --seeds 1 plays it again.
+		Use: "soak", Args: cobra.NoArgs, Short: "Play scenarios of overlapping faults on real processes, one for each seed",
+		Long: `Draws a scenario for each seed: gateways, engines, settings, clients, and faults and signals
+that overlap. Plays it on real processes over loopback, and checks every rule against what engines
+and clients observe. A scenario that violates one is printed with its script and the history of
+the requests concerned; --first SEED --seeds 1 plays it again.
 
-It exits with 1 if a rule was broken or a gateway crashed.`,
+It exits with 1 if a rule was violated or a gateway crashed.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if options.Program == "" {
 				var err error
@@ -84,14 +84,14 @@
 		},
 	}
 	cmd.Flags().Uint64Var(&first, "first", 1, "the first seed")
-	cmd.Flags().IntVar(&seeds, "seeds", 10, "how many seeds to play")
-	cmd.Flags().IntVar(&parallel, "parallel", 2, "how many stories to play at once")
-	cmd.Flags().DurationVar(&length, "length", 8*time.Second, "for how long clients ask")
-	cmd.Flags().BoolVar(&silence, "silence", false, "stories in which all engines fall silent and come back one by one")
-	cmd.Flags().BoolVar(&termination, "ending", false, "stories of gateways that are told to end and stopped around that")
+	cmd.Flags().IntVar(&seeds, "seeds", 10, "number of seeds to play")
+	cmd.Flags().IntVar(&parallel, "parallel", 2, "number of scenarios to play at once")
+	cmd.Flags().DurationVar(&length, "length", 8*time.Second, "time for which clients send requests")
+	cmd.Flags().BoolVar(&silence, "silence", false, "scenarios in which all engines fall silent and come back one by one")
+	cmd.Flags().BoolVar(&termination, "ending", false, "scenarios in which gateways get SIGTERM and are paused around it")
 	cmd.MarkFlagsMutuallyExclusive("silence", "ending")
-	cmd.Flags().BoolVar(&script, "script", false, "print the script of every story")
-	cmd.Flags().StringVar(&options.Program, "program", "", "the gateway's program; ashwood beside this one by default")
-	cmd.Flags().StringVar(&options.Logs, "logs", "", "a folder for the gateways' logs, one folder a seed")
+	cmd.Flags().BoolVar(&script, "script", false, "print the script of every scenario")
+	cmd.Flags().StringVar(&options.Program, "program", "", "daemon to start; default: ashwood in this program's folder")
+	cmd.Flags().StringVar(&options.Logs, "logs", "", "folder for the gateways' logs, with a folder for each seed")
 	return cmd
 }
