--- a/cmd/ashlab/compare.go
+++ b/cmd/ashlab/compare.go
@@ -19,7 +19,7 @@
 	}
 	f := cmd.Flags()
 	f.StringVar(&name, "name", "", "name of the recording")
-	f.StringVar(&source, "source", "gateways' logs", "description of what was recorded")
+	f.StringVar(&source, "source", "gateways' logs", "description of the source")
 	f.StringVar(&out, "out", "", "file to write")
 	cobra.CheckErr(errors.Join(cmd.MarkFlagRequired("name"), cmd.MarkFlagRequired("out")))
 	return cmd
