--- a/cmd/ashlab/emulate.go
+++ b/cmd/ashlab/emulate.go
@@ -127,22 +127,22 @@
 			if err != nil {
 				return err
 			}
-			c := clock.System()
+			systemClock := clock.System()
 			var clients []load.Client
 			for _, addr := range addrs {
 				if !grpc {
-					clients = append(clients, load.NewHTTP(addr, plan.Load.Connections, c))
+					clients = append(clients, load.NewHTTP(addr, plan.Load.Connections, systemClock))
 					continue
 				}
-				client, err := load.NewGRPC(addr, c)
+				client, err := load.NewGRPC(addr, systemClock)
 				if err != nil {
 					return err
 				}
 				clients = append(clients, client)
 			}
 			checker := rules.New(rules.PlatformLimits())
-			runner := load.Runner{Plan: plan, Clients: clients, Clock: c, Observer: checker}
-			_, summary := runner.Run(cmd.Context(), c.Now(), load.Draw(plan))
+			runner := load.Runner{Plan: plan, Clients: clients, Clock: systemClock, Observer: checker}
+			_, summary := runner.Run(cmd.Context(), systemClock.Now(), load.Draw(plan))
 			for _, client := range clients {
 				client.Close()
 			}
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -121,8 +121,8 @@
 	release  chan struct{}
 }
 
-func (c *fakeClient) Do(_ context.Context, t Try, asked func()) Outcome {
-	asked()
+func (c *fakeClient) Do(_ context.Context, t Try, sent func()) Outcome {
+	sent()
 	c.mu.Lock()
 	c.tries = append(c.tries, t)
 	out := Outcome{Answer: rules.Served}
@@ -144,16 +144,16 @@
 	for i := range plan.Load.Classes { // the clock jumps ahead before a request's goroutine starts
 		plan.Load.Classes[i].DeadlineMs = 1e9
 	}
-	list := Draw(plan)
-	c := &fakeClient{release: make(chan struct{})}
-	check := rules.New(rules.PlatformLimits())
-	r := Runner{Plan: plan, Clients: []Client{c}, Clock: &jumpClock{}, Observer: check}
+	requests := Draw(plan)
+	blocked := &fakeClient{release: make(chan struct{})}
+	checker := rules.New(rules.PlatformLimits())
+	runner := Runner{Plan: plan, Clients: []Client{blocked}, Clock: &jumpClock{}, Observer: checker}
 	done := make(chan *Summary)
 	go func() {
-		_, s := r.Run(context.Background(), 0, list)
+		_, s := runner.Run(context.Background(), 0, requests)
 		done <- s
 	}()
-	for check.Counts().Requests < len(list) { // ends only if all are sent
+	for checker.Counts().Requests < len(requests) { // ends only if all are sent
 		select {
 		case <-done:
 			t.Fatal("the run ended with unanswered tries")
@@ -161,14 +161,14 @@
 			runtime.Gosched()
 		}
 	}
-	close(c.release)
-	if s := <-done; s.Whole.Offered != len(list) {
-		t.Errorf("%d of %d requests in the summary", s.Whole.Offered, len(list))
+	close(blocked.release)
+	if s := <-done; s.Whole.Offered != len(requests) {
+		t.Errorf("%d of %d requests in the summary", s.Whole.Offered, len(requests))
 	}
 }
 
 func TestRunner_RetriesByEffect(t *testing.T) {
-	p := compilePlan(t, "length_s = 10\ngateways = 1\n[load]\nretries = 2\nimpatient = 0.0\nhonour = 1.0\n")
+	plan := compilePlan(t, "length_s = 10\ngateways = 1\n[load]\nretries = 2\nimpatient = 0.0\nhonour = 1.0\n")
 	for _, c := range []struct {
 		class int
 		say   []Outcome
@@ -180,14 +180,14 @@
 		{2, []Outcome{{Answer: rules.Refused}}, 2, InTime}, {2, []Outcome{{Answer: rules.Failure}}, 1, Failed},
 		{2, []Outcome{{Answer: rules.Timeout}}, 1, Timeout}, {2, []Outcome{{}}, 2, InTime}, {0, []Outcome{{Answer: rules.Broken, FirstTokenAt: 1}}, 1, Broken},
 	} {
-		cl := &fakeClient{outcomes: c.say}
-		r := Runner{Plan: p, Clients: []Client{cl}, Clock: &jumpClock{}, Observer: rules.New(rules.PlatformLimits())}
-		results, _ := r.Run(context.Background(), 0, []Request{{Class: c.class, PromptTokens: 100, Worth: 1}})
+		fake := &fakeClient{outcomes: c.say}
+		runner := Runner{Plan: plan, Clients: []Client{fake}, Clock: &jumpClock{}, Observer: rules.New(rules.PlatformLimits())}
+		results, _ := runner.Run(context.Background(), 0, []Request{{Class: c.class, PromptTokens: 100, Worth: 1}})
 		if results[0].Tries != c.tries || results[0].Kind != c.kind {
 			t.Errorf("class %d, %v: %d tries, %s; want %d, %s", c.class, c.say, results[0].Tries, results[0].Kind, c.tries, c.kind)
 		}
 		ids := map[string]bool{}
-		for i, try := range cl.tries {
+		for i, try := range fake.tries {
 			if ids[try.ID] || try.Retry != (i > 0) {
 				t.Errorf("try %d: %+v", i, try)
 			}
@@ -201,7 +201,7 @@
 		return fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n", engine.AnswerText(id, from, n))
 	}
 	end := "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":9,\"completion_tokens\":5,\"x\":0}}\n\ndata: [DONE]\n\n"
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Txn")
 		_, _ = io.Copy(io.Discard, r.Body)
 		switch r.Header.Get("X-Entity") {
@@ -228,38 +228,38 @@
 			<-r.Context().Done()
 		}
 	}))
-	defer s.Close()
-	c := NewHTTP(strings.TrimPrefix(s.URL, "http://"), 4, clock.System())
+	defer server.Close()
+	c := NewHTTP(strings.TrimPrefix(server.URL, "http://"), 4, clock.System())
 	defer c.Close()
 	for _, tt := range []struct {
-		how    string
-		answer rules.Answer
-		tokens int
-		spoilt bool
+		name      string
+		answer    rules.Answer
+		tokens    int
+		corrupted bool
 	}{
 		{"served", rules.Served, 5, false}, {"changed", rules.Served, 5, true}, {"short", rules.Served, 1, true}, {"cut", rules.Served, 1, true},
 		{"broken", rules.Broken, 1, false}, {"refused", rules.Refused, 0, false}, {"failed", rules.Failure, 0, false}, {"dropped", rules.Dropped, 0, false},
 		{"silent", rules.Timeout, 0, false},
 	} {
 		remaining := 20000.0
-		if tt.how == "silent" {
+		if tt.name == "silent" {
 			remaining = 30
 		}
-		asked := 0
-		out := c.Do(context.Background(), Try{Request: &Request{Session: tt.how, PromptTokens: 50, SharedPrefixTokens: 20}, ID: "00112233445566aa", Remaining: remaining}, func() { asked++ })
-		if out.Answer != tt.answer || out.Tokens != tt.tokens || (out.Corruption != "") != tt.spoilt || asked != 1 {
-			t.Errorf("%s: %+v, sent %d times", tt.how, out, asked)
+		sent := 0
+		out := c.Do(context.Background(), Try{Request: &Request{Session: tt.name, PromptTokens: 50, SharedPrefixTokens: 20}, ID: "00112233445566aa", Remaining: remaining}, func() { sent++ })
+		if out.Answer != tt.answer || out.Tokens != tt.tokens || (out.Corruption != "") != tt.corrupted || sent != 1 {
+			t.Errorf("%s: %+v, sent %d times", tt.name, out, sent)
 		}
-		if tt.how == "refused" && out.RetryAfter != 250 {
+		if tt.name == "refused" && out.RetryAfter != 250 {
 			t.Errorf("retry after %v ms, want 250", out.RetryAfter)
 		}
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := l.Addr().String()
-	l.Close()
+	addr := listener.Addr().String()
+	listener.Close()
 	out := NewHTTP(addr, 1, clock.System()).Do(context.Background(), Try{Request: &Request{PromptTokens: 5}, ID: "x", Remaining: 20000}, func() { t.Error("the request counts as sent") })
 	if out.Answer != "" {
 		t.Errorf("unreachable gateway: %+v", out)
--- a/lab/rehearse/rehearse.go
+++ b/lab/rehearse/rehearse.go
@@ -84,8 +84,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
-	c := clock.System()
-	em, err := emulator.New(emulator.Config{Plan: plan, GRPC: options.GRPC, StaticMembership: options.GRPC, Rules: options.Rules, Clock: c, Log: options.Log})
+	systemClock := clock.System()
+	em, err := emulator.New(emulator.Config{Plan: plan, GRPC: options.GRPC, StaticMembership: options.GRPC, Rules: options.Rules, Clock: systemClock, Log: options.Log})
 	if err != nil {
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, err
 	}
-	clients, err := newClients(gateways, plan, options.GRPC, c)
+	clients, err := newClients(gateways, plan, options.GRPC, systemClock)
 	if err != nil {
 		stopAll(gateways)
 		return nil, err
@@ -120,7 +120,7 @@
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
 	report.startedAt = em.StartedAt()
-	runner := load.Runner{Plan: plan, Clients: clients, Clock: c, Observer: em.Rules(), Progress: throttleProgress(options, em, c, len(requests), s.LengthS)}
+	runner := load.Runner{Plan: plan, Clients: clients, Clock: systemClock, Observer: em.Rules(), Progress: throttleProgress(options, em, systemClock, len(requests), s.LengthS)}
 	_, report.Summary = runner.Run(ctx, em.StartedAt(), requests)
 	for _, client := range clients {
 		client.Close()
--- a/lab/scenario/defaults.go
+++ b/lab/scenario/defaults.go
@@ -86,18 +86,18 @@
 		}
 		classes[c.Name] = true
 	}
-	for i, f := range s.Faults {
+	for i, fault := range s.Faults {
 		path := func(key string) string { return fmt.Sprintf("fault[%d].%s", i, key) }
 		switch {
-		case f.OfKind != "" && !kinds[f.OfKind]:
-			return fmt.Errorf("%s: unknown kind %q", path("of_kind"), f.OfKind)
-		case f.OfZone != "" && !slices.Contains(s.Fleet.Zones, f.OfZone):
-			return fmt.Errorf("%s: unknown zone %q", path("of_zone"), f.OfZone)
-		case f.AtS >= s.LengthS:
-			return fmt.Errorf("%s: %v s is not before the end at %v s", path("at_s"), f.AtS, s.LengthS)
-		case f.Gateway != nil && *f.Gateway >= s.Gateways:
+		case fault.OfKind != "" && !kinds[fault.OfKind]:
+			return fmt.Errorf("%s: unknown kind %q", path("of_kind"), fault.OfKind)
+		case fault.OfZone != "" && !slices.Contains(s.Fleet.Zones, fault.OfZone):
+			return fmt.Errorf("%s: unknown zone %q", path("of_zone"), fault.OfZone)
+		case fault.AtS >= s.LengthS:
+			return fmt.Errorf("%s: %v s is not before the end at %v s", path("at_s"), fault.AtS, s.LengthS)
+		case fault.Gateway != nil && *fault.Gateway >= s.Gateways:
 			return fmt.Errorf("%s: there are only %d gateways, numbered from 0", path("gateway"), s.Gateways)
-		case len(f.Engines) > 0 && f.Share > 0:
+		case len(fault.Engines) > 0 && fault.Share > 0:
 			return fmt.Errorf("%s: not allowed together with boxes", path("share"))
 		}
 	}
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -92,25 +92,25 @@
 // Class describes a class of requests and its sessions.
 type Class struct {
 	Name         string  `toml:"name"`
-	Share        float64 `toml:"share"` // of sessions' requests
-	AimMs        float64 `toml:"aim_ms"`
-	AimMsPerK    float64 `toml:"aim_ms_per_k"`
-	DeadlineMs   float64 `toml:"deadline_ms"`
-	TokenMs      float64 `toml:"token_ms"`
+	Share        float64 `toml:"share"`        // of all requests
+	AimMs        float64 `toml:"aim_ms"`       // to the first token, for full worth
+	AimMsPerK    float64 `toml:"aim_ms_per_k"` // added to the aim per 1000 prompt tokens
+	DeadlineMs   float64 `toml:"deadline_ms"`  // to the first token, over all tries
+	TokenMs      float64 `toml:"token_ms"`     // per token after the first, for full worth
 	Worth        float64 `toml:"worth"`
-	LateWorth    float64 `toml:"late_worth"`
-	Effect       string  `toml:"effect"` // pure or side_effect
-	Turns        float64 `toml:"turns"`
-	ThinkMs      float64 `toml:"think_ms"`
-	NewTokens    float64 `toml:"new_tokens"`
+	LateWorth    float64 `toml:"late_worth"` // share of the worth that a late answer earns
+	Effect       string  `toml:"effect"`     // pure or side_effect
+	Turns        float64 `toml:"turns"`      // mean number of requests in a session
+	ThinkMs      float64 `toml:"think_ms"`   // mean pause between an answer and the session's next request
+	NewTokens    float64 `toml:"new_tokens"` // mean, added to the prompt by each turn
 	NewSigma     float64 `toml:"new_sigma"`
-	OutTokens    float64 `toml:"out_tokens"`
+	OutTokens    float64 `toml:"out_tokens"` // mean length of answers
 	OutSigma     float64 `toml:"out_sigma"`
-	MaxOut       int     `toml:"max_out"`
-	Prefixes     int     `toml:"prefixes"`
-	PrefixTokens float64 `toml:"prefix_tokens"`
-	PrefixShare  float64 `toml:"prefix_share"`
-	PrefixZipf   float64 `toml:"prefix_zipf"`
+	MaxOut       int     `toml:"max_out"`       // limit that requests set for answers
+	Prefixes     int     `toml:"prefixes"`      // number of prefixes that sessions share
+	PrefixTokens float64 `toml:"prefix_tokens"` // mean length of a shared prefix
+	PrefixShare  float64 `toml:"prefix_share"`  // share of sessions that begin with a shared prefix
+	PrefixZipf   float64 `toml:"prefix_zipf"`   // exponent of the popularity of prefixes
 }
 
 // Discovery describes how late membership updates come: ranges from which the delay of
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -57,7 +57,7 @@
 
 func TestParse_InvalidScenarioNamesKey(t *testing.T) {
 	const good = "name = \"x\"\nlength_s = 10\n"
-	for _, c := range []struct{ text, want string }{
+	for _, tt := range []struct{ text, want string }{
 		{"length_s = 10\n", "the file: missing property 'name'"},
 		{good + "lenght = 3\n", "the file: additional properties 'lenght' not allowed"},
 		{good + "[load]\nrate_per_s = 0\n", "load.rate_per_s: exclusiveMinimum: got 0, want 0"},
@@ -74,12 +74,12 @@
 		{good + "[load]\nzone_shares = [1.0]\n", "load.zone_shares: 1 shares for 3 zones"},
 		{"name = ", "toml: line 1"},
 	} {
-		s, err := Parse([]byte(c.text))
+		s, err := Parse([]byte(tt.text))
 		if err == nil {
 			_, err = s.Compile()
 		}
-		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: error %v, want %s", c.text, err, c.want)
+		if err == nil || !strings.Contains(err.Error(), tt.want) {
+			t.Errorf("%q: error %v, want %s", tt.text, err, tt.want)
 		}
 	}
 }
