--- a/internal/grpcfront/boxes.go
+++ b/internal/grpcfront/boxes.go
@@ -89,7 +89,7 @@
 
 // Keep removes the engines that a membership snapshot no longer contains. Their
 // connections are closed only after a grace period, since answers may still arrive on them.
-func (e *Engines) Keep(servers []ashwood.Server) {
+func (e *Engines) RetainOnly(servers []ashwood.Server) {
 	present := map[string]bool{}
 	for _, server := range servers {
 		present[server.Address] = true
--- a/internal/grpcfront/harness_test.go
+++ b/internal/grpcfront/harness_test.go
@@ -111,7 +111,7 @@
 		case in.Session == "error after first":
 			return status.Error(codes.DataLoss, "failed during the answer")
 		case in.Session == "removed" && i == 0:
-			e.transport.Keep(nil)
+			e.transport.RetainOnly(nil)
 		case in.Session == "halved" && i == 0:
 			<-e.continueAnswer
 		case in.Session == "endless":
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -52,7 +52,7 @@
 }
 
 // Share sets how many processes, including this one, poll on behalf of one gateway.
-func (d *Discovery) Share(processes int) { d.processes.Store(int32(processes)) }
+func (d *Discovery) SetProcesses(processes int) { d.processes.Store(int32(processes)) }
 
 // ResumeFrom sets the version of the membership that the gateway already has, so that Run
 // watches for changes from there.
@@ -119,7 +119,7 @@
 			if failures++; failures == 1 {
 				d.log.Warn("discovery: call failed, keeping the current membership", "err", err)
 			}
-			d.schedule.Share(max(int(d.processes.Load()), 1))
+			d.schedule.SetProcesses(max(int(d.processes.Load()), 1))
 			clock.Wait(ctx, d.clock, d.schedule.Failed(isTimeout(err)))
 			continue
 		}
