--- a/cmd/ashlab/soak.go
+++ b/cmd/ashlab/soak.go
@@ -15,57 +15,57 @@
 	var first uint64
 	var seeds, parallel int
 	var length time.Duration
-	var script, silence, ending bool
-	opt := soak.Options{LogLevel: "debug"}
+	var script, silence, termination bool
+	options := soak.Options{LogLevel: "debug"}
 	cmd := &cobra.Command{
-		Use: "soak", Args: cobra.NoArgs, Short: "Play stories of overlapping faults on real processes, one for each seed",
-		Long: `Draws a story for each seed: gateways, engines, settings, clients, and faults and signals
-that overlap. Plays it on real processes over loopback, and counts every rule from what engines
-and clients see. A story that breaks one is printed with its script and what its requests went
-through; --first SEED --seeds 1 plays it again.
+		Use: "soak", Args: cobra.NoArgs, Short: "Play scenarios of overlapping faults on real processes, one for each seed",
+		Long: `Draws a scenario for each seed: gateways, engines, settings, clients, and faults and signals
+that overlap. Plays it on real processes over loopback, and checks every rule against what engines
+and clients observe. A scenario that violates one is printed with its script and the history of
+the requests concerned; --first SEED --seeds 1 plays it again.
 
-It exits with 1 if a rule was broken or a gateway crashed.`,
+It exits with 1 if a rule was violated or a gateway crashed.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if opt.Program == "" {
+			if options.Program == "" {
 				var err error
-				if opt.Program, err = beside("ashwood"); err != nil {
+				if options.Program, err = siblingProgram("ashwood"); err != nil {
 					return err
 				}
 			}
 			var mu sync.Mutex
-			var all sync.WaitGroup
-			var sum soak.Counts
-			broken := 0
+			var workers sync.WaitGroup
+			var total soak.Counts
+			failed := 0
 			next := make(chan uint64)
 			for range max(parallel, 1) {
-				all.Go(func() {
+				workers.Go(func() {
 					for seed := range next {
-						story, one := soak.Generate(seed, length), opt
+						faultScenario, playOptions := soak.Generate(seed, length), options
 						switch {
 						case silence:
-							story = soak.GenerateSilence(seed, length)
-						case ending:
-							story = soak.GenerateEnding(seed, length)
+							faultScenario = soak.GenerateSilence(seed, length)
+						case termination:
+							faultScenario = soak.GenerateEnding(seed, length)
 						}
-						if opt.Logs != "" {
-							one.Logs = filepath.Join(opt.Logs, fmt.Sprint(seed))
+						if options.Logs != "" {
+							playOptions.Logs = filepath.Join(options.Logs, fmt.Sprint(seed))
 						}
-						rep, err := soak.Play(cmd.Context(), story, one)
+						report, err := soak.Play(cmd.Context(), faultScenario, playOptions)
 						mu.Lock()
 						switch {
 						case err != nil:
-							broken++
+							failed++
 							fmt.Fprintf(cmd.OutOrStdout(), "seed %d could not be played: %v\n", seed, err)
-						case !rep.OK():
-							broken++
-							fmt.Fprint(cmd.OutOrStdout(), rep)
+						case !report.OK():
+							failed++
+							fmt.Fprint(cmd.OutOrStdout(), report)
 						case script:
-							fmt.Fprint(cmd.OutOrStdout(), rep)
+							fmt.Fprint(cmd.OutOrStdout(), report)
 						default:
-							fmt.Fprintf(cmd.OutOrStdout(), "seed %d: rules kept; %+v\n", seed, rep.Counts)
+							fmt.Fprintf(cmd.OutOrStdout(), "seed %d: rules kept; %+v\n", seed, report.Counts)
 						}
-						if rep != nil {
-							sum.Add(rep.Counts)
+						if report != nil {
+							total.Add(report.Counts)
 						}
 						mu.Unlock()
 					}
@@ -75,23 +75,23 @@
 				next <- first + uint64(i)
 			}
 			close(next)
-			all.Wait()
-			fmt.Fprintf(cmd.OutOrStdout(), "%d seeds, %d with broken rules; %+v\n", seeds, broken, sum)
-			if broken > 0 {
-				return errBroken
+			workers.Wait()
+			fmt.Fprintf(cmd.OutOrStdout(), "%d seeds, %d with broken rules; %+v\n", seeds, failed, total)
+			if failed > 0 {
+				return errRuleViolated
 			}
 			return nil
 		},
 	}
 	cmd.Flags().Uint64Var(&first, "first", 1, "the first seed")
-	cmd.Flags().IntVar(&seeds, "seeds", 10, "how many seeds to play")
-	cmd.Flags().IntVar(&parallel, "parallel", 2, "how many stories to play at once")
-	cmd.Flags().DurationVar(&length, "length", 8*time.Second, "for how long clients ask")
-	cmd.Flags().BoolVar(&silence, "silence", false, "stories in which all engines fall silent and come back one by one")
-	cmd.Flags().BoolVar(&ending, "ending", false, "stories of gateways that are told to end and stopped around that")
+	cmd.Flags().IntVar(&seeds, "seeds", 10, "number of seeds to play")
+	cmd.Flags().IntVar(&parallel, "parallel", 2, "number of scenarios to play at once")
+	cmd.Flags().DurationVar(&length, "length", 8*time.Second, "time for which clients send requests")
+	cmd.Flags().BoolVar(&silence, "silence", false, "scenarios in which all engines fall silent and come back one by one")
+	cmd.Flags().BoolVar(&termination, "ending", false, "scenarios in which gateways get SIGTERM and are paused around it")
 	cmd.MarkFlagsMutuallyExclusive("silence", "ending")
-	cmd.Flags().BoolVar(&script, "script", false, "print the script of every story")
-	cmd.Flags().StringVar(&opt.Program, "program", "", "the gateway's program; ashwood beside this one by default")
-	cmd.Flags().StringVar(&opt.Logs, "logs", "", "a folder for the gateways' logs, one folder a seed")
+	cmd.Flags().BoolVar(&script, "script", false, "print the script of every scenario")
+	cmd.Flags().StringVar(&options.Program, "program", "", "daemon to start; default: ashwood in this program's folder")
+	cmd.Flags().StringVar(&options.Logs, "logs", "", "folder for the gateways' logs, with a folder for each seed")
 	return cmd
 }
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -21,7 +21,7 @@
 	"ashwood.example/ashwood/lab/scenario"
 )
 
-func plan(t *testing.T, text string) *scenario.Plan {
+func compilePlan(t *testing.T, text string) *scenario.Plan {
 	t.Helper()
 	s, err := scenario.Parse([]byte("name = \"x\"\n" + text))
 	if err != nil {
@@ -34,49 +34,49 @@
 	return p
 }
 
-func TestDrawIsTheScenarios(t *testing.T) {
-	p := plan(t, "length_s = 600\n[load]\nrate_per_s = 30\nburst_cv = 0.2\n[[fault]]\nkind = \"burst\"\nat_s = 300\nlen_s = 60\nfactor = 2.0\n")
-	list := Draw(p)
-	if diff := cmp.Diff(list, Draw(p)); diff != "" {
-		t.Fatal("two draws differ")
+func TestDraw_RatesAndSharesOfScenario(t *testing.T) {
+	plan := compilePlan(t, "length_s = 600\n[load]\nrate_per_s = 30\nburst_cv = 0.2\n[[fault]]\nkind = \"burst\"\nat_s = 300\nlen_s = 60\nfactor = 2.0\n")
+	requests := Draw(plan)
+	if diff := cmp.Diff(requests, Draw(plan)); diff != "" {
+		t.Fatal("two draws of one plan differ")
 	}
 	usual, burst := 0, 0
 	sessions := map[string]Request{}
 	shared, chat := 0, 0
-	for _, r := range list {
+	for _, r := range requests {
 		if r.At >= 300e3 && r.At < 360e3 {
 			burst++
 		} else {
 			usual++
 		}
-		if last, ok := sessions[r.Session]; ok && (r.PromptTokens <= last.PromptTokens+last.OutTokens || r.Shared != last.Shared) {
-			t.Fatalf("a turn that does not hold the one before: %+v after %+v", r, last)
+		if last, ok := sessions[r.Session]; ok && (r.PromptTokens <= last.PromptTokens+last.OutputTokens || r.SharedPrefix != last.SharedPrefix) {
+			t.Fatalf("a turn does not contain the turn before: %+v after %+v", r, last)
 		}
 		sessions[r.Session] = r
 		if r.Class == 1 {
-			if chat++; r.Shared != "" {
+			if chat++; r.SharedPrefix != "" {
 				shared++
 			}
 		}
-		if r.PromptTokens > maxContext || r.OutTokens < 1 || r.OutTokens > r.MaxOut || r.SharedTokens >= r.PromptTokens {
+		if r.PromptTokens > maxContextTokens || r.OutputTokens < 1 || r.OutputTokens > r.MaxOut || r.SharedPrefixTokens >= r.PromptTokens {
 			t.Fatalf("%+v", r)
 		}
 	}
 	if got := float64(usual) / 540; math.Abs(got-30) > 3 {
-		t.Errorf("%.1f requests a second, 30 are wanted", got)
+		t.Errorf("%.1f requests per second, want 30", got)
 	}
 	if got := float64(burst) / 60; math.Abs(got-60) > 9 {
-		t.Errorf("%.1f in the burst, 60 are wanted", got)
+		t.Errorf("%.1f requests per second in the burst, want 60", got)
 	}
-	if got := float64(chat) / float64(len(list)); math.Abs(got-0.28) > 0.05 {
-		t.Errorf("%.2f are case-chat, 0.28 is wanted", got)
+	if got := float64(chat) / float64(len(requests)); math.Abs(got-0.28) > 0.05 {
+		t.Errorf("share of case-chat: %.2f, want 0.28", got)
 	}
 	if got := float64(shared) / float64(chat); math.Abs(got-0.8) > 0.07 {
-		t.Errorf("%.2f of case-chat share a beginning, 0.8 is wanted", got)
+		t.Errorf("share of case-chat requests with a shared prefix: %.2f, want 0.8", got)
 	}
 }
 
-func TestJudge(t *testing.T) {
+func TestGradeAnswer(t *testing.T) {
 	c := scenario.Class{AimMs: 800, AimMsPerK: 60, DeadlineMs: 4000, TokenMs: 50, Worth: 2, LateWorth: 0.2}
 	for _, tt := range []struct {
 		first, total float64
@@ -85,26 +85,26 @@
 	}{
 		{900, 900 + 99*49, InTime, 2}, {900, 900 + 99*60, Late, 0.4}, {1000, 2000, Late, 0.4}, {900, 900 + 99*110, Late, 0}, {5000, 5100, Late, 0},
 	} {
-		r := Result{Request: Request{PromptTokens: 2000, Worth: 2}, First: tt.first, Total: tt.total, Tokens: 100}
-		if judge(c, &r); r.Kind != tt.kind || r.Earned != tt.earned {
-			t.Errorf("%v, %v: %s %v, want %s %v", tt.first, tt.total, r.Kind, r.Earned, tt.kind, tt.earned)
+		r := Result{Request: Request{PromptTokens: 2000, Worth: 2}, FirstTokenMs: tt.first, TotalMs: tt.total, Tokens: 100}
+		if gradeAnswer(c, &r); r.Kind != tt.kind || r.Earned != tt.earned {
+			t.Errorf("first token %v ms, total %v ms: %s earned %v, want %s, %v", tt.first, tt.total, r.Kind, r.Earned, tt.kind, tt.earned)
 		}
 	}
 }
 
-// jumps is a clock that stands at each time that is waited for, at once.
-type jumps struct {
+// jumpClock is a clock that jumps to each time waited for as soon as a timer is set.
+type jumpClock struct {
 	mu  sync.Mutex
 	now float64
 }
 
-func (j *jumps) Now() float64 {
+func (j *jumpClock) Now() float64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.now
 }
 
-func (j *jumps) AfterFunc(ms float64, f func()) func() bool {
+func (j *jumpClock) AfterFunc(ms float64, f func()) func() bool {
 	j.mu.Lock()
 	j.now += ms
 	j.mu.Unlock()
@@ -112,62 +112,63 @@
 	return func() bool { return false }
 }
 
-// client answers from a list, or holds tries back until it is let go.
-type client struct {
-	mu    sync.Mutex
-	say   []Outcome
-	tries []Try
-	hold  chan struct{}
+// fakeClient answers with outcomes in order, then with Served. If release is set, it
+// answers only once that is closed.
+type fakeClient struct {
+	mu       sync.Mutex
+	outcomes []Outcome
+	tries    []Try
+	release  chan struct{}
 }
 
-func (c *client) Do(_ context.Context, t Try, asked func()) Outcome {
-	asked()
+func (c *fakeClient) Do(_ context.Context, t Try, sent func()) Outcome {
+	sent()
 	c.mu.Lock()
 	c.tries = append(c.tries, t)
 	out := Outcome{Answer: rules.Served}
-	if len(c.say) > 0 {
-		out, c.say = c.say[0], c.say[1:]
+	if len(c.outcomes) > 0 {
+		out, c.outcomes = c.outcomes[0], c.outcomes[1:]
 	}
 	c.mu.Unlock()
-	if c.hold != nil {
-		<-c.hold
+	if c.release != nil {
+		<-c.release
 	}
 	return out
 }
 
-func (c *client) Close() {}
+func (c *fakeClient) Close() {}
 
-// No request waits for another one's answer: all are asked while none is answered.
-func TestLoadIsOpenLoop(t *testing.T) {
-	p := plan(t, "length_s = 20\ngateways = 1\n[load]\nimpatient = 0.0\n")
-	for i := range p.Load.Classes { // the clock jumps on while a request's goroutine has yet to begin
-		p.Load.Classes[i].DeadlineMs = 1e9
+// No request waits for another one's answer: all requests are sent while none is answered.
+func TestRunner_OpenLoop(t *testing.T) {
+	plan := compilePlan(t, "length_s = 20\ngateways = 1\n[load]\nimpatient = 0.0\n")
+	for i := range plan.Load.Classes { // the clock jumps ahead before a request's goroutine starts
+		plan.Load.Classes[i].DeadlineMs = 1e9
 	}
-	list := Draw(p)
-	c := &client{hold: make(chan struct{})}
-	check := rules.New(rules.PlatformLimits())
-	r := Runner{Plan: p, Clients: []Client{c}, Clock: &jumps{}, Watch: check}
+	requests := Draw(plan)
+	blocked := &fakeClient{release: make(chan struct{})}
+	checker := rules.New(rules.PlatformLimits())
+	runner := Runner{Plan: plan, Clients: []Client{blocked}, Clock: &jumpClock{}, Observer: checker}
 	done := make(chan *Summary)
 	go func() {
-		_, s := r.Run(context.Background(), 0, list)
+		_, s := runner.Run(context.Background(), 0, requests)
 		done <- s
 	}()
-	for check.Counts().Requests < len(list) { // ends only if all are asked
+	for checker.Counts().Requests < len(requests) { // ends only if all are sent
 		select {
 		case <-done:
-			t.Fatal("it ended with tries unanswered")
+			t.Fatal("the run ended with unanswered tries")
 		default:
 			runtime.Gosched()
 		}
 	}
-	close(c.hold)
-	if s := <-done; s.Whole.Offered != len(list) {
-		t.Errorf("%d of %d", s.Whole.Offered, len(list))
+	close(blocked.release)
+	if s := <-done; s.Whole.Offered != len(requests) {
+		t.Errorf("%d of %d requests in the summary", s.Whole.Offered, len(requests))
 	}
 }
 
-func TestRetriesKeepToTheClasssEffect(t *testing.T) {
-	p := plan(t, "length_s = 10\ngateways = 1\n[load]\nretries = 2\nimpatient = 0.0\nhonour = 1.0\n")
+func TestRunner_RetriesByEffect(t *testing.T) {
+	plan := compilePlan(t, "length_s = 10\ngateways = 1\n[load]\nretries = 2\nimpatient = 0.0\nhonour = 1.0\n")
 	for _, c := range []struct {
 		class int
 		say   []Outcome
@@ -177,16 +178,16 @@
 		{0, []Outcome{{Answer: rules.Refused, RetryAfter: 100}, {Answer: rules.Refused}}, 3, InTime},
 		{0, []Outcome{{Answer: rules.Failure}}, 2, InTime}, {0, []Outcome{{Answer: rules.Refused}, {Answer: rules.Refused}, {Answer: rules.Refused}}, 3, Refused},
 		{2, []Outcome{{Answer: rules.Refused}}, 2, InTime}, {2, []Outcome{{Answer: rules.Failure}}, 1, Failed},
-		{2, []Outcome{{Answer: rules.Timeout}}, 1, Timeout}, {2, []Outcome{{}}, 2, InTime}, {0, []Outcome{{Answer: rules.Broken, First: 1}}, 1, Broken},
+		{2, []Outcome{{Answer: rules.Timeout}}, 1, Timeout}, {2, []Outcome{{}}, 2, InTime}, {0, []Outcome{{Answer: rules.Broken, FirstTokenAt: 1}}, 1, Broken},
 	} {
-		cl := &client{say: c.say}
-		r := Runner{Plan: p, Clients: []Client{cl}, Clock: &jumps{}, Watch: rules.New(rules.PlatformLimits())}
-		results, _ := r.Run(context.Background(), 0, []Request{{Class: c.class, PromptTokens: 100, Worth: 1}})
+		fake := &fakeClient{outcomes: c.say}
+		runner := Runner{Plan: plan, Clients: []Client{fake}, Clock: &jumpClock{}, Observer: rules.New(rules.PlatformLimits())}
+		results, _ := runner.Run(context.Background(), 0, []Request{{Class: c.class, PromptTokens: 100, Worth: 1}})
 		if results[0].Tries != c.tries || results[0].Kind != c.kind {
 			t.Errorf("class %d, %v: %d tries, %s; want %d, %s", c.class, c.say, results[0].Tries, results[0].Kind, c.tries, c.kind)
 		}
 		ids := map[string]bool{}
-		for i, try := range cl.tries {
+		for i, try := range fake.tries {
 			if ids[try.ID] || try.Retry != (i > 0) {
 				t.Errorf("try %d: %+v", i, try)
 			}
@@ -195,12 +196,12 @@
 	}
 }
 
-func TestHTTPClientReadsAnswers(t *testing.T) {
+func TestHTTP_AnswerOutcomes(t *testing.T) {
 	event := func(id string, from, n int) string {
 		return fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n", engine.AnswerText(id, from, n))
 	}
 	end := "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":9,\"completion_tokens\":5,\"x\":0}}\n\ndata: [DONE]\n\n"
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Txn")
 		_, _ = io.Copy(io.Discard, r.Body)
 		switch r.Header.Get("X-Entity") {
@@ -227,40 +228,40 @@
 			<-r.Context().Done()
 		}
 	}))
-	defer s.Close()
-	c := NewHTTP(strings.TrimPrefix(s.URL, "http://"), 4, clock.System())
+	defer server.Close()
+	c := NewHTTP(strings.TrimPrefix(server.URL, "http://"), 4, clock.System())
 	defer c.Close()
 	for _, tt := range []struct {
-		how    string
-		answer rules.Answer
-		tokens int
-		spoilt bool
+		name      string
+		answer    rules.Answer
+		tokens    int
+		corrupted bool
 	}{
 		{"served", rules.Served, 5, false}, {"changed", rules.Served, 5, true}, {"short", rules.Served, 1, true}, {"cut", rules.Served, 1, true},
 		{"broken", rules.Broken, 1, false}, {"refused", rules.Refused, 0, false}, {"failed", rules.Failure, 0, false}, {"dropped", rules.Dropped, 0, false},
 		{"silent", rules.Timeout, 0, false},
 	} {
 		remaining := 20000.0
-		if tt.how == "silent" {
+		if tt.name == "silent" {
 			remaining = 30
 		}
-		asked := 0
-		out := c.Do(context.Background(), Try{Request: &Request{Session: tt.how, PromptTokens: 50, SharedTokens: 20}, ID: "00112233445566aa", Remaining: remaining}, func() { asked++ })
-		if out.Answer != tt.answer || out.Tokens != tt.tokens || (out.Spoilt != "") != tt.spoilt || asked != 1 {
-			t.Errorf("%s: %+v, asked %d times", tt.how, out, asked)
+		sent := 0
+		out := c.Do(context.Background(), Try{Request: &Request{Session: tt.name, PromptTokens: 50, SharedPrefixTokens: 20}, ID: "00112233445566aa", Remaining: remaining}, func() { sent++ })
+		if out.Answer != tt.answer || out.Tokens != tt.tokens || (out.Corruption != "") != tt.corrupted || sent != 1 {
+			t.Errorf("%s: %+v, sent %d times", tt.name, out, sent)
 		}
-		if tt.how == "refused" && out.RetryAfter != 250 {
-			t.Errorf("to return after %v ms", out.RetryAfter)
+		if tt.name == "refused" && out.RetryAfter != 250 {
+			t.Errorf("retry after %v ms, want 250", out.RetryAfter)
 		}
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := l.Addr().String()
-	l.Close()
-	out := NewHTTP(addr, 1, clock.System()).Do(context.Background(), Try{Request: &Request{PromptTokens: 5}, ID: "x", Remaining: 20000}, func() { t.Error("asked of nobody") })
+	addr := listener.Addr().String()
+	listener.Close()
+	out := NewHTTP(addr, 1, clock.System()).Do(context.Background(), Try{Request: &Request{PromptTokens: 5}, ID: "x", Remaining: 20000}, func() { t.Error("the request counts as sent") })
 	if out.Answer != "" {
-		t.Errorf("no gateway there: %+v", out)
+		t.Errorf("unreachable gateway: %+v", out)
 	}
 }
--- a/lab/scenario/defaults.go
+++ b/lab/scenario/defaults.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// defaults are the middle of the operators' brief: three zones, 13 boxes, 25
-// requests a second.
+// defaults returns the values of keys that a file leaves out, in the middle of the
+// operators' ranges: three zones, 13 engines, 25 requests a second.
 func defaults() *Scenario {
 	return &Scenario{
 		Seed: 1, LengthS: 40, Gateways: 3,
-		Fleet: Fleet{Zones: []string{"cambridge", "glenorchy", "kingston"}, CellSize: 5, ReadersBegin: 0.6},
+		Fleet: Fleet{Zones: []string{"cambridge", "glenorchy", "kingston"}, CellSize: 5, InitialPrefixShare: 0.6},
 		Load: Load{
 			RatePerS: 22, BurstCV: 0.25, Retries: 1, TryShare: 0.75, Honour: 0.6, BackoffMs: 150, Impatient: 0.005, Connections: 96,
 		},
@@ -21,14 +21,15 @@
 	}
 }
 
-// Shorten changes a scenario's length. Faults that begin behind the end are left out.
+// Shorten changes a scenario's length and removes the faults that begin after its end.
 func (s *Scenario) Shorten(lengthS float64) {
 	s.LengthS = lengthS
 	s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.AtS >= lengthS })
 }
 
-// fill gives lists their defaults, which a file replaces whole.
-func (s *Scenario) fill() {
+// fillDefaults sets the lists that a file leaves out. A list in the file replaces the
+// default one as a whole.
+func (s *Scenario) fillDefaults() {
 	if len(s.Fleet.Kinds) == 0 {
 		s.Fleet.Kinds = []Kind{{Name: "prefill", Count: 6}, {Name: "decode-a", Count: 4}, {Name: "decode-b", Count: 3}}
 	}
@@ -58,46 +59,46 @@
 	}
 }
 
-// consistent reports what no schema can see.
-func (s *Scenario) consistent() error {
+// checkConsistency checks what the schema can't express: relations between keys.
+func (s *Scenario) checkConsistency() error {
 	if len(s.Load.ZoneShares) != len(s.Fleet.Zones) {
 		return fmt.Errorf("load.zone_shares: %d shares for %d zones", len(s.Load.ZoneShares), len(s.Fleet.Zones))
 	}
-	for _, v := range []struct {
-		key string
-		r   [2]float64
+	for _, setting := range []struct {
+		key    string
+		bounds [2]float64
 	}{{"notice_ms", s.Discovery.NoticeMs}, {"silent_notice_ms", s.Discovery.SilentNoticeMs}, {"add_ms", s.Discovery.AddMs}} {
-		if v.r[0] > v.r[1] {
-			return fmt.Errorf("discovery.%s: %v is above %v", v.key, v.r[0], v.r[1])
+		if setting.bounds[0] > setting.bounds[1] {
+			return fmt.Errorf("discovery.%s: minimum %v is above maximum %v", setting.key, setting.bounds[0], setting.bounds[1])
 		}
 	}
 	kinds := map[string]bool{}
 	for i, k := range s.Fleet.Kinds {
 		if kinds[k.Name] {
-			return fmt.Errorf("fleet.kind[%d].name: %q comes twice", i, k.Name)
+			return fmt.Errorf("fleet.kind[%d].name: %q is used twice", i, k.Name)
 		}
 		kinds[k.Name] = true
 	}
 	classes := map[string]bool{}
 	for i, c := range s.Load.Classes {
 		if classes[c.Name] {
-			return fmt.Errorf("load.class[%d].name: %q comes twice", i, c.Name)
+			return fmt.Errorf("load.class[%d].name: %q is used twice", i, c.Name)
 		}
 		classes[c.Name] = true
 	}
-	for i, f := range s.Faults {
-		at := func(key string) string { return fmt.Sprintf("fault[%d].%s", i, key) }
+	for i, fault := range s.Faults {
+		path := func(key string) string { return fmt.Sprintf("fault[%d].%s", i, key) }
 		switch {
-		case f.OfKind != "" && !kinds[f.OfKind]:
-			return fmt.Errorf("%s: unknown kind %q", at("of_kind"), f.OfKind)
-		case f.OfZone != "" && !slices.Contains(s.Fleet.Zones, f.OfZone):
-			return fmt.Errorf("%s: unknown zone %q", at("of_zone"), f.OfZone)
-		case f.AtS >= s.LengthS:
-			return fmt.Errorf("%s: %v s lies behind the end at %v s", at("at_s"), f.AtS, s.LengthS)
-		case f.Gateway != nil && *f.Gateway >= s.Gateways:
-			return fmt.Errorf("%s: there are %d gateways", at("gateway"), s.Gateways)
-		case len(f.Boxes) > 0 && f.Share > 0:
-			return fmt.Errorf("%s: boxes are named already", at("share"))
+		case fault.OfKind != "" && !kinds[fault.OfKind]:
+			return fmt.Errorf("%s: unknown kind %q", path("of_kind"), fault.OfKind)
+		case fault.OfZone != "" && !slices.Contains(s.Fleet.Zones, fault.OfZone):
+			return fmt.Errorf("%s: unknown zone %q", path("of_zone"), fault.OfZone)
+		case fault.AtS >= s.LengthS:
+			return fmt.Errorf("%s: %v s is not before the end at %v s", path("at_s"), fault.AtS, s.LengthS)
+		case fault.Gateway != nil && *fault.Gateway >= s.Gateways:
+			return fmt.Errorf("%s: there are only %d gateways, numbered from 0", path("gateway"), s.Gateways)
+		case len(fault.Engines) > 0 && fault.Share > 0:
+			return fmt.Errorf("%s: not allowed together with boxes", path("share"))
 		}
 	}
 	return nil
