--- a/admission_test.go
+++ b/admission_test.go
@@ -148,7 +148,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			settings := testSettings()
-			settings.Kinds = []Kind{{"prefill", RoleRead, tt.read}, {"decode", RoleWrite, tt.write}}
+			settings.Kinds = []Kind{{"prefill", RolePrefill, tt.read}, {"decode", RoleDecode, tt.write}}
 			gateway := newGateway(t, settings, prefillServer("r1"), decodeServer("w1", 0))
 			gateway.handle(Request{ID: "a", Class: "chat", Session: 1, PromptTokens: tt.prompt, TimeLeft: 5 * time.Second})
 			if !tt.wantsRefusal {
--- a/choose.go
+++ b/choose.go
@@ -9,17 +9,19 @@
 	"ashwood.example/ashwood/internal/trend"
 )
 
-// eligibleServers returns the servers of a stage that a request may use. The first of these groups
-// that is not empty is returned: a server whose trial after an ejection is due; decode servers in
+// eligibleServers returns the servers of a stage that a request may use: the first of these groups
+// that is not empty. One ejected server that is ready for its trial; with many nodes, decode servers in
 // slow start that may get a send (prefill servers in slow start are chosen by their prefix cache);
-// healthy servers; all others.
+// healthy servers without a known obstacle (a rejection of the same kind, an unreachable zone); all
+// others.
 func (s *Scheduler) eligibleServers(
 	request *trackedRequest, roleMatches func(Role) bool) (preferred []*trackedServer) {
 	var rest, slowStart []*trackedServer
 	for _, server := range s.sortedServers {
 		switch path := server.zonePath; {
 		case !roleMatches(server.role) || !s.usable(request, server):
-		case s.healthy(server) && s.settings.Nodes > manyNodes && s.inSlowStart(server) && server.role != RoleRead:
+		case s.healthy(server) && s.settings.Nodes > manyNodes && s.inSlowStart(server) &&
+			server.role != RolePrefill:
 			slowStart = append(slowStart, server)
 		case s.healthy(server) && s.now >= server.rejectsUntil[request.throttleKey()] &&
 			!(request.stayInZone && server.Zone != s.settings.Zone):
@@ -68,12 +70,12 @@
 	return answering
 }
 
-// withDecodeMemoryInCell returns the prefill servers of a pool whose cell has decode servers with
-// free memory near to the best anywhere, or all if there are none. It applies while transfers of KV
-// state between cells are slow: those of a cell share its one link, which becomes congested when the
-// cell's decode servers are gone or full.
+// withDecodeMemoryInCell returns the prefill servers of a pool whose cell has enough free decode
+// memory, or all of them if there are none or transfers of KV state between cells are fast. All
+// transfers of a cell share its one link, which becomes congested when the cell's decode servers are
+// gone or full.
 func (s *Scheduler) withDecodeMemoryInCell(request *trackedRequest, pool []*trackedServer) []*trackedServer {
-	hasMemory := s.cellsWithMemory(request, func(role Role) bool { return role == RoleWrite })
+	hasMemory := s.cellsWithMemory(request, func(role Role) bool { return role == RoleDecode })
 	local := slices.DeleteFunc(slices.Clone(pool), func(server *trackedServer) bool {
 		return !hasMemory(server)
 	})
@@ -83,11 +85,11 @@
 	return local
 }
 
-// cellsWithMemory returns a function that tells whether servers of some roles in a server's cell
-// have free memory near to the best anywhere.
+// cellsWithMemory returns a function that tells whether some server of the given roles in a server's
+// cell has at least minNearMemory of the most free memory anywhere.
 func (s *Scheduler) cellsWithMemory(
 	request *trackedRequest, roleMatches func(Role) bool) func(*trackedServer) bool {
-	free, most, mostInCell := s.freeMemory(RoleWrite), 0.0, map[int]float64{}
+	free, most, mostInCell := s.freeMemory(RoleDecode), 0.0, map[int]float64{}
 	for _, decode := range s.sortedServers {
 		if roleMatches(decode.role) && s.healthy(decode) && s.usable(request, decode) {
 			mostInCell[decode.Cell] = max(mostInCell[decode.Cell], free(decode))
@@ -97,9 +99,9 @@
 	return func(server *trackedServer) bool { return mostInCell[server.Cell] >= most*minNearMemory }
 }
 
-// detourCost returns a function for the cost of a prefill server's location, as the number of
-// unfinished prefills behind which a request rather waits. Another zone costs a network crossing.
-// A cell without free decode memory costs a transfer of the KV state to another cell.
+// detourCost returns a function for the cost of a prefill server's location. The unit is unfinished
+// prefills: waiting for that many at a server without the cost is as good. Another zone costs a network
+// crossing, and a cell without free decode memory a transfer of the KV state to another cell.
 func (s *Scheduler) detourCost(request *trackedRequest) func(*trackedServer) float64 {
 	prefillTime := s.stageLatency[stagePrefill].Mean
 	if prefillTime <= 0 {
@@ -118,9 +120,9 @@
 }
 
 // loadEstimate returns a function that estimates a server's unfinished prefills from all nodes, and
-// by how much chance may falsify it. With few nodes, own counts are scaled to the fleet; a recent
-// report counts if it is higher. With many nodes, own counts are mostly chance, so reports are used,
-// and the mean of all reports the more the older a server's report is.
+// how far chance may put the estimate off. With few nodes, own counts are scaled to the fleet, and a
+// recent report counts if it is higher. With many nodes, own counts are mostly chance, so reports are
+// used; the older a server's report, the more the mean of all reports counts instead.
 func (s *Scheduler) loadEstimate(role Role) (load func(*trackedServer) float64, chance float64) {
 	meanOwn, _ := s.meanOver(role, func(server *trackedServer) (float64, bool) {
 		return float64(server.pendingPrefills), true
@@ -216,7 +218,7 @@
 
 // preferSlowStart replaces a choice by a server in slow start that has just reported its load and
 // would finish earlier. A cached prefix is worth only the tokens that need no prefill. Servers
-// outside slow start don't replace a choice for being idle: one that fails at once is idle too.
+// outside slow start don't replace a choice because they are idle: one that fails at once is idle too.
 func (s *Scheduler) preferSlowStart(
 	choice *trackedServer, pool []*trackedServer, work func(*trackedServer) float64) *trackedServer {
 	least := work(choice) * max(s.settings.Rules.SlowStartCapacity, minSlowStartSpeed)
@@ -229,7 +231,7 @@
 }
 
 // probeCandidates returns the prefill servers to probe before a choice: the affinity targets, and a
-// random one in slow start, to which few prompts would lead otherwise.
+// random one in slow start, which few choices would consider otherwise.
 func (s *Scheduler) probeCandidates(request *trackedRequest, pool []*trackedServer) []*trackedServer {
 	candidates := s.affinityTargets(request, pool)
 	for _, i := range s.rng.Perm(len(pool)) {
@@ -343,7 +345,7 @@
 // instead, mixed with the fleet's since some cells have too few servers. Without reports, own
 // requests are scaled to the fleet.
 func (s *Scheduler) freeMemory(role Role) func(*trackedServer) float64 {
-	usedShare := func(server *trackedServer) (float64, bool) { // in use, and waited for
+	usedShare := func(server *trackedServer) (float64, bool) { // in use, or needed by queued requests
 		memory, ok := server.report[ReportMemory]
 		return memory + server.report[ReportQueue]*s.meanPromptTokens/max(server.memoryTokens, 1), ok
 	}
--- a/example_test.go
+++ b/example_test.go
@@ -11,7 +11,7 @@
 func Example() {
 	scheduler, err := ashwood.New(ashwood.Settings{
 		Nodes:   1,
-		Kinds:   []ashwood.Kind{{Name: "prefill", Role: ashwood.RoleRead}, {Name: "decode", Role: ashwood.RoleWrite}},
+		Kinds:   []ashwood.Kind{{Name: "prefill", Role: ashwood.RolePrefill}, {Name: "decode", Role: ashwood.RoleDecode}},
 		Classes: []ashwood.Class{{Name: "chat", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: ashwood.Pure}},
 	}, 1)
 	if err != nil {
--- a/examples/fiber/main.go
+++ b/examples/fiber/main.go
@@ -18,7 +18,7 @@
 
 func main() {
 	r, err := router.New(router.Config{Settings: ashwood.Settings{
-		Kinds: []ashwood.Kind{{Name: "prefill", Role: ashwood.RoleRead}, {Name: "decode", Role: ashwood.RoleWrite}},
+		Kinds: []ashwood.Kind{{Name: "prefill", Role: ashwood.RolePrefill}, {Name: "decode", Role: ashwood.RoleDecode}},
 		Classes: []ashwood.Class{{
 			Name: "case-chat", Aim: 3 * time.Second, Deadline: 15 * time.Second, Worth: 2, Effect: ashwood.Pure,
 		}},
--- a/facade.go
+++ b/facade.go
@@ -58,7 +58,7 @@
 	Attempt       int
 	Engine        Server
 	Prefill       bool            // Engine is a prefill engine: its answer is that it holds KV state
-	NonRepeatable bool            // the attempt may have an effect: once written, it must not be sent again
+	NonIdempotent bool            // the attempt may have an effect: once written, it must not be sent again
 	Timeout       float64         // ms to wait for the first token
 	SendBefore    float64         // clock time in ms from which it must not be written: engines drop repeats until then; 0 = no limit
 	Context       context.Context // ends when the attempt is cancelled or the client leaves
@@ -157,7 +157,7 @@
 	return listed, avoided
 }
 
-// RetryAfter returns the ms after which a refused client is told to try again; 0 = no advice.
+// RetryAfter returns the ms after which a refused client should try again; 0 = no advice.
 func (r *Router) RetryAfter() float64 { return millis(r.scheduler.settings.Limits.MaxRetryAfter) }
 
 // Pick admits a request and waits for its first step. The end of ctx means that the client
--- a/fairness_test.go
+++ b/fairness_test.go
@@ -77,7 +77,7 @@
 // runAttempt simulates an attempt and schedules its outcome.
 func (s *fleetSimulation) runAttempt(gateway *testGateway, a Send, number int) {
 	request := gateway.scheduler.requests[a.ID]
-	if gateway.scheduler.servers[a.Server].role != RoleRead {
+	if gateway.scheduler.servers[a.Server].role != RolePrefill {
 		s.after(5*ms, func() {
 			s.deliver(gateway, Outcome{ID: a.ID, Attempt: number, Server: a.Server, Status: StatusServed, RequestDone: true, Latency: 5 * ms})
 		})
--- a/flight.go
+++ b/flight.go
@@ -125,13 +125,13 @@
 	ctx, cancel := context.WithCancel(flight.ctx)
 	server := r.scheduler.servers[send.Server]
 	request := r.scheduler.requests[send.ID]
-	nonRepeatable, sendBefore := server.role != RoleRead && request.class.Effect == SideEffect, 0.0
-	if server.role != RoleRead && request.class.Effect == TokenEffect && request.firstRun != nil {
+	nonIdempotent, sendBefore := server.role != RolePrefill && request.class.Effect == SideEffect, 0.0
+	if server.role != RolePrefill && request.class.Effect == TokenEffect && request.firstRun != nil {
 		sendBefore = millis(request.firstRun.sentAt + request.class.Window)
 	}
 	flight.nextStep = Step{
-		Kind: StepSend, Attempt: len(flight.sentAt), Engine: server.Server, Prefill: server.role == RoleRead,
-		NonRepeatable: nonRepeatable, SendBefore: sendBefore, Timeout: millis(send.Timeout), Context: ctx,
+		Kind: StepSend, Attempt: len(flight.sentAt), Engine: server.Server, Prefill: server.role == RolePrefill,
+		NonIdempotent: nonIdempotent, SendBefore: sendBefore, Timeout: millis(send.Timeout), Context: ctx,
 	}
 	flight.sentAt, flight.cancels, flight.inFlight =
 		append(flight.sentAt, r.clock.Now()), append(flight.cancels, cancel), flight.inFlight+1
--- a/gateway/arrival.go
+++ b/gateway/arrival.go
@@ -92,9 +92,9 @@
 	h.restartDeadline(answered)
 }
 
-// attemptTurnedAway records that the engine has answered the last written attempt without accepting it. Releases
+// attemptRejected records that the engine has answered the last written attempt without accepting it. Releases
 // that were pending before stay pending.
-func (h *requestHolds) attemptTurnedAway() {
+func (h *requestHolds) attemptRejected() {
 	h.pauseReleases(false)
 	h.restartDeadline(true)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -199,7 +199,7 @@
 	attemptCtx, cancel := context.WithCancelCause(step.Context)
 	stop := g.clock.AfterFunc(step.Timeout, func() { cancel(ErrFirstTokenTimeout) })
 	result := g.transport.Send(attemptCtx, Attempt{
-		Request: request, Engine: step.Engine, Prefill: step.Prefill, NonIdempotent: step.NonRepeatable, Remaining: step.Timeout,
+		Request: request, Engine: step.Engine, Prefill: step.Prefill, NonIdempotent: step.NonIdempotent, Remaining: step.Timeout,
 		MayWrite: func() bool {
 			late := step.SendBefore > 0 && g.clock.Now() >= step.SendBefore
 			if late || attemptCtx.Err() != nil || !g.router.Accepts(step.Engine.ID) {
@@ -241,7 +241,7 @@
 	case ashwood.StatusConnectFailed, ashwood.StatusNotSent:
 		holds.pauseReleases(false)
 	case ashwood.StatusRejected, ashwood.StatusServerError:
-		holds.attemptTurnedAway()
+		holds.attemptRejected()
 	default:
 		holds.attemptEnded(showsEngineRuns(result.Status))
 	}
--- a/gateway/peer_test.go
+++ b/gateway/peer_test.go
@@ -190,7 +190,7 @@
 	}
 	g, err := New(ashwood.Settings{
 		Nodes: max(fake.gatewayCount, 1), Reservations: true, Reports: ashwood.ReportInline,
-		Kinds: []ashwood.Kind{{Name: "r", Role: ashwood.RoleRead, MemoryTokens: 1e5}, {Name: "w", Role: ashwood.RoleWrite, MemoryTokens: 1e5}},
+		Kinds: []ashwood.Kind{{Name: "r", Role: ashwood.RolePrefill, MemoryTokens: 1e5}, {Name: "w", Role: ashwood.RoleDecode, MemoryTokens: 1e5}},
 		Classes: []ashwood.Class{class("chat", ashwood.Pure), class("order", ashwood.SideEffect), {
 			Name: "quote", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: ashwood.TokenEffect, Group: ashwood.ScopeAll, Window: time.Second}},
 		Limits: ashwood.Limits{MaxAttempts: 6, Cancel: true, Probes: fake.gatewayCount > 1, RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond},
--- a/gateway/types.go
+++ b/gateway/types.go
@@ -131,16 +131,16 @@
 	OnSent        func()      // called right after the last byte has been written
 }
 
-// AttemptResult is the outcome of an attempt. If Status is Served, Stream has received its first piece.
+// AttemptResult is the outcome of an attempt. If Status is StatusServed, Stream has received its first piece.
 type AttemptResult struct {
 	ashwood.Result
 	Stream Stream
 	Err    error // reported by the engine or the network, for the front and the log
 }
 
-// Transport makes calls to engines. It never retries a call by
-// itself. Its statuses are NotSent and NoConnection (the last byte was not
-// written), TurnedAway, Parsed, Served, ServerError and ConnectionLost.
+// Transport makes calls to engines. It never retries a call by itself. The statuses that it returns are
+// StatusNotSent and StatusConnectFailed (the last byte was not written), StatusRejected, StatusPrefilled,
+// StatusServed, StatusServerError and StatusConnectionLost.
 type Transport interface {
 	// Send makes an attempt and returns at its first piece or its end. When ctx
 	// ends, it cancels the attempt at once. It then waits a few ms at most until the engine
--- a/harness_test.go
+++ b/harness_test.go
@@ -10,7 +10,7 @@
 func testSettings() Settings {
 	return Settings{
 		Nodes: 1, Zone: "a", Reservations: true, Reports: ReportInline,
-		Kinds: []Kind{{"prefill", RoleRead, 100000}, {"decode", RoleWrite, 100000}, {"mixed", RoleMixed, 100000}},
+		Kinds: []Kind{{"prefill", RolePrefill, 100000}, {"decode", RoleDecode, 100000}, {"mixed", RoleMixed, 100000}},
 		Classes: []Class{
 			{Name: "chat", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: Pure},
 			{Name: "order", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: TokenEffect,
--- a/health.go
+++ b/health.go
@@ -7,7 +7,7 @@
 )
 
 // updateHealth records the result of an attempt for a server and for the network path to its zone,
-// and ejects outliers. A server is compared with its peers, so that trouble that all of them share
+// and ejects outliers. A server is compared with its peers, so that a problem which all of them share
 // ejects none. A zone in which every server fails is ejected as a whole.
 func (s *Scheduler) updateHealth(server *trackedServer, request *trackedRequest, ok bool) {
 	server.addSample(ok)
@@ -51,8 +51,9 @@
 	}
 }
 
-// updateEjection ejects on bad and returns whether the server or path is in rotation. After an
-// ejection, a single trial request decides about its return; the backoff doubles with each failed trial.
+// updateEjection ejects the server or path if bad is set, and returns whether it is in rotation. After
+// an ejection, a single trial request decides about its return; the backoff doubles with each failed
+// trial.
 func (h *health) updateEjection(now time.Duration, id RequestID, ok, bad bool) bool {
 	switch {
 	case h.ejected && h.trialRequest != id:
@@ -79,7 +80,7 @@
 	meanInFlight, reporting := s.meanOver(server.role, func(peer *trackedServer) (float64, bool) {
 		return peer.report[ReportInFlight], peer != server && len(peer.report) > 0
 	})
-	return s.settings.Nodes > manyNodes && server.role == RoleRead && reporting > 0 &&
+	return s.settings.Nodes > manyNodes && server.role == RolePrefill && reporting > 0 &&
 		server.report[ReportInFlight]-meanInFlight > maxLoadGap
 }
 
@@ -107,8 +108,9 @@
 }
 
 // slowStartAllows enforces rule 4: this node's part of the slow-start budget of a server, which
-// follows from what warm servers finish. A part of less than one request per window is one request in
-// so many windows, the first at a random time, so that the sum over all nodes stays in the budget.
+// follows from what warm servers finish. If that part is less than one request per window, it is one
+// request per several windows, the first at a random time, so that the sum over all nodes stays within
+// the budget.
 // With many nodes, creditSlowStart and creditChanceAllowance hand out the budget instead.
 func (s *Scheduler) slowStartAllows(server *trackedServer, request *trackedRequest) bool {
 	if !s.inSlowStart(server) || s.settings.Rules.SlowStartMultiple == 0 {
@@ -123,10 +125,10 @@
 	})
 	budget, nodes := warmRate*rules.SlowStartWindow.Seconds()*rules.SlowStartMultiple*
 		rules.SlowStartCapacity, float64(s.settings.Nodes)
-	// The sends of all nodes may by chance fall into one window: room for three standard deviations.
+	// The sends of all nodes may by chance fall into one window: leave room for three standard deviations.
 	fleetSends := max(budget*nodes/cost, 1)
 	share := min(slowStartMargin, 1-s.unseenShare+math.Pow(math.Sqrt(9+4*fleetSends)-3, 2)/4/fleetSends)
-	// The least budget is one request, which more than two nodes share.
+	// The budget is at least one request. More than two nodes share it.
 	budget = max(budget*share, cost*max(1/nodes, math.Pow(1-s.unseenShare, 2))) / s.processes
 	span := time.Duration(float64(rules.SlowStartWindow) * max(1, cost/budget))
 	sent := cost + server.slowStartSends.Within(s.now, span)
@@ -135,9 +137,9 @@
 }
 
 // creditSlowStart adds to the slow-start credit of servers when a warm peer has finished a request,
-// for fleets of many nodes. What warm servers finish is the least that a server can do, and the
-// settings allow a part of it in slow start. Every node gives the credit that its own requests earn,
-// so that the sum over all nodes is that part.
+// for fleets of many nodes. What a warm server finishes is a lower bound of what a server can do, and
+// the settings allow a part of it in slow start. Each node credits only what its own requests earn, so
+// that the sum over all nodes is that part.
 func (s *Scheduler) creditSlowStart(finished *trackedServer) {
 	for _, server := range s.sortedServers {
 		if server.role == finished.role && s.inSlowStart(server) && !s.inSlowStart(finished) {
@@ -157,19 +159,20 @@
 
 // creditChanceAllowance adds to the slow-start credit a part of the allowance for chance: beyond a
 // budget of n sends, rule 4 tolerates 3*sqrt(n)+3 more in a window. Half of it is handed out here, the
-// other half is left for chance. The square roots of the nodes' parts add up to no more than the
-// root of their sum. It is for prefill servers, which leave much of their credit unused, since only
-// prompts whose prefix hashes to them go there, and for roles that have no warm server left.
+// other half is left for chance. Each node estimates n from its own traffic; the mean of the square
+// roots of these estimates is at most the root of their mean, so the sum over all nodes stays within
+// the half. The credit is for prefill servers, which leave much of theirs unused, since only prompts
+// whose prefix hashes to them go there, and for roles that have no warm server left.
 func (s *Scheduler) creditChanceAllowance() {
 	rules := s.settings.Rules
-	_, prefillServers := s.meanOver(RoleRead, func(*trackedServer) (float64, bool) { return 0, true })
+	_, prefillServers := s.meanOver(RolePrefill, func(*trackedServer) (float64, bool) { return 0, true })
 	requestRate := s.arrivingTokens.Add(s.now, time.Second, 0) /
 		max(s.meanPromptTokens, 1) * float64(s.settings.Nodes)
 	sends := rules.SlowStartMultiple * rules.SlowStartCapacity *
 		requestRate * rules.SlowStartWindow.Seconds() / max(prefillServers, 1)
 	for _, server := range s.sortedServers {
 		windows := float64(server.slowStartCredit.Elapsed(s.now)) / float64(rules.SlowStartWindow)
-		if s.inSlowStart(server) && (server.role == RoleRead || s.countWarm(server.role) == 0) {
+		if s.inSlowStart(server) && (server.role == RolePrefill || s.countWarm(server.role) == 0) {
 			server.slowStartCredit.Earn(windows * chanceAllowance * (math.Sqrt(sends) + 1) /
 				float64(s.settings.Nodes) / s.processes)
 		}
--- a/internal/grpcfront/harness_test.go
+++ b/internal/grpcfront/harness_test.go
@@ -158,7 +158,7 @@
 	return ashwood.Settings{
 		Nodes: 1, Reservations: true, Reports: ashwood.ReportInline,
 		Kinds: []ashwood.Kind{
-			{Name: "prefill", Role: ashwood.RoleRead, MemoryTokens: 1e5}, {Name: "decode", Role: ashwood.RoleWrite, MemoryTokens: 1e5}},
+			{Name: "prefill", Role: ashwood.RolePrefill, MemoryTokens: 1e5}, {Name: "decode", Role: ashwood.RoleDecode, MemoryTokens: 1e5}},
 		Classes: []ashwood.Class{class("case-chat", ashwood.Pure), class("send-order", ashwood.SideEffect)},
 		Limits:  ashwood.Limits{MaxAttempts: 6, Cancel: true, RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, ConnectTimeout: 2 * time.Second},
 	}
--- a/internal/platform/ahead.go
+++ b/internal/platform/ahead.go
@@ -93,7 +93,7 @@
 	c.mu.Lock()
 	pipelined := len(c.readAhead)
 	c.mu.Unlock()
-	c.owesPipelinedAnswer.Store(pipelined > 0 || c.parsedLengthKnown && c.bytesRead > c.bytesParsed)
+	c.pipelinedUnanswered.Store(pipelined > 0 || c.parsedLengthKnown && c.bytesRead > c.bytesParsed)
 }
 
 // isPipelined reports whether at least part of the request that has just been read arrived before the
@@ -114,7 +114,7 @@
 
 // refusePipelined refuses a pipelined request that will not be read any more.
 func (c *clientConn) refusePipelined() {
-	if c.owesPipelinedAnswer.Swap(false) {
+	if c.pipelinedUnanswered.Swap(false) {
 		// On an error the client has left, or sees the end of the connection.
 		_, _ = c.Write(pipelinedRefusal)
 	}
--- a/internal/platform/conn.go
+++ b/internal/platform/conn.go
@@ -49,7 +49,7 @@
 	closed            bool
 	queueDrained      chan struct{}             // closed once the accept queue is empty at the end; nil = not requested
 	queueDrainStart   time.Time                 // when the current wait for the accept queue began
-	handshakesDropped bool                      // the kernel was told to drop new handshakes
+	handshakesDropped bool                      // the kernel has been made to drop new handshakes
 	closingIdle       bool                      // connections without a request are closed at once
 	stopOnce          sync.Once                 // guards stopAccepting
 	readLimit         atomic.Pointer[time.Time] // no request is read for longer than this; nil = no bound
@@ -276,7 +276,7 @@
 	firstRequestDeadline time.Time    // the first request must be complete by then
 	requestStarted       atomic.Bool  // bytes of a request have been read
 	answerStarted        atomic.Bool  // bytes of an answer have been written
-	owesPipelinedAnswer  atomic.Bool  // a pipelined request would need an answer if the connection closed now
+	pipelinedUnanswered  atomic.Bool  // a pipelined request would need an answer if the connection closed now
 
 	// Managed by the listener:
 	waitingElement *list.Element // in listener.waiting; nil while a request is open
@@ -339,7 +339,7 @@
 // awaitNextRequest records that the next request is being read: the previous answer has been written.
 func (c *clientConn) awaitNextRequest() {
 	c.answerEnded = false
-	c.owesPipelinedAnswer.Store(false)
+	c.pipelinedUnanswered.Store(false)
 	c.mu.Lock()
 	c.requestStarted.Store(len(c.readAhead) > 0)
 	c.mu.Unlock()
--- a/internal/platform/engines.go
+++ b/internal/platform/engines.go
@@ -76,7 +76,7 @@
 
 // Log sets the logger that records each new connection at level debug. It must be
 // called before the first request.
-func (e *Engines) Log(log *slog.Logger) { e.pool.log = log }
+func (e *Engines) SetLogger(log *slog.Logger) { e.pool.log = log }
 
 // SetProcesses sets the number of processes among which the connection limit is divided.
 func (e *Engines) SetProcesses(processes int) { e.pool.setProcesses(processes) }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -108,7 +108,7 @@
 	return ashwood.Settings{
 		Nodes: 1, Reservations: true, Reports: ashwood.ReportInline,
 		Kinds: []ashwood.Kind{
-			{Name: "reader", Role: ashwood.RoleRead, MemoryTokens: 1e5}, {Name: "writer", Role: ashwood.RoleWrite, MemoryTokens: 1e5}},
+			{Name: "reader", Role: ashwood.RolePrefill, MemoryTokens: 1e5}, {Name: "writer", Role: ashwood.RoleDecode, MemoryTokens: 1e5}},
 		Classes: []ashwood.Class{class("chat", ashwood.Pure), class("order", ashwood.SideEffect)},
 		Limits:  ashwood.Limits{MaxAttempts: 6, Cancel: true, RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, ConnectTimeout: 2 * time.Second},
 	}
@@ -187,7 +187,7 @@
 }
 
 // A side-effect request is sent again only on proof that it has not run, and only then is the client
-// told to retry.
+// asked to retry.
 func TestSideEffect_FirstAttemptOutcomes(t *testing.T) {
 	tests := []struct {
 		name, first string
@@ -221,7 +221,7 @@
 	}
 }
 
-// A refused request's client is told when to retry.
+// The answer to a refused request says when to retry.
 func TestRefusal_RetryAfter(t *testing.T) {
 	c := startAndDial(t)
 	r, body, err := roundTrip(t, c, strings.Replace(requestText("order", "", "{}"), "15.000", "0.100", 1))
--- a/internal/trend/trend.go
+++ b/internal/trend/trend.go
@@ -63,7 +63,7 @@
 // FleetTotal estimates the sum over all nodes of a quantity at one server. own is this
 // node's value there, mean the mean of its values over the servers, and each the value of
 // one request. The other nodes are assumed to be at the mean, and to share this node's
-// deviation from it only as far as the mean rests on more than about one request per
+// deviation from it only as far as the mean is based on more than about one request per
 // server: with many nodes, one request in flight is chance.
 func FleetTotal(nodes int, own, mean, each float64) float64 {
 	shrinkage := max(1-2/float64(nodes), 0)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -65,7 +65,7 @@
 }
 
 var (
-	roles   = map[string]ashwood.Role{"read": ashwood.RoleRead, "write": ashwood.RoleWrite, "both": ashwood.RoleMixed}
+	roles   = map[string]ashwood.Role{"read": ashwood.RolePrefill, "write": ashwood.RoleDecode, "both": ashwood.RoleMixed}
 	effects = map[string]ashwood.Effect{
 		"pure": ashwood.Pure, "token": ashwood.TokenEffect, "side_effect": ashwood.SideEffect,
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -80,7 +80,7 @@
 	want := &Start{Seed: 5, Settings: ashwood.Settings{
 		Node: 1, Nodes: 2, Zone: "a", OverShareWorth: 0.1, WorthByWork: true, Subscribe: true,
 		Reports: ashwood.ReportProbe, ReportFields: []string{"x0"}, Reservations: true, DecodeCanPrefill: true, Resume: true,
-		Kinds: []ashwood.Kind{{Name: "r", Role: ashwood.RoleRead, MemoryTokens: 10},
+		Kinds: []ashwood.Kind{{Name: "r", Role: ashwood.RolePrefill, MemoryTokens: 10},
 			{Name: "w", Role: ashwood.RoleMixed, MemoryTokens: 20}},
 		Classes: []ashwood.Class{{Name: "c", Aim: time.Second, Deadline: 5 * time.Second, Worth: 2, LateShare: 0.3,
 			Effect: ashwood.TokenEffect, Group: ashwood.ScopeZone, Window: 4 * time.Second, TokenAim: 50 * millisecond,
--- a/membership.go
+++ b/membership.go
@@ -29,7 +29,8 @@
 }
 
 // resetServer drops what was known about a server that has restarted: its health, its load and its
-// prefix cache. It draws this node's turn among the nodes that share the slow-start budget.
+// prefix cache. It draws a new slowStartPhase, by which the nodes that share the
+// slow-start budget stagger their sends.
 func (s *Scheduler) resetServer(server *trackedServer) {
 	server.health, server.latencyRatio, server.pausedUntil, server.report, server.warmThroughput =
 		health{}, 1, 0, nil, trend.Rate{}
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -19,7 +19,7 @@
 
 func testSettings() ashwood.Settings {
 	return ashwood.Settings{
-		Kinds:   []ashwood.Kind{{Name: "r", Role: ashwood.RoleRead}, {Name: "w", Role: ashwood.RoleWrite}},
+		Kinds:   []ashwood.Kind{{Name: "r", Role: ashwood.RolePrefill}, {Name: "w", Role: ashwood.RoleDecode}},
 		Classes: []ashwood.Class{{Name: "chat", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: ashwood.Pure}},
 	}
 }
--- a/outcomes.go
+++ b/outcomes.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// handleReservationResult asks one other decode server if a reservation was refused.
+// handleReservationResult records whether a reservation is held. After a first refusal it asks one
+// other decode server.
 func (s *Scheduler) handleReservationResult(e ReservationResult) {
 	request := s.requests[e.ID]
 	if request == nil || request.done || request.reservation == nil || request.reservation.ID != e.Server {
@@ -35,13 +36,14 @@
 	attempt.server.queuedTokens -= attempt.workTokens
 }
 
-// answerStalled tells whether a started answer that has been silent since silentSince will not go on.
-// It has stalled if the server has started to answer a later attempt since: an answer that was
-// preempted for want of memory would have come before that one in the queue. It has also stalled if
-// the server reports an empty queue, for at a server that hangs the work of all nodes queues up, and if
-// the silence is suspicious: other answers of the server have gone on, or, with many nodes, which
-// seldom have other answers there, the answer has brought only one event. The result probe asks for a
-// probe of the server to get that report.
+// answerStalled tells whether a started answer that has been silent since silentSince is taken to have
+// stalled. There are two cases. First, the server has since started to answer a later attempt: an
+// answer that was preempted for want of memory would have continued before that one started. Second,
+// the silence is suspicious and the server reports an empty queue: at a hung server, the work of all
+// nodes would queue up. A silence is suspicious if other answers of the server have continued since.
+// With many nodes, which seldom have other answers there, it is also suspicious if the answer has
+// brought only one event. If the result probe is true, the caller should probe the server to get that
+// report.
 func (s *Scheduler) answerStalled(
 	request *trackedRequest, index int, server *trackedServer,
 	silentSince, othersProgressAt time.Duration, oneEvent bool) (stalled, probe bool) {
@@ -155,8 +157,8 @@
 	}
 }
 
-// pauseSends stops sends to a full or dead server for a time that doubles until it takes a
-// request. Such a server rejects at once, and attempts would be wasted on it.
+// pauseSends stops sends to a full or dead server for a time that doubles until the server takes a
+// request again. Such a server rejects at once, and attempts would be wasted on it.
 func (s *Scheduler) pauseSends(server *trackedServer) {
 	if s.now < server.pausedUntil { // sent before the pause: a burst of rejections counts as one
 		return
@@ -189,18 +191,18 @@
 	}
 }
 
-// handleOverdue checks an attempt that has been in flight far longer than its peers take. A server
-// that has made progress since the send is busy, and cancelling would lose a position in its queue. A
-// server without any progress gets a failure sample, and later the attempt is cancelled if another one
-// may follow. With many nodes there is little own work at a server, so silence is no evidence until
-// most of the class's aim has passed. A server that has started to answer a later attempt has not
-// received this one: its connection is dead.
+// handleOverdue checks an attempt that has been in flight far longer than expected. A server that has
+// made progress since the send is busy, and cancelling would lose a position in its queue. A server
+// without any progress gets a failure sample, and later the attempt is cancelled if another one may
+// follow. With many nodes, a server has little work from each, so its silence proves nothing until most
+// of the class's aim has passed. If the server has started to answer a later attempt, it has not
+// received this one: the connection is dead.
 func (s *Scheduler) handleOverdue(request *trackedRequest, index int) {
 	attempt, limit := request.attempts[index], s.overdueAfter(request, request.attempts[index])
 	waited := s.now - attempt.sentAt
 	switch s.setTimer(max(limit-waited, limit/2), pendingTimer{requestID: request.ID, purpose: index}); {
 	case waited < limit: // the expected latency has risen since the timer was set
-	case attempt.overtaken() && (!attempt.decodes || waited >= 2*limit): // small KV states overtake at decode
+	case attempt.overtaken() && (!attempt.decodes || waited >= 2*limit): // small KV states overtake large ones
 		s.cancelForRetry(request, index)
 	case attempt.server.lastProgressAt > attempt.sentAt || s.sharedSlowness(attempt.server):
 		if attempt.decodes && !attempt.overtaken() { // the wait so far is a lower bound of the latency
@@ -214,9 +216,9 @@
 	}
 }
 
-// sharedSlowness tells whether a server's silence is less than ejectLatencyRatio times the median of
-// its peers that have work of this node. Leaving the server would then only restart elsewhere what is
-// slow everywhere.
+// sharedSlowness tells whether a server's silence is less than ejectLatencyRatio times the median
+// silence of its peers that have work from this node. Another server would then be just as slow, and
+// the work done so far would be lost.
 func (s *Scheduler) sharedSlowness(server *trackedServer) bool {
 	oldest := s.oldestUnanswered(server.role)
 	silence := func(server *trackedServer) time.Duration {
--- a/placement_test.go
+++ b/placement_test.go
@@ -146,7 +146,7 @@
 	gateway := newGateway(t, settings, prefillServer("r1"))
 	server := gateway.scheduler.servers["r1"]
 	server.pendingPrefills = 2
-	count, _ := gateway.scheduler.loadEstimate(RoleRead)
+	count, _ := gateway.scheduler.loadEstimate(RolePrefill)
 	if got := count(server); got != 6 {
 		t.Errorf("estimate of %v in flight, want 6", got)
 	}
--- a/router/harness_test.go
+++ b/router/harness_test.go
@@ -145,7 +145,7 @@
 func testSettings() ashwood.Settings {
 	return ashwood.Settings{
 		Nodes: 1, Zone: "a", Reservations: true,
-		Kinds: []ashwood.Kind{{Name: "prefill", Role: ashwood.RoleRead, MemoryTokens: 1e6}, {Name: "decode", Role: ashwood.RoleWrite, MemoryTokens: 1e6}},
+		Kinds: []ashwood.Kind{{Name: "prefill", Role: ashwood.RolePrefill, MemoryTokens: 1e6}, {Name: "decode", Role: ashwood.RoleDecode, MemoryTokens: 1e6}},
 		Classes: []ashwood.Class{
 			{Name: "chat", Aim: time.Second, Deadline: 30 * time.Second, Worth: 1, Effect: ashwood.Pure},
 			{Name: "order", Aim: time.Second, Deadline: 30 * time.Second, Worth: 1, Effect: ashwood.SideEffect},
--- a/router/router.go
+++ b/router/router.go
@@ -140,8 +140,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("router: %w", err)
 	}
-	if l, ok := transport.(interface{ Log(*slog.Logger) }); ok {
-		l.Log(o.logger)
+	if l, ok := transport.(interface{ SetLogger(*slog.Logger) }); ok {
+		l.SetLogger(o.logger)
 	}
 	core, err := gateway.New(cfg.Settings, cfg.Seed, transport, o.clock, o.logger)
 	if err != nil {
--- a/scheduler.go
+++ b/scheduler.go
@@ -34,7 +34,7 @@
 	ejectLatencyRatio    = 3                     // ejected above this multiple of the peers' latency
 	maxEjectedShare      = 0.5                   // of a role's servers
 	minBackoff           = time.Second           // from ejection to trial; doubles with each failed trial
-	maxBackoff           = 8 * time.Second       // limit of that
+	maxBackoff           = 8 * time.Second       // upper limit of the backoff
 	retryInterval        = 40 * time.Millisecond // between tries to choose a server for a waiting request
 	slowStartMargin      = 0.6                   // share of the slow-start budget that is used
 	chanceAllowance      = 1.5                   // half of the 3*sqrt(n)+3 sends that rule 4 allows for chance
@@ -42,7 +42,7 @@
 	minNearMemory        = 0.35                  // of the most free memory anywhere, for a nearer server
 	negligibleWait       = 0.1                   // of the shortest aim: too short to change zone or server for
 	transferWaitFactor   = 2.5                   // times negligibleWait: too short to move KV state for
-	slowRejectionDivisor = 20                    // of the aim: later rejections concern one class and tenant
+	slowRejectionDivisor = 20                    // of the aim: slower rejections concern one class and tenant
 	maxTransferDelay     = 0.5                   // of the shortest aim: with more, KV state stays in its cell
 
 	affinitySpread     = 3                       // targets of a prefix per server that its traffic needs
@@ -176,17 +176,17 @@
 }
 
 // checkAdmission returns why a request should be refused before its first attempt, or "". It is
-// refused if its first token would come too late even at the best servers, or if the reported memory
-// of the decode servers is taken (a full decode server repeats the prefill of answers). All classes
-// are held to the shortest aim, plus the time that the settings add for long prompts: otherwise classes
-// with longer aims would keep queues too long. After a slow spell it may refuse too much.
+// refused if its first token would come too late even at the best servers, or if the decode servers
+// report no free memory (a full decode server has to repeat the prefill of answers). All classes are
+// held to the shortest aim, plus the time that the settings add for long prompts: otherwise classes
+// with longer aims would keep queues too long. After a slow period it may refuse too many requests.
 func (s *Scheduler) checkAdmission(request *trackedRequest, prefill *trackedServer) Reason {
 	minDecodeDelay, available, queued, reported := math.Inf(1), 0.0, 0.0, false
 	matched, _ := s.matchPrefix(request, prefill)
 	prefillDelay := s.expectedDelay(prefill, stagePrefill, request.PromptTokens-matched)
-	free := s.freeMemory(RoleWrite)
+	free := s.freeMemory(RoleDecode)
 	for _, decode := range s.sortedServers {
-		if decode.role == RoleRead {
+		if decode.role == RolePrefill {
 			queued += decode.queuedTokens
 		} else if s.usable(request, decode) && s.healthy(decode) {
 			reported = reported || decode.report != nil
@@ -207,8 +207,8 @@
 			quota/max(s.tenantRate[request.Tenant].Add(s.now, time.Second, 0), quota/2)))
 	}
 	full := reported && available < request.PromptTokens
-	if full && s.settings.Reports == ReportProbe { // without new reports, refusals would never stop
-		s.probeLoad(func(decode *trackedServer) bool { return decode.role != RoleRead })
+	if full && s.settings.Reports == ReportProbe { // without a new report, refusals would never end
+		s.probeLoad(func(decode *trackedServer) bool { return decode.role != RolePrefill })
 	}
 	switch {
 	case full:
@@ -220,8 +220,8 @@
 }
 
 // expectedDelay returns the expected time, in ns, until a server has done a stage of a new request.
-// If no request of this node waits there, those of other nodes may: then it is the latest latency
-// of the stage, which decays with age.
+// If no request of this node waits there, those of other nodes may: the estimate is then the
+// stage's expected latency, scaled down by the age of its last sample and for small numbers of nodes.
 func (s *Scheduler) expectedDelay(server *trackedServer, stage stage, tokens float64) float64 {
 	latency := &s.stageLatency[stage]
 	if server.queuedTokens > 0 {
@@ -268,8 +268,9 @@
 	s.closeRequest(request)
 }
 
-// closeRequest ends a request, releases what is held for it and, if allowed, cancels its attempts in
-// flight. The outcome of each of them releases once more, so that rule 5 holds on every path.
+// closeRequest ends a request, releases the KV state and reservations held for it and, if allowed,
+// cancels its attempts in flight. The outcome of each of them leads to one more release, so that rule 5
+// holds on every path.
 func (s *Scheduler) closeRequest(request *trackedRequest) {
 	request.done = true
 	s.releaseHolds(request)
@@ -304,7 +305,7 @@
 		if s.settings.Reports == ReportProbe { // for the choice of a decode server after the prefill
 			all := s.rng.Float64() >= s.unseenShare
 			s.probeLoad(func(other *trackedServer) bool {
-				return all || other.Cell == server.Cell && other.role != RoleRead
+				return all || other.Cell == server.Cell && other.role != RolePrefill
 			})
 		}
 	}
--- a/settings.go
+++ b/settings.go
@@ -13,7 +13,7 @@
 		return errors.New("ashwood: settings need at least one kind of server and one class of requests")
 	}
 	for _, kind := range s.Kinds {
-		if kind.Role < RoleRead || kind.Role > RoleMixed {
+		if kind.Role < RolePrefill || kind.Role > RoleMixed {
 			return fmt.Errorf("ashwood: kind %q has no role", kind.Name)
 		}
 	}
--- a/silence.go
+++ b/silence.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// This file decides about servers that stop responding. A successful write to a server is no sign
-// that it is alive; only a response since then is. While an attempt waits, its server is probed. If the
-// probes get no response either, requests that may be repeated are sent elsewhere. A server that
-// answers probes but is slow with its answers is not silent; it costs a probe now and then.
+// This file decides about servers that stop responding. A successful write to a server does not show
+// that it is alive; only a later response does. While an attempt waits, its silent server is probed. If
+// there is no response to the probe either, requests that may be repeated are sent elsewhere. A server
+// that responds to probes but is slow with its answers is not silent; it only costs a probe now and then.
 
 const (
 	// livenessWait is how long a server with an attempt may be silent until it is probed, and
 	// livenessTimeout how long the probe may take. A server answers between the steps of its work,
 	// about 0.25 s apart while it prefills long prompts and about 0.02 s while it decodes; a busy one
-	// is later still. Half of livenessTimeout cost 0.06 of goodput under overload, on four randomly
-	// drawn days of traffic. A prefill often takes some 0.3 s; probing earlier for it cost 0.005 to
-	// 0.008 of goodput.
+	// is later still. Half of livenessTimeout cost 0.06 of the share of worth served in time,
+	// under overload, on four randomly drawn days of traffic. A prefill often takes some 0.3 s; probing
+	// earlier for it cost 0.005 to 0.008 of that share.
 	livenessWaitPrefill    = 600 * time.Millisecond
 	livenessWaitDecode     = 150 * time.Millisecond
 	livenessTimeoutPrefill = 800 * time.Millisecond
@@ -25,19 +25,19 @@
 	// maxTimerLateness is how late the check of an unanswered probe may be. If it is later, this
 	// node was delayed itself, and the answer may already have arrived.
 	maxTimerLateness = 150 * time.Millisecond
-	// livenessInterval is how long a server may be silent until it is probed again after a response
-	// since the send: the attempt has then arrived there.
+	// livenessInterval replaces livenessWait once the server has responded after the send: the attempt
+	// has then arrived there.
 	livenessInterval = time.Second
-	// recoverySilence is the silence after which a server that responds counts as recovered, and
-	// recoveryGrace the time that its started answers then have to go on: they don't all do so at
-	// the same moment.
+	// A server that responds after a silence of more than recoverySilence counts as recovered. For
+	// recoveryGrace after that, none of its started answers counts as stalled, since they don't all
+	// continue at the same moment.
 	recoverySilence = time.Second
 	recoveryGrace   = 100 * time.Millisecond
 )
 
 // livenessTimes returns the liveness wait and timeout of the server's role.
 func (t *trackedServer) livenessTimes() (wait, timeout time.Duration) {
-	if t.role == RoleRead {
+	if t.role == RolePrefill {
 		return livenessWaitPrefill, livenessTimeoutPrefill
 	}
 	return livenessWaitDecode, livenessTimeoutDecode
@@ -51,7 +51,7 @@
 	t.lastResponseAt = now
 }
 
-// justRecovered tells whether a server has responded again after a silence a moment ago.
+// justRecovered tells whether a server has resumed responding less than recoveryGrace ago.
 func (s *Scheduler) justRecovered(server *trackedServer) bool {
 	return s.now-server.recoveredAt < recoveryGrace
 }
@@ -64,8 +64,8 @@
 	}
 }
 
-// checkLiveness probes the server of an unanswered attempt if it has been silent for a while, and
-// checks again when the probe should have been answered.
+// checkLiveness probes the server of an unanswered attempt if it has been silent for too long, and
+// schedules the next check. If a probe is unanswered by its timeout, the server is abandoned.
 func (s *Scheduler) checkLiveness(request *trackedRequest, index int) {
 	attempt := request.attempts[index]
 	if !attempt.inFlight || attempt.answerStarted || attempt.serverSilent {
@@ -86,7 +86,7 @@
 		s.abandonSilentServer(server)
 		return
 	}
-	if server.lastResponseAt > attempt.sentAt+wait/2 { // earlier responses may have been under way at the send
+	if server.lastResponseAt > attempt.sentAt+wait/2 { // responses before that may have been sent earlier
 		wait = livenessInterval
 	}
 	if quiet := s.now - max(server.lastResponseAt, attempt.sentAt); quiet < wait {
@@ -118,7 +118,7 @@
 				continue
 			}
 			attempt.serverSilent = true
-			server.failureRate = 1 // not one failed sample among others: nothing sent to it is answered
+			server.failureRate = 1 // not just one failed sample: the server answers nothing
 			s.updateHealth(server, request, false)
 			if !request.done {
 				s.cancelForRetry(request, index)
--- a/size_test.go
+++ b/size_test.go
@@ -220,7 +220,7 @@
 			continue
 		}
 		capacity := slowStartShare * perSecond / 36
-		if v.role == RoleRead {
+		if v.role == RolePrefill {
 			capacity = slowStartShare * perSecond / 24
 		}
 		got := sent[v.ID]
@@ -279,8 +279,8 @@
 	// The least share of answers at the small server, by gateways; its share of the memory is 0.33.
 	for nodes, minShare := range map[int]float64{3: 0, 80: 0.25} {
 		settings := settingsForGateways(nodes)
-		settings.Kinds = []Kind{{Name: "prefill", Role: RoleRead}, {Name: "decode", Role: RoleWrite, MemoryTokens: 200e3},
-			{Name: "small", Role: RoleWrite, MemoryTokens: 100e3}}
+		settings.Kinds = []Kind{{Name: "prefill", Role: RolePrefill}, {Name: "decode", Role: RoleDecode, MemoryTokens: 200e3},
+			{Name: "small", Role: RoleDecode, MemoryTokens: 100e3}}
 		small, answers := 0, 0
 		for seed := range int64(80) {
 			smallServer := decodeServer("small", 0)
--- a/state.go
+++ b/state.go
@@ -53,7 +53,7 @@
 	slowStartSends    slowstart.Sends
 	restartedAt       time.Duration    // when this node learned of its latest start
 	slowStartCredit   slowstart.Credit // used when many nodes share its slow-start budget
-	slowStartPhase    float64          // random turn of this node among those that share the budget
+	slowStartPhase    float64          // random in [0,1): staggers the sends of the nodes that share the budget
 	warmThroughput    trend.Rate       // work finished outside slow start
 }
 
@@ -132,7 +132,7 @@
 	maxWorth         float64                // over all classes
 	minAim           time.Duration          // over all classes
 	maxPromptTokens  float64                // longest prompt that fits into the memory of some server of each stage
-	unseenShare      float64                // 1 - 2/nodes, at least 0: how little own counts say about the fleet; 0 up to two nodes
+	unseenShare      float64                // 1 - 2/nodes, at least 0: the higher, the less own counts say about the fleet; 0 up to two nodes
 	tenantImpatience map[string]float64     // moving average, in ns, of how long before the shortest aim clients leave
 	servers          map[ServerID]*trackedServer
 	sortedServers    []*trackedServer   // by id, so that no loop depends on map order
@@ -268,7 +268,7 @@
 	for _, kind := range settings.Kinds {
 		s.kinds[kind.Name] = kind
 	}
-	s.maxPromptTokens = min(maxMemory(settings.Kinds, RoleRead), maxMemory(settings.Kinds, RoleWrite))
+	s.maxPromptTokens = min(maxMemory(settings.Kinds, RolePrefill), maxMemory(settings.Kinds, RoleDecode))
 	for i := range settings.Classes {
 		class := &settings.Classes[i]
 		s.classes[class.Name] = class
@@ -343,11 +343,11 @@
 // rejects at once; one that takes longer has room and rejects only requests like this one.
 func (r *trackedRequest) throttleKey() [2]string { return [2]string{r.Class, r.Tenant} }
 
-func isPrefill(role Role) bool { return role == RoleRead }
+func isPrefill(role Role) bool { return role == RolePrefill }
 
 func isMixed(role Role) bool { return role == RoleMixed }
 
-func canDecode(role Role) bool { return role != RoleRead }
+func canDecode(role Role) bool { return role != RolePrefill }
 
 // Handle processes one event and appends the resulting actions to out. Events must come
 // in the order of their times; those that match nothing in flight are ignored.
--- a/types.go
+++ b/types.go
@@ -11,9 +11,9 @@
 
 // The roles of a kind of server.
 const (
-	RoleRead  Role = iota + 1 // a prefill server: processes prompts into KV state
-	RoleWrite                 // a decode server: fetches KV state and streams answers
-	RoleMixed                 // a server that does both
+	RolePrefill Role = iota + 1 // a prefill server: processes prompts into KV state
+	RoleDecode                  // a decode server: fetches KV state and streams answers
+	RoleMixed                   // a server that does both
 )
 
 // Effect tells how safe it is to run a request twice.
