--- a/facade.go
+++ b/facade.go
@@ -99,8 +99,8 @@
 	}, nil
 }
 
-// Update applies a membership update.
-func (r *Router) Update(form MembershipForm, entries []Server) {
+// UpdateMembership applies a membership update.
+func (r *Router) UpdateMembership(form MembershipForm, entries []Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.handle(MembershipUpdate{Form: form, Entries: entries})
--- a/facade_test.go
+++ b/facade_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	router.Update(MembershipSnapshot, servers)
+	router.UpdateMembership(MembershipSnapshot, servers)
 	return router, clock
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -93,7 +93,7 @@
 
 // UpdateMembership applies a membership update.
 func (g *Gateway) UpdateMembership(form ashwood.MembershipForm, engines []ashwood.Server) {
-	g.router.Update(form, engines)
+	g.router.UpdateMembership(form, engines)
 	g.releaser.updateMembership(form, engines)
 	if g.log.Enabled(context.Background(), slog.LevelDebug) {
 		for _, engine := range engines {
@@ -109,8 +109,8 @@
 // Holds returns the number of holds that engines may have for requests, and the age of the oldest in ms.
 func (g *Gateway) Holds() (open int, oldest float64) { return g.holdLog.gauges() }
 
-// Engines returns the number of engines in the membership and how many of them are avoided now; see ashwood.Router.
-func (g *Gateway) Engines() (listed, avoided int) { return g.router.CountEngines() }
+// CountEngines returns the number of engines in the membership and how many of them are avoided now; see ashwood.Router.
+func (g *Gateway) CountEngines() (listed, avoided int) { return g.router.CountEngines() }
 
 // SetProcesses sets how many processes count as this one gateway; see ashwood.Router.
 func (g *Gateway) SetProcesses(processes int) { g.router.SetProcesses(processes) }
@@ -122,9 +122,9 @@
 	g.router.ShutdownBy(at)
 }
 
-// TurnAway counts a request that a front itself refuses because it has no capacity left, and returns
+// RecordRefusal counts a request that a front itself refuses because it has no capacity left, and returns
 // the time after which its client may retry, as RetryAfter does.
-func (g *Gateway) TurnAway(class string) float64 {
+func (g *Gateway) RecordRefusal(class string) float64 {
 	g.metrics.RequestEnded(class, metrics.Throttled)
 	return g.RetryAfter()
 }
@@ -312,9 +312,9 @@
 	defer cancel()
 	defer g.clock.AfterFunc(reserveTimeout, cancel)()
 	for engine, ok := step.ReserveAt, true; ok; {
-		ready := func() bool { return prefillCtx.Err() == nil && g.router.Accepts(engine.ID) }
+		mayWrite := func() bool { return prefillCtx.Err() == nil && g.router.Accepts(engine.ID) }
 		askedAt := g.clock.Now()
-		result := g.transport.Reserve(ctx, engine, holds.id, ready)
+		result := g.transport.Reserve(ctx, engine, holds.id, mayWrite)
 		g.log.Debug("place", "id", holds.id, "engine", engine.ID, "answer", int(result))
 		switch result {
 		case ReserveHeld, ReserveRefused:
--- a/gateway/holds_time_test.go
+++ b/gateway/holds_time_test.go
@@ -275,7 +275,7 @@
 }
 
 // Guards against a fault seen in soak seed 2 in the CI script (gateway 4, once). e8 vanishes with a request's KV state. The request's attempt
-// elsewhere is turned away at 2.615. The release that is pending at e8 from then on is delivered at 3.841, during the attempt at e1 that was
+// elsewhere is rejected at 2.615. The release that is pending at e8 from then on is delivered at 3.841, during the attempt at e1 that was
 // sent meanwhile: a release drops nothing that an attempt waits for. The client disconnects at 5.002; e1 and e4 are sent releases, but e8
 // counts as released and keeps the KV state.
 func TestHolds_LateReleaseBesideAttempt(t *testing.T) {
--- a/gateway/types.go
+++ b/gateway/types.go
@@ -147,13 +147,13 @@
 	// has noticed, where the protocol shows that. ctx also bounds the returned stream.
 	Send(ctx context.Context, a Attempt) AttemptResult
 	// Reserve asks a decode engine to hold a reservation for a request that is still in prefill.
-	// It calls ready right before the first byte is written; false forbids the write.
-	Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, ready func() bool) ReserveResult
+	// It calls mayWrite right before the first byte is written; false forbids the write.
+	Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, mayWrite func() bool) ReserveResult
 	// Release has KV state and reservations for a request dropped. It returns nil once the engine has sent
 	// something back, ErrUnanswered if the call was written but may not have arrived, and ErrLocalFailure if
-	// this machine could not make the call. After a try without an answer, fresh demands a connection that
-	// did not exist at that try. Release may use a few sockets beyond the limit for attempts.
-	Release(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, fresh bool) error
+	// this machine could not make the call. newConnection is set after a try without an answer: it demands a
+	// connection that did not exist at that try. Release may use a few sockets beyond the limit for attempts.
+	Release(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, newConnection bool) error
 	// Probe asks an engine for its load report.
 	Probe(ctx context.Context, engine ashwood.Server) (ashwood.Status, ashwood.Report)
 }
--- a/internal/grpcfront/panic_test.go
+++ b/internal/grpcfront/panic_test.go
@@ -22,7 +22,7 @@
 	panic("a fault in the handler")
 }
 
-func (panickingHandler) TurnAway(string) float64 { return 0 }
+func (panickingHandler) RecordRefusal(string) float64 { return 0 }
 
 // A call whose handler panics is answered with INTERNAL, and so is the next one.
 func TestPanic_Handler(t *testing.T) {
--- a/internal/platform/conn.go
+++ b/internal/platform/conn.go
@@ -309,7 +309,7 @@
 func (c *clientConn) recordRead() { c.lastRead.Store(int64(time.Since(c.listener.started))) }
 
 // beginRequest records that a whole request has been read, and reports whether there is room for it
-// beside the other open requests.
+// in addition to the other open requests.
 func (c *clientConn) beginRequest() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
--- a/internal/platform/crowd_test.go
+++ b/internal/platform/crowd_test.go
@@ -192,7 +192,7 @@
 func (s fixedReply) Serve(context.Context, *gateway.Request) (gateway.Reply, error) {
 	return s.reply, nil
 }
-func (s fixedReply) TurnAway(string) float64 { return 0 }
+func (s fixedReply) RecordRefusal(string) float64 { return 0 }
 
 // singleEventStream is a stream of one event.
 type singleEventStream struct{ done bool }
--- a/internal/platform/panic_test.go
+++ b/internal/platform/panic_test.go
@@ -23,7 +23,7 @@
 	return gateway.Reply{Kind: gateway.Refused}, nil
 }
 
-func (panickingHandler) TurnAway(string) float64 { return 0 }
+func (panickingHandler) RecordRefusal(string) float64 { return 0 }
 
 // panickingStream panics after the given number of pieces.
 type panickingStream struct{ pieces int }
@@ -45,7 +45,7 @@
 	return gateway.Reply{Kind: gateway.Served, Stream: &panickingStream{pieces: h.pieces}}, nil
 }
 
-func (panickingStreamHandler) TurnAway(string) float64 { return 0 }
+func (panickingStreamHandler) RecordRefusal(string) float64 { return 0 }
 
 // A request that was read is answered although its handler panics, and so is the next one on the same
 // connection.
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -35,9 +35,9 @@
 // Handler serves requests: a gateway or a router.
 type Handler interface {
 	Serve(ctx context.Context, req *gateway.Request) (gateway.Reply, error)
-	// TurnAway records that a request of a class is refused before it is served, for want of room, and
-	// returns the ms after which its client may retry; 0 = no advice.
-	TurnAway(class string) float64
+	// RecordRefusal records that a request of a class is refused before it is served, for lack of
+	// capacity, and returns the ms after which its client may retry; 0 = no advice.
+	RecordRefusal(class string) float64
 }
 
 // Server serves the platform's HTTP/1.1 protocol to clients, on fasthttp.
@@ -210,7 +210,7 @@
 		}
 	}()
 	if !admitted {
-		refuse(ctx, handler.TurnAway(req.Class))
+		refuse(ctx, handler.RecordRefusal(req.Class))
 		return
 	}
 	reply, err := handler.Serve(clientCtx, req)
--- a/internal/trend/trend.go
+++ b/internal/trend/trend.go
@@ -24,7 +24,7 @@
 	meanX, meanXX, meanXY float64
 }
 
-// Expect returns the latency in ns to expect behind so many queued tokens, at least a quarter of
+// Expect returns the latency in ns to expect with this number of tokens queued ahead, at least a quarter of
 // the mean. It is 0 before the first observation.
 func (l *LatencyLine) Expect(tokens float64) float64 {
 	slope := 0.0
@@ -34,7 +34,7 @@
 	return max(l.Mean+slope*(tokens-l.meanX), l.Mean/4)
 }
 
-// Observe adds a latency that was observed behind so many queued tokens.
+// Observe adds a latency that was observed with this number of tokens queued ahead.
 func (l *LatencyLine) Observe(now, latency time.Duration, tokens float64) {
 	l.Count++
 	l.Last = now
--- a/placement_test.go
+++ b/placement_test.go
@@ -139,7 +139,7 @@
 }
 
 // The gateway's own count of prefills in flight is scaled up to all gateways. Unscaled, it would look like a gap in load
-// beside reports, which cover all gateways.
+// compared with reports, which cover all gateways.
 func TestLoadEstimate_OwnCountsAndReports(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 3
--- a/router/metrics_test.go
+++ b/router/metrics_test.go
@@ -99,7 +99,7 @@
 	close(f.decodeGate)
 	a := <-answer
 	a.Close() // before the end of the answer
-	r.TurnAway("chat")
+	r.RecordRefusal("chat")
 	// A client that disconnects before its answer is not counted.
 	f.decodeGate = make(chan struct{})
 	clientCtx, disconnect := context.WithCancel(ctx)
--- a/router/router.go
+++ b/router/router.go
@@ -107,7 +107,7 @@
 // WithLogger sets the logger; by default nothing is logged.
 func WithLogger(l *slog.Logger) Option { return func(o *options) { o.logger = l } }
 
-// WithSource adds a membership source; without one, the application must call Update.
+// WithSource adds a membership source. Without one, the application must call UpdateMembership.
 func WithSource(s Source) Option { return func(o *options) { o.sources = append(o.sources, s) } }
 
 // WithTransport sets the constructor of the transport to engines, which gets the Router's
@@ -168,7 +168,7 @@
 	r.goroutines.Go(func() { r.gateway.Run(r.ctx) })
 	for _, s := range r.sources {
 		r.goroutines.Go(func() {
-			if err := s.Run(r.ctx, r.Update); err != nil && r.ctx.Err() == nil {
+			if err := s.Run(r.ctx, r.UpdateMembership); err != nil && r.ctx.Err() == nil {
 				r.logger.Error("membership source failed; keeping the current membership", "err", err)
 			}
 		})
@@ -176,8 +176,8 @@
 	return nil
 }
 
-// Update applies a membership update, as from a Source.
-func (r *Router) Update(form ashwood.MembershipForm, engines []ashwood.Server) {
+// UpdateMembership applies a membership update, as from a Source.
+func (r *Router) UpdateMembership(form ashwood.MembershipForm, engines []ashwood.Server) {
 	r.gateway.UpdateMembership(form, engines)
 	if form == ashwood.MembershipSnapshot {
 		r.transport.RetainOnly(engines)
@@ -194,7 +194,7 @@
 // WriteMetrics writes the router's counters since its start and its gauges in the statsd
 // format, one name:value|kind per line; see package metrics for what each counts.
 func (r *Router) WriteMetrics(w io.Writer) error {
-	listed, avoided := r.gateway.Engines()
+	listed, avoided := r.gateway.CountEngines()
 	holds, oldest := r.gateway.Holds()
 	return r.gateway.Metrics().WriteStatsd(w, metricsPrefix, metrics.Gauges{
 		OpenRequests: r.InFlight(), Engines: listed, EnginesAvoided: avoided, OpenHolds: holds, OldestHoldAge: oldest,
@@ -224,12 +224,12 @@
 // itself; 0 = no advice.
 func (r *Router) RetryAfter() float64 { return r.gateway.RetryAfter() }
 
-// TurnAway counts a request that a front refuses by itself because it is overloaded, and
+// RecordRefusal counts a request that a front refuses by itself because it is overloaded, and
 // returns how many ms its client should wait, as RetryAfter does.
-func (r *Router) TurnAway(class string) float64 { return r.gateway.TurnAway(class) }
+func (r *Router) RecordRefusal(class string) float64 { return r.gateway.RecordRefusal(class) }
 
 // Serve carries a request to its final reply: refused, failed, or served with a stream that
-// has its first piece. It is for fronts; a request that limits turn away gets a refused reply
+// has its first piece. It is for fronts; a request that limits refuse gets a refused reply
 // like any other. The end of ctx means that the client has disconnected. The caller must
 // close a served reply's stream.
 func (r *Router) Serve(ctx context.Context, req *gateway.Request) (gateway.Reply, error) {
--- a/rules_test.go
+++ b/rules_test.go
@@ -151,7 +151,7 @@
 	}
 }
 
-// Rule 4: servers in slow start get at most the slow-start budget. When sends that a server turned away counted towards
+// Rule 4: servers in slow start get at most the slow-start budget. When sends that a server rejected counted towards
 // the rate that servers are seen to handle, the budget grew with them until cold servers were overloaded.
 func TestSlowStartBudget_RefusedSends(t *testing.T) {
 	starting := prefillServer("r1")
--- a/share_test.go
+++ b/share_test.go
@@ -60,15 +60,15 @@
 	expect(0, 0)
 	draining := prefillServer("c")
 	draining.State = StateDraining
-	router.Update(MembershipSnapshot, []Server{prefillServer("a"), prefillServer("b"), draining})
+	router.UpdateMembership(MembershipSnapshot, []Server{prefillServer("a"), prefillServer("b"), draining})
 	expect(3, 1)
 	router.scheduler.servers["a"].ejected = true
 	expect(3, 2)
 	gone := prefillServer("b")
 	gone.State = StateRemoved
-	router.Update(MembershipDelta, []Server{gone})
+	router.UpdateMembership(MembershipDelta, []Server{gone})
 	expect(2, 2)
-	router.Update(MembershipSnapshot, []Server{prefillServer("b")})
+	router.UpdateMembership(MembershipSnapshot, []Server{prefillServer("b")})
 	expect(1, 0)
 }
 
--- a/types.go
+++ b/types.go
@@ -43,7 +43,7 @@
 const (
 	StatusServed         Status = iota + 1 // the server answered the request or the probe
 	StatusServerError                      // the server reported an error; it may have run the request
-	StatusRejected                         // the server turned the request away without running it
+	StatusRejected                         // the server rejected the request without running it
 	StatusTimedOut                         // no answer before the timeout
 	StatusConnectFailed                    // no connection came up, so the request never ran
 	StatusConnectionLost                   // the connection broke; the server may have run the request
