--- a/facade.go
+++ b/facade.go
@@ -133,7 +133,7 @@
 }
 
 // SetProcesses sets how many processes, including this one, count as one node. Each of them uses
-// its part of the node's slow-start budget only.
+// only its part of the node's slow-start budget.
 func (r *Router) SetProcesses(processes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -258,8 +258,8 @@
 
 // AnswerStalled tells whether a started answer that has been silent since silentSince will not
 // go on, so that it is to be ended as broken. othersProgressAt is when any answer of its engine
-// last made progress, and oneEvent that this one has brought a single event. The result probe
-// asks for a probe of the engine, whose report would decide. The answer may have been started
+// last made progress, and oneEvent that this one has brought a single event. If the
+// result probe is true, the caller should probe the engine, whose report would decide. The answer may have been started
 // by another process.
 func (r *Router) AnswerStalled(
 	id RequestID, attempt int, engine ServerID, silentSince, othersProgressAt float64, oneEvent bool) (stalled, probe bool) {
@@ -310,7 +310,7 @@
 	return math.Inf(1)
 }
 
-// Wake receives a value when Tick has to be called earlier than it last returned.
+// Wake receives a value when Tick must be called earlier than its last result said.
 func (r *Router) Wake() <-chan struct{} { return r.wake }
 
 // attemptServer returns the server of an attempt, or "" for an unknown one.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -262,8 +262,8 @@
 func (g *Gateway) runInBackground(f func()) { g.background.Go(func() { g.recoverPanic(f) }) }
 
 // Wait waits until reservations, releases and probes in the background have ended. Releases that are
-// still pending are given up after releaseShutdownTimeout, or later where the process has longer to
-// live. Wait must be called after the last request has been served.
+// still pending are given up after releaseShutdownTimeout, or later where the process may run
+// longer. Wait must be called after the last request has been served.
 func (g *Gateway) Wait() {
 	timeout := float64(releaseShutdownTimeout)
 	if deadline := math.Float64frombits(g.answerDeadline.Load()); deadline > 0 {
--- a/internal/platform/conn.go
+++ b/internal/platform/conn.go
@@ -203,8 +203,8 @@
 }
 
 // evict selects a connection without an open request, marks it as closing and returns it with the
-// reason; nil if all have requests. First goes one that has sent nothing for silentTimeout since it was
-// accepted; then the connection that has been idle longest after an answer; then, of those with an
+// reason; nil if all have requests. Its first choice is one that has sent nothing for silentTimeout since it
+// was accepted; then the connection that has been idle longest after an answer; then, of those with an
 // unfinished first request, the one that has sent nothing for longest: a slow writer still writes,
 // and a connection accepted just now may not have been read yet.
 func (l *listener) evict(now time.Time) (c *clientConn, reason string) {
