--- a/contract/contract_test.go
+++ b/contract/contract_test.go
@@ -111,9 +111,9 @@
 	}
 	check := em.Rules()
 	outcome := target.Client.Do(context.Background(), try, func() { check.RequestSent(0, id, requestClass.Name, requestClass.Effect == "side_effect", 0) })
-	check.RequestAnswered(outcome.End, id, outcome.Answer)
-	if outcome.Spoilt != "" {
-		check.AnswerCorrupted(outcome.End, id, outcome.Spoilt)
+	check.RequestAnswered(outcome.EndedAt, id, outcome.Answer)
+	if outcome.Corruption != "" {
+		check.AnswerCorrupted(outcome.EndedAt, id, outcome.Corruption)
 	}
 	if outcome.Answer == rules.Timeout {
 		return rules.Failure
--- a/contract/targets.go
+++ b/contract/targets.go
@@ -172,20 +172,20 @@
 	answer, err := d.router.Do(ctx, &router.Request{
 		Method: http.MethodPost, Target: "/v1/chat/completions", Body: d.bodies.Body(try),
 		RequestInfo: ashwood.RequestInfo{
-			ID: ashwood.RequestID(try.ID), Class: try.Class.Name, Session: gateway.AffinityKey(try.Session), Prefix: gateway.AffinityKey(try.Shared),
-			PromptTokens: float64(try.PromptTokens), PrefixTokens: float64(try.SharedTokens), MaxOutputTokens: float64(try.MaxOut), Remaining: try.Remaining,
+			ID: ashwood.RequestID(try.ID), Class: try.Class.Name, Session: gateway.AffinityKey(try.Session), Prefix: gateway.AffinityKey(try.SharedPrefix),
+			PromptTokens: float64(try.PromptTokens), PrefixTokens: float64(try.SharedPrefixTokens), MaxOutputTokens: float64(try.MaxOut), Remaining: try.Remaining,
 		},
 	})
 	var refused *router.RefusedError
 	switch {
 	case errors.As(err, &refused):
-		return load.Outcome{Answer: rules.Refused, End: d.clock.Now(), RetryAfter: refused.RetryAfter}
+		return load.Outcome{Answer: rules.Refused, EndedAt: d.clock.Now(), RetryAfter: refused.RetryAfter}
 	case errors.Is(err, router.ErrClientGone):
-		return load.Outcome{Answer: rules.ClientLeft, End: d.clock.Now()}
+		return load.Outcome{Answer: rules.ClientLeft, EndedAt: d.clock.Now()}
 	case err != nil:
-		return load.Outcome{Answer: rules.Failure, End: d.clock.Now()}
+		return load.Outcome{Answer: rules.Failure, EndedAt: d.clock.Now()}
 	}
-	outcome = load.Outcome{Answer: rules.Served, First: d.clock.Now()}
+	outcome = load.Outcome{Answer: rules.Served, FirstTokenAt: d.clock.Now()}
 	var text bytes.Buffer
 	for piece, err := range answer.Pieces() {
 		if err != nil {
@@ -194,10 +194,10 @@
 		}
 		text.Write(piece)
 	}
-	outcome.End = d.clock.Now()
-	outcome.Tokens, outcome.Spoilt = load.Check(try.ID, text.Bytes())
+	outcome.EndedAt = d.clock.Now()
+	outcome.Tokens, outcome.Corruption = load.Check(try.ID, text.Bytes())
 	if outcome.Answer == rules.Broken {
-		outcome.Spoilt = ""
+		outcome.Corruption = ""
 	}
 	return outcome
 }
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -205,7 +205,7 @@
 	e.discovery.Unlock()
 	e.driver.do(func(f *engine.Fleet) {
 		err = e.preloadCaches(f)
-		for _, fault := range e.plan.Boxes {
+		for _, fault := range e.plan.EngineFaults {
 			fault.Start += e.startedAt
 			err = errors.Join(err, f.Inject(fault))
 		}
@@ -223,7 +223,7 @@
 	}
 	for _, spec := range e.plan.Engine.Engines {
 		k := kinds[spec.Kind]
-		remaining := k.MemoryTokens * e.plan.Fleet.ReadersBegin
+		remaining := k.MemoryTokens * e.plan.Fleet.InitialPrefixShare
 		for n, more := 0, k.Role == engine.RolePrefill; more; n++ {
 			more = false
 			for class, c := range e.plan.Load.Classes {
--- a/lab/load/grpc.go
+++ b/lab/load/grpc.go
@@ -45,8 +45,8 @@
 	defer stop()
 	check := checker{id: t.ID}
 	stream, err := g.client.Generate(tctx, &ashwoodpb.GenerateRequest{
-		RequestId: t.ID, Class: t.Class.Name, Session: t.Session, Prefix: t.Shared, PromptTokens: uint32(t.PromptTokens),
-		PrefixTokens: uint32(t.SharedTokens), MaxTokens: uint32(t.MaxOut), Resent: t.Retry, FirstTokenMs: uint32(t.Remaining),
+		RequestId: t.ID, Class: t.Class.Name, Session: t.Session, Prefix: t.SharedPrefix, PromptTokens: uint32(t.PromptTokens),
+		PrefixTokens: uint32(t.SharedPrefixTokens), MaxTokens: uint32(t.MaxOut), Resent: t.Retry, FirstTokenMs: uint32(t.Remaining),
 		Prompt: g.text[:min(4*t.PromptTokens, maxBody-4096)],
 	})
 	if err == nil {
@@ -56,21 +56,21 @@
 			if piece, err = stream.Recv(); err != nil {
 				break
 			}
-			if out.First == 0 {
+			if out.FirstTokenAt == 0 {
 				stop()
-				out.First = g.clock.Now()
+				out.FirstTokenAt = g.clock.Now()
 			}
 			check.add(piece.GetText())
 		}
 	}
-	out.End, out.Tokens, out.Spoilt = g.clock.Now(), check.tokens, check.spoilt
+	out.EndedAt, out.Tokens, out.Corruption = g.clock.Now(), check.tokens, check.spoilt
 	st := status.Convert(err)
 	switch {
 	case errors.Is(err, io.EOF):
 		out.Answer = rules.Served
 	case ctx.Err() != nil:
 		out.Answer = rules.ClientLeft
-	case out.First > 0:
+	case out.FirstTokenAt > 0:
 		out.Answer = rules.Broken
 	case errors.Is(context.Cause(tctx), errTimeout), st.Code() == codes.DeadlineExceeded:
 		out.Answer = rules.Timeout
--- a/lab/load/http.go
+++ b/lab/load/http.go
@@ -54,13 +54,13 @@
 func (h *HTTP) Body(t Try) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"metadata":{"class":%q,"session":%q,"prefix":%q,"prompt_len":%d,"prefix_len":%d},"model":"chat","stream":true,"max_tokens":%d,"messages":[`,
-		t.Class.Name, t.Session, t.Shared, t.PromptTokens, t.SharedTokens, t.MaxOut)
-	shared := min(4*t.SharedTokens, maxBody/2)
+		t.Class.Name, t.Session, t.SharedPrefix, t.PromptTokens, t.SharedPrefixTokens, t.MaxOut)
+	shared := min(4*t.SharedPrefixTokens, maxBody/2)
 	if shared > 0 {
 		fmt.Fprintf(&b, `{"role":"system","content":"%s"},`, h.text[:shared])
 	}
 	b.WriteString(`{"role":"user","content":"`)
-	b.Write(h.text[:min(4*(t.PromptTokens-t.SharedTokens), maxBody/2-1024)])
+	b.Write(h.text[:min(4*(t.PromptTokens-t.SharedPrefixTokens), maxBody/2-1024)])
 	b.WriteString(`"}]}`)
 	return b.Bytes()
 }
@@ -71,9 +71,9 @@
 		return nil, err
 	}
 	req.GetBody = nil // nothing is sent again but by Do
-	labels := fmt.Sprintf("prompt_len=%d,prefix_len=%d,max_out=%d", t.PromptTokens, t.SharedTokens, t.MaxOut)
-	if t.Shared != "" {
-		labels = "prefix=" + t.Shared + "," + labels
+	labels := fmt.Sprintf("prompt_len=%d,prefix_len=%d,max_out=%d", t.PromptTokens, t.SharedPrefixTokens, t.MaxOut)
+	if t.SharedPrefix != "" {
+		labels = "prefix=" + t.SharedPrefix + "," + labels
 	}
 	for name, value := range map[string]string{
 		"Content-Type": "application/json", "X-Txn": t.ID, "X-Lane": t.Class.Name, "X-Entity": t.Session, "X-Labels": labels,
@@ -111,13 +111,13 @@
 		if resp, err = h.http.RoundTrip(req); err == nil || !reused || tctx.Err() != nil {
 			if err != nil && !wrote && tctx.Err() == nil {
 				stop()
-				return Outcome{End: h.clock.Now()} // no gateway there: it was never asked
+				return Outcome{EndedAt: h.clock.Now()} // no gateway there: it was never asked
 			}
 			break
 		}
 	}
 	inTime := stop()
-	out := Outcome{End: h.clock.Now()}
+	out := Outcome{EndedAt: h.clock.Now()}
 	if err != nil {
 		switch {
 		case !told.Load():
@@ -161,17 +161,17 @@
 			break
 		}
 		check.line(lines.Bytes())
-		if out.First == 0 && check.tokens > 0 {
-			out.First = h.clock.Now()
+		if out.FirstTokenAt == 0 && check.tokens > 0 {
+			out.FirstTokenAt = h.clock.Now()
 		}
 	}
-	out.End, out.Tokens, out.Spoilt = h.clock.Now(), check.tokens, check.spoilt
+	out.EndedAt, out.Tokens, out.Corruption = h.clock.Now(), check.tokens, check.spoilt
 	switch err := lines.Err(); {
 	case err == nil && check.whole:
 		out.Answer = rules.Served
 	case err == nil: // the last chunk came, and the answer was not whole
 		out.Answer = rules.Served
-		out.Spoilt = "an answer that is not whole ended with the last chunk"
+		out.Corruption = "an answer that is not whole ended with the last chunk"
 	case errors.Is(context.Cause(ctx), context.Canceled):
 		out.Answer = rules.ClientLeft
 	default:
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -49,16 +49,16 @@
 		} else {
 			usual++
 		}
-		if last, ok := sessions[r.Session]; ok && (r.PromptTokens <= last.PromptTokens+last.OutTokens || r.Shared != last.Shared) {
+		if last, ok := sessions[r.Session]; ok && (r.PromptTokens <= last.PromptTokens+last.OutTokens || r.SharedPrefix != last.SharedPrefix) {
 			t.Fatalf("a turn that does not hold the one before: %+v after %+v", r, last)
 		}
 		sessions[r.Session] = r
 		if r.Class == 1 {
-			if chat++; r.Shared != "" {
+			if chat++; r.SharedPrefix != "" {
 				shared++
 			}
 		}
-		if r.PromptTokens > maxContext || r.OutTokens < 1 || r.OutTokens > r.MaxOut || r.SharedTokens >= r.PromptTokens {
+		if r.PromptTokens > maxContext || r.OutTokens < 1 || r.OutTokens > r.MaxOut || r.SharedPrefixTokens >= r.PromptTokens {
 			t.Fatalf("%+v", r)
 		}
 	}
@@ -177,7 +177,7 @@
 		{0, []Outcome{{Answer: rules.Refused, RetryAfter: 100}, {Answer: rules.Refused}}, 3, InTime},
 		{0, []Outcome{{Answer: rules.Failure}}, 2, InTime}, {0, []Outcome{{Answer: rules.Refused}, {Answer: rules.Refused}, {Answer: rules.Refused}}, 3, Refused},
 		{2, []Outcome{{Answer: rules.Refused}}, 2, InTime}, {2, []Outcome{{Answer: rules.Failure}}, 1, Failed},
-		{2, []Outcome{{Answer: rules.Timeout}}, 1, Timeout}, {2, []Outcome{{}}, 2, InTime}, {0, []Outcome{{Answer: rules.Broken, First: 1}}, 1, Broken},
+		{2, []Outcome{{Answer: rules.Timeout}}, 1, Timeout}, {2, []Outcome{{}}, 2, InTime}, {0, []Outcome{{Answer: rules.Broken, FirstTokenAt: 1}}, 1, Broken},
 	} {
 		cl := &client{say: c.say}
 		r := Runner{Plan: p, Clients: []Client{cl}, Clock: &jumps{}, Watch: rules.New(rules.PlatformLimits())}
@@ -245,8 +245,8 @@
 			remaining = 30
 		}
 		asked := 0
-		out := c.Do(context.Background(), Try{Request: &Request{Session: tt.how, PromptTokens: 50, SharedTokens: 20}, ID: "00112233445566aa", Remaining: remaining}, func() { asked++ })
-		if out.Answer != tt.answer || out.Tokens != tt.tokens || (out.Spoilt != "") != tt.spoilt || asked != 1 {
+		out := c.Do(context.Background(), Try{Request: &Request{Session: tt.how, PromptTokens: 50, SharedPrefixTokens: 20}, ID: "00112233445566aa", Remaining: remaining}, func() { asked++ })
+		if out.Answer != tt.answer || out.Tokens != tt.tokens || (out.Corruption != "") != tt.spoilt || asked != 1 {
 			t.Errorf("%s: %+v, asked %d times", tt.how, out, asked)
 		}
 		if tt.how == "refused" && out.RetryAfter != 250 {
--- a/lab/load/plan.go
+++ b/lab/load/plan.go
@@ -16,17 +16,17 @@
 
 // Request is a first try as it was drawn.
 type Request struct {
-	At           float64 // ms from the begin
-	Class        int     // index into the scenario's classes
-	Session      string
-	Shared       string // the beginning shared with other sessions, "" = none
-	PromptTokens int
-	SharedTokens int
-	OutTokens    int // the true length of its answer
-	MaxOut       int
-	Estimate     float64 // a rough guess of the answer's time in ms
-	Zone         int
-	Worth        float64
+	At                 float64 // ms from the begin
+	Class              int     // index into the scenario's classes
+	Session            string
+	SharedPrefix       string // the beginning shared with other sessions, "" = none
+	PromptTokens       int
+	SharedPrefixTokens int
+	OutTokens          int // the true length of its answer
+	MaxOut             int
+	Estimate           float64 // a rough guess of the answer's time in ms
+	Zone               int
+	Worth              float64
 }
 
 // Limits of what is drawn.
@@ -106,7 +106,7 @@
 }
 
 // burst draws what comes beyond the usual: requests of sessions that began before.
-func (d *drawer) burst(class int, perMs float64, w scenario.Window) {
+func (d *drawer) burst(class int, perMs float64, w scenario.FaultWindow) {
 	for at := w.From; ; {
 		at += d.r.ExpFloat64() / perMs
 		if at >= w.To {
@@ -128,10 +128,10 @@
 	s := Request{Class: class, Session: fmt.Sprintf("%08x%08x", d.p.Seed&0xffffffff, d.n), MaxOut: c.MaxOut, Zone: d.zone()}
 	if c.Prefixes > 0 && d.r.Float64() < c.PrefixShare {
 		k := zipf(d.r, c.Prefixes, c.PrefixZipf)
-		s.Shared, s.SharedTokens = d.p.Prefix(class, k)
+		s.SharedPrefix, s.SharedPrefixTokens = d.p.Prefix(class, k)
 	}
 	model := d.p.Engine.Classes[class]
-	text := s.SharedTokens
+	text := s.SharedPrefixTokens
 	for turn := range turns {
 		text += d.tokens(c.NewTokens, c.NewSigma)
 		if text > maxContext {
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -26,12 +26,12 @@
 
 // Outcome is what a client saw of a try.
 type Outcome struct {
-	Answer     rules.Answer
-	First      float64 // time of the first token on the clock; 0 = none
-	End        float64
-	Tokens     int
-	RetryAfter float64 // ms, with a refusal
-	Spoilt     string  // what came that no engine sent
+	Answer       rules.Answer
+	FirstTokenAt float64 // time of the first token on the clock; 0 = none
+	EndedAt      float64
+	Tokens       int
+	RetryAfter   float64 // ms, with a refusal
+	Corruption   string  // what came that no engine sent
 }
 
 // Client sends tries to one gateway and reads their answers.
@@ -120,14 +120,14 @@
 		stop()
 		cancel()
 		if out.Answer != "" {
-			r.Watch.RequestAnswered(out.End, t.ID, out.Answer)
+			r.Watch.RequestAnswered(out.EndedAt, t.ID, out.Answer)
 		}
-		if out.Spoilt != "" {
-			r.Watch.AnswerCorrupted(out.End, t.ID, out.Spoilt)
+		if out.Corruption != "" {
+			r.Watch.AnswerCorrupted(out.EndedAt, t.ID, out.Corruption)
 		}
-		res.Tokens, res.Total = out.Tokens, out.End-due
-		if out.First > 0 {
-			res.First = max(out.First-due, math.SmallestNonzeroFloat64)
+		res.Tokens, res.Total = out.Tokens, out.EndedAt-due
+		if out.FirstTokenAt > 0 {
+			res.First = max(out.FirstTokenAt-due, math.SmallestNonzeroFloat64)
 		}
 		again := false
 		switch out.Answer {
--- a/lab/news/news.go
+++ b/lab/news/news.go
@@ -39,7 +39,7 @@
 // Discovery models the discovery service and its agents.
 type Discovery struct {
 	cfg          scenario.Discovery
-	windows      []scenario.Window
+	windows      []scenario.FaultWindow
 	startedAt    float64 // of the scenario; fault windows count from it
 	rng          *rand.Rand
 	version      int64
@@ -69,7 +69,7 @@
 // New returns a discovery service whose agents know all engines as up.
 func New(p *scenario.Plan, startedAt float64) *Discovery {
 	d := &Discovery{
-		cfg: p.Discovery, windows: p.Lists, startedAt: startedAt, rng: rand.New(rand.NewPCG(p.Seed, 0x11575)), version: 1,
+		cfg: p.Discovery, windows: p.DiscoveryFaults, startedAt: startedAt, rng: rand.New(rand.NewPCG(p.Seed, 0x11575)), version: 1,
 		members: map[string]Entry{}, index: map[string]int{}, contradicted: map[int]bool{},
 	}
 	for i, spec := range p.Engine.Engines {
@@ -126,7 +126,7 @@
 		at, ok = d.pending[0].at, true
 	}
 	for i, w := range d.windows {
-		if w.Kind != scenario.ListContradicts || d.contradicted[i] {
+		if w.Kind != scenario.DiscoveryContradicts || d.contradicted[i] {
 			continue
 		}
 		if from := d.startedAt + w.From; !ok || from < at {
@@ -146,7 +146,7 @@
 // Advance delivers the updates that are due, and returns what agents received.
 func (d *Discovery) Advance(now float64) (received []Notification) {
 	for i, w := range d.windows {
-		if w.Kind == scenario.ListContradicts && !d.contradicted[i] && now >= d.startedAt+w.From {
+		if w.Kind == scenario.DiscoveryContradicts && !d.contradicted[i] && now >= d.startedAt+w.From {
 			d.contradicted[i] = true
 			d.contradict(w)
 		}
@@ -184,7 +184,7 @@
 	for i := range d.agents {
 		at := p.at + d.rng.Float64()*d.cfg.SpreadMs
 		for _, w := range d.windows {
-			if w.Kind == scenario.ListLate && d.affects(w, i) && w.On(p.at-d.startedAt) {
+			if w.Kind == scenario.DiscoveryLate && d.affects(w, i) && w.Contains(p.at-d.startedAt) {
 				at += w.Factor
 			}
 		}
@@ -199,7 +199,7 @@
 
 // contradict reverts updates: engines that drain or are removed are reported as up
 // again until the end of the window, then as they are.
-func (d *Discovery) contradict(w scenario.Window) {
+func (d *Discovery) contradict(w scenario.FaultWindow) {
 	for i, a := range d.agents {
 		if !d.affects(w, i) {
 			continue
@@ -219,14 +219,14 @@
 	}
 }
 
-func (d *Discovery) affects(w scenario.Window, agent int) bool {
+func (d *Discovery) affects(w scenario.FaultWindow, agent int) bool {
 	return w.Gateway < 0 || w.Gateway == agent
 }
 
 // Silent tells whether an agent does not answer at a time.
 func (d *Discovery) Silent(now float64, agent int) bool {
 	for _, w := range d.windows {
-		if w.Kind == scenario.ListSilent && d.affects(w, agent) && w.On(now-d.startedAt) {
+		if w.Kind == scenario.DiscoverySilent && d.affects(w, agent) && w.Contains(now-d.startedAt) {
 			return true
 		}
 	}
--- a/lab/scenario/compile.go
+++ b/lab/scenario/compile.go
@@ -10,24 +10,24 @@
 
 // The kinds of faults that are not the model's.
 const (
-	Burst           = "burst"            // the load grows by Factor
-	ListLate        = "list-late"        // news comes Factor ms later
-	ListSilent      = "list-silent"      // the agent does not answer
-	ListContradicts = "list-contradicts" // boxes that drain or are gone are told as up again, until the end
+	Burst                = "burst"            // the load grows by Factor
+	DiscoveryLate        = "list-late"        // news comes Factor ms later
+	DiscoverySilent      = "list-silent"      // the agent does not answer
+	DiscoveryContradicts = "list-contradicts" // boxes that drain or are gone are told as up again, until the end
 )
 
 // Plan is a scenario with all that chance settles, but the load, drawn from its
 // seed. Times are ms from the begin.
 type Plan struct {
 	*Scenario
-	Engine engine.Config
-	Boxes  []engine.Fault // faults of boxes
-	Lists  []Window
-	Bursts []Window
+	Engine          engine.Config
+	EngineFaults    []engine.Fault // faults of boxes
+	DiscoveryFaults []FaultWindow
+	Bursts          []FaultWindow
 }
 
 // Window is a stretch of time with a factor. Gateway is -1 for all.
-type Window struct {
+type FaultWindow struct {
 	Kind     string
 	From, To float64
 	Factor   float64
@@ -35,7 +35,7 @@
 }
 
 // On tells whether a time lies in the window.
-func (w Window) On(at float64) bool { return at >= w.From && at < w.To }
+func (w FaultWindow) Contains(at float64) bool { return at >= w.From && at < w.To }
 
 // Compile draws boxes and faults. Two calls give the same.
 func (s *Scenario) Compile() (*Plan, error) {
@@ -135,7 +135,7 @@
 
 // fault draws the boxes that a fault hits.
 func (p *Plan) fault(f Fault, r *rand.Rand) error {
-	w := Window{Kind: f.Kind, From: f.AtS * 1000, To: (f.AtS + f.LenS) * 1000, Factor: f.Factor, Gateway: -1}
+	w := FaultWindow{Kind: f.Kind, From: f.AtS * 1000, To: (f.AtS + f.LenS) * 1000, Factor: f.Factor, Gateway: -1}
 	if f.Gateway != nil {
 		w.Gateway = *f.Gateway
 	}
@@ -143,8 +143,8 @@
 	case Burst:
 		p.Bursts = append(p.Bursts, w)
 		return nil
-	case ListLate, ListSilent, ListContradicts:
-		p.Lists = append(p.Lists, w)
+	case DiscoveryLate, DiscoverySilent, DiscoveryContradicts:
+		p.DiscoveryFaults = append(p.DiscoveryFaults, w)
 		return nil
 	}
 	boxes := f.Boxes
@@ -169,7 +169,7 @@
 			return fmt.Errorf("boxes[%d]: there is no box %q", i, id)
 		}
 	}
-	p.Boxes = append(p.Boxes, engine.Fault{
+	p.EngineFaults = append(p.EngineFaults, engine.Fault{
 		Kind: engine.FaultKind(f.Kind), Engines: boxes, Start: w.From, Duration: w.To - w.From, Factor: f.Factor,
 	})
 	return nil
--- a/lab/scenario/defaults.go
+++ b/lab/scenario/defaults.go
@@ -10,7 +10,7 @@
 func defaults() *Scenario {
 	return &Scenario{
 		Seed: 1, LengthS: 40, Gateways: 3,
-		Fleet: Fleet{Zones: []string{"cambridge", "glenorchy", "kingston"}, CellSize: 5, ReadersBegin: 0.6},
+		Fleet: Fleet{Zones: []string{"cambridge", "glenorchy", "kingston"}, CellSize: 5, InitialPrefixShare: 0.6},
 		Load: Load{
 			RatePerS: 22, BurstCV: 0.25, Retries: 1, TryShare: 0.75, Honour: 0.6, BackoffMs: 150, Impatient: 0.005, Connections: 96,
 		},
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -47,8 +47,8 @@
 	CellSize int      `toml:"cell_size"` // boxes of a cell, all of one zone
 	// ReadersBegin is the share of a reader's memory that the most used shared
 	// beginnings fill at the start, as they do in a fleet that has run for long.
-	ReadersBegin float64 `toml:"readers_begin"`
-	Kinds        []Kind  `toml:"kind"`
+	InitialPrefixShare float64 `toml:"readers_begin"`
+	Kinds              []Kind  `toml:"kind"`
 }
 
 // Kind is a kind of box, with what differs from its defaults. Kinds that are
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -32,14 +32,14 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		b, _ := s.Compile()
-		if diff := cmp.Diff(a.Boxes, b.Boxes); diff != "" {
+		if diff := cmp.Diff(a.EngineFaults, b.EngineFaults); diff != "" {
 			t.Errorf("%s: two draws differ: %s", name, diff)
 		}
 		f, err := engine.New(a.Engine, 0)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		for _, fault := range a.Boxes {
+		for _, fault := range a.EngineFaults {
 			if err := f.Inject(fault); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
