--- a/facade.go
+++ b/facade.go
@@ -58,7 +58,7 @@
 	Attempt       int
 	Engine        Server
 	Prefill       bool            // Engine is a prefill engine: its answer is that it holds KV state
-	NonRepeatable bool            // the attempt may have an effect: once written, it must not be sent again
+	NonIdempotent bool            // the attempt may have an effect: once written, it must not be sent again
 	Timeout       float64         // ms to wait for the first token
 	SendBefore    float64         // clock time in ms from which it must not be written: engines drop repeats until then; 0 = no limit
 	Context       context.Context // ends when the attempt is cancelled or the client leaves
@@ -99,8 +99,8 @@
 	}, nil
 }
 
-// Update applies a membership update.
-func (r *Router) Update(form MembershipForm, entries []Server) {
+// UpdateMembership applies a membership update.
+func (r *Router) UpdateMembership(form MembershipForm, entries []Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.handle(MembershipUpdate{Form: form, Entries: entries})
@@ -133,7 +133,7 @@
 }
 
 // SetProcesses sets how many processes, including this one, count as one node. Each of them uses
-// its part of the node's slow-start budget only.
+// only its part of the node's slow-start budget.
 func (r *Router) SetProcesses(processes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,7 +157,7 @@
 	return listed, avoided
 }
 
-// RetryAfter returns the ms after which a refused client is told to try again; 0 = no advice.
+// RetryAfter returns the ms after which a refused client should try again; 0 = no advice.
 func (r *Router) RetryAfter() float64 { return millis(r.scheduler.settings.Limits.MaxRetryAfter) }
 
 // Pick admits a request and waits for its first step. The end of ctx means that the client
@@ -258,8 +258,8 @@
 
 // AnswerStalled tells whether a started answer that has been silent since silentSince will not
 // go on, so that it is to be ended as broken. othersProgressAt is when any answer of its engine
-// last made progress, and oneEvent that this one has brought a single event. The result probe
-// asks for a probe of the engine, whose report would decide. The answer may have been started
+// last made progress, and oneEvent that this one has brought a single event. If the
+// result probe is true, the caller should probe the engine, whose report would decide. The answer may have been started
 // by another process.
 func (r *Router) AnswerStalled(
 	id RequestID, attempt int, engine ServerID, silentSince, othersProgressAt float64, oneEvent bool) (stalled, probe bool) {
@@ -310,7 +310,7 @@
 	return math.Inf(1)
 }
 
-// Wake receives a value when Tick has to be called earlier than it last returned.
+// Wake receives a value when Tick must be called earlier than its last result said.
 func (r *Router) Wake() <-chan struct{} { return r.wake }
 
 // attemptServer returns the server of an attempt, or "" for an unknown one.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -93,7 +93,7 @@
 
 // UpdateMembership applies a membership update.
 func (g *Gateway) UpdateMembership(form ashwood.MembershipForm, engines []ashwood.Server) {
-	g.router.Update(form, engines)
+	g.router.UpdateMembership(form, engines)
 	g.releaser.updateMembership(form, engines)
 	if g.log.Enabled(context.Background(), slog.LevelDebug) {
 		for _, engine := range engines {
@@ -110,7 +110,7 @@
 func (g *Gateway) Holds() (open int, oldest float64) { return g.holdLog.gauges() }
 
 // Engines returns the number of engines in the membership and how many of them are avoided now; see ashwood.Router.
-func (g *Gateway) Engines() (listed, avoided int) { return g.router.CountEngines() }
+func (g *Gateway) CountEngines() (listed, avoided int) { return g.router.CountEngines() }
 
 // SetProcesses sets how many processes count as this one gateway; see ashwood.Router.
 func (g *Gateway) SetProcesses(processes int) { g.router.SetProcesses(processes) }
@@ -124,7 +124,7 @@
 
 // TurnAway counts a request that a front itself refuses because it has no capacity left, and returns
 // the time after which its client may retry, as RetryAfter does.
-func (g *Gateway) TurnAway(class string) float64 {
+func (g *Gateway) RecordRefusal(class string) float64 {
 	g.metrics.RequestEnded(class, metrics.Throttled)
 	return g.RetryAfter()
 }
@@ -199,7 +199,7 @@
 	attemptCtx, cancel := context.WithCancelCause(step.Context)
 	stop := g.clock.AfterFunc(step.Timeout, func() { cancel(ErrFirstTokenTimeout) })
 	result := g.transport.Send(attemptCtx, Attempt{
-		Request: request, Engine: step.Engine, Prefill: step.Prefill, NonIdempotent: step.NonRepeatable, Remaining: step.Timeout,
+		Request: request, Engine: step.Engine, Prefill: step.Prefill, NonIdempotent: step.NonIdempotent, Remaining: step.Timeout,
 		MayWrite: func() bool {
 			late := step.SendBefore > 0 && g.clock.Now() >= step.SendBefore
 			if late || attemptCtx.Err() != nil || !g.router.Accepts(step.Engine.ID) {
@@ -241,7 +241,7 @@
 	case ashwood.StatusConnectFailed, ashwood.StatusNotSent:
 		holds.pauseReleases(false)
 	case ashwood.StatusRejected, ashwood.StatusServerError:
-		holds.attemptTurnedAway()
+		holds.attemptRejected()
 	default:
 		holds.attemptEnded(showsEngineRuns(result.Status))
 	}
--- a/gateway/holds_time_test.go
+++ b/gateway/holds_time_test.go
@@ -322,7 +322,7 @@
 // An engine that turns a request away does not end earlier holds: uncertain releases are still repeated. Guards against a fault
 // found by review during the fix for seed 406: every answer ended the repeats. Here the connection to r1 is lost and r1 is sent a release at 0,
 // and then leaves the membership; r2 turns the request away at 0, 40, 120, 280 and 600 ms, and r1 was sent nothing in between.
-func TestServe_TurnedAwayKeepsRepeats(t *testing.T) {
+func TestServe_RejectionKeepsRepeats(t *testing.T) {
 	fake := &fakeTransport{reserveResult: ReserveNotSent, recordReleases: true, results: map[ashwood.ServerID][]AttemptResult{
 		"r1": {resultOf(ashwood.StatusConnectionLost)},
 		"r2": slices.Repeat([]AttemptResult{resultOf(ashwood.StatusRejected)}, 9),
--- a/internal/platform/conn.go
+++ b/internal/platform/conn.go
@@ -276,7 +276,7 @@
 	firstRequestDeadline time.Time    // the first request must be complete by then
 	requestStarted       atomic.Bool  // bytes of a request have been read
 	answerStarted        atomic.Bool  // bytes of an answer have been written
-	owesPipelinedAnswer  atomic.Bool  // a pipelined request would need an answer if the connection closed now
+	pipelinedUnanswered  atomic.Bool  // a pipelined request would need an answer if the connection closed now
 
 	// Managed by the listener:
 	waitingElement *list.Element // in listener.waiting; nil while a request is open
@@ -339,7 +339,7 @@
 // awaitNextRequest records that the next request is being read: the previous answer has been written.
 func (c *clientConn) awaitNextRequest() {
 	c.answerEnded = false
-	c.owesPipelinedAnswer.Store(false)
+	c.pipelinedUnanswered.Store(false)
 	c.mu.Lock()
 	c.requestStarted.Store(len(c.readAhead) > 0)
 	c.mu.Unlock()
--- a/internal/platform/engines.go
+++ b/internal/platform/engines.go
@@ -76,7 +76,7 @@
 
 // Log sets the logger that records each new connection at level debug. It must be
 // called before the first request.
-func (e *Engines) Log(log *slog.Logger) { e.pool.log = log }
+func (e *Engines) SetLogger(log *slog.Logger) { e.pool.log = log }
 
 // SetProcesses sets the number of processes among which the connection limit is divided.
 func (e *Engines) SetProcesses(processes int) { e.pool.setProcesses(processes) }
@@ -106,13 +106,13 @@
 
 // engineCall is one HTTP request to an engine.
 type engineCall struct {
-	addr   string
-	choice connChoice // which connections it may use
-	header *fasthttp.RequestHeader
-	body   []byte
-	ready  func() bool       // called right before the first byte is written: false cancels the call; nil = always ready
-	sent   func()            // called right after the last byte has been written; nil = no call
-	abort  func(*engineConn) // ends a connection whose response is not read to its end; nil = close it at once
+	addr     string
+	choice   connChoice // which connections it may use
+	header   *fasthttp.RequestHeader
+	body     []byte
+	mayWrite func() bool       // called right before the first byte is written: false cancels the call; nil = always ready
+	sent     func()            // called right after the last byte has been written; nil = no call
+	abort    func(*engineConn) // ends a connection whose response is not read to its end; nil = close it at once
 }
 
 // roundTrip writes one request and reads the response header. The caller owns the
@@ -143,7 +143,7 @@
 		}
 		c = nil
 	}()
-	if call.ready != nil && !call.ready() {
+	if call.mayWrite != nil && !call.mayWrite() {
 		return c, false, errNotReady
 	}
 	buffers := net.Buffers{call.header.AppendBytes(nil)}
@@ -220,7 +220,7 @@
 		choice = newConn
 	}
 	c, written, err := e.roundTrip(ctx, engineCall{
-		addr: attempt.Engine.Address, choice: choice, header: header, body: attempt.Body, ready: ready, sent: attempt.OnSent, abort: e.pool.abandon,
+		addr: attempt.Engine.Address, choice: choice, header: header, body: attempt.Body, mayWrite: ready, sent: attempt.OnSent, abort: e.pool.abandon,
 	}, &response)
 	if err != nil {
 		return failedAnswer(ctx, written, err)
@@ -313,7 +313,7 @@
 	var response fasthttp.ResponseHeader
 	header := newRequestHeader(fasthttp.MethodPost, holdsPath+string(id), engine.Address)
 	header.SetContentLength(0)
-	c, written, err := e.roundTrip(ctx, engineCall{addr: engine.Address, header: header, ready: ready}, &response)
+	c, written, err := e.roundTrip(ctx, engineCall{addr: engine.Address, header: header, mayWrite: ready}, &response)
 	if err == nil {
 		_, err = e.readShortBody(ctx, c, &response, e.pool.discard)
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -108,7 +108,7 @@
 	return ashwood.Settings{
 		Nodes: 1, Reservations: true, Reports: ashwood.ReportInline,
 		Kinds: []ashwood.Kind{
-			{Name: "reader", Role: ashwood.RoleRead, MemoryTokens: 1e5}, {Name: "writer", Role: ashwood.RoleWrite, MemoryTokens: 1e5}},
+			{Name: "reader", Role: ashwood.RolePrefill, MemoryTokens: 1e5}, {Name: "writer", Role: ashwood.RoleDecode, MemoryTokens: 1e5}},
 		Classes: []ashwood.Class{class("chat", ashwood.Pure), class("order", ashwood.SideEffect)},
 		Limits:  ashwood.Limits{MaxAttempts: 6, Cancel: true, RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, ConnectTimeout: 2 * time.Second},
 	}
--- a/placement_test.go
+++ b/placement_test.go
@@ -139,14 +139,14 @@
 }
 
 // The gateway's own count of prefills in flight is scaled up to all gateways. Unscaled, it would look like a gap in load
-// beside reports, which cover all gateways.
+// compared with reports, which cover all gateways.
 func TestLoadEstimate_OwnCountsAndReports(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 3
 	gateway := newGateway(t, settings, prefillServer("r1"))
 	server := gateway.scheduler.servers["r1"]
 	server.pendingPrefills = 2
-	count, _ := gateway.scheduler.loadEstimate(RoleRead)
+	count, _ := gateway.scheduler.loadEstimate(RolePrefill)
 	if got := count(server); got != 6 {
 		t.Errorf("estimate of %v in flight, want 6", got)
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -140,8 +140,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("router: %w", err)
 	}
-	if l, ok := transport.(interface{ Log(*slog.Logger) }); ok {
-		l.Log(o.logger)
+	if l, ok := transport.(interface{ SetLogger(*slog.Logger) }); ok {
+		l.SetLogger(o.logger)
 	}
 	core, err := gateway.New(cfg.Settings, cfg.Seed, transport, o.clock, o.logger)
 	if err != nil {
@@ -168,7 +168,7 @@
 	r.goroutines.Go(func() { r.gateway.Run(r.ctx) })
 	for _, s := range r.sources {
 		r.goroutines.Go(func() {
-			if err := s.Run(r.ctx, r.Update); err != nil && r.ctx.Err() == nil {
+			if err := s.Run(r.ctx, r.UpdateMembership); err != nil && r.ctx.Err() == nil {
 				r.logger.Error("membership source failed; keeping the current membership", "err", err)
 			}
 		})
@@ -177,7 +177,7 @@
 }
 
 // Update applies a membership update, as from a Source.
-func (r *Router) Update(form ashwood.MembershipForm, engines []ashwood.Server) {
+func (r *Router) UpdateMembership(form ashwood.MembershipForm, engines []ashwood.Server) {
 	r.gateway.UpdateMembership(form, engines)
 	if form == ashwood.MembershipSnapshot {
 		r.transport.RetainOnly(engines)
@@ -194,7 +194,7 @@
 // WriteMetrics writes the router's counters since its start and its gauges in the statsd
 // format, one name:value|kind per line; see package metrics for what each counts.
 func (r *Router) WriteMetrics(w io.Writer) error {
-	listed, avoided := r.gateway.Engines()
+	listed, avoided := r.gateway.CountEngines()
 	holds, oldest := r.gateway.Holds()
 	return r.gateway.Metrics().WriteStatsd(w, metricsPrefix, metrics.Gauges{
 		OpenRequests: r.InFlight(), Engines: listed, EnginesAvoided: avoided, OpenHolds: holds, OldestHoldAge: oldest,
@@ -226,7 +226,7 @@
 
 // TurnAway counts a request that a front refuses by itself because it is overloaded, and
 // returns how many ms its client should wait, as RetryAfter does.
-func (r *Router) TurnAway(class string) float64 { return r.gateway.TurnAway(class) }
+func (r *Router) RecordRefusal(class string) float64 { return r.gateway.RecordRefusal(class) }
 
 // Serve carries a request to its final reply: refused, failed, or served with a stream that
 // has its first piece. It is for fronts; a request that limits turn away gets a refused reply
