--- a/cmd/ashlab/soak.go
+++ b/cmd/ashlab/soak.go
@@ -45,7 +45,7 @@
 						case silence:
 							story = soak.GenerateSilence(seed, length)
 						case ending:
-							story = soak.GenerateEnding(seed, length)
+							story = soak.GenerateTermination(seed, length)
 						}
 						if opt.Logs != "" {
 							one.Logs = filepath.Join(opt.Logs, fmt.Sprint(seed))
--- a/lab/soak/agent.go
+++ b/lab/soak/agent.go
@@ -11,53 +11,54 @@
 	"time"
 )
 
-// agent is discovery on one gateway's machine. It answers at once with what it has, and stays
-// silent while discovery is.
+// agent is the discovery agent of one gateway. It answers long polls with the current membership,
+// and answers nothing while a discovery fault is active.
 type agent struct {
-	world   *world
-	gateway int
-	l       net.Listener
-	http    *http.Server
-
-	mu     sync.Mutex
-	silent int
-	change chan struct{} // closed at the next change of any kind
+	testbed  *testbed
+	gateway  int
+	listener net.Listener
+	http     *http.Server
+
+	mu       sync.Mutex
+	silences int
+	changed  chan struct{} // closed at the next change of the membership or of silences
 }
 
-func (w *world) openAgent(gateway int) (*agent, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func (tb *testbed) openAgent(gateway int) (*agent, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("soak: %w", err)
 	}
-	a := &agent{world: w, gateway: gateway, l: l, change: make(chan struct{})}
+	a := &agent{testbed: tb, gateway: gateway, listener: listener, changed: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", a.targets)
 	a.http = &http.Server{Handler: mux}
-	w.background.Go(func() { _ = a.http.Serve(l) }) // it ends with the listener
+	tb.background.Go(func() { _ = a.http.Serve(listener) }) // returns when the listener is closed
 	return a, nil
 }
 
-func (a *agent) addr() string { return a.l.Addr().String() }
+func (a *agent) addr() string { return a.listener.Addr().String() }
 
 func (a *agent) close() { a.http.Close() }
 
-// news wakes those that watch.
-func (a *agent) news() {
+// notifyWatchers wakes all pending long polls.
+func (a *agent) notifyWatchers() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	close(a.change)
-	a.change = make(chan struct{})
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-func (a *agent) hush(by int) {
+// changeSilence adds delta to the number of active silences.
+func (a *agent) changeSilence(delta int) {
 	a.mu.Lock()
-	a.silent += by
+	a.silences += delta
 	a.mu.Unlock()
-	a.news()
+	a.notifyWatchers()
 }
 
-// targetList is a list in discovery's form.
-type targetList struct {
+// targetsReply is the answer of discovery's API: a snapshot of the membership.
+type targetsReply struct {
 	Generation int64         `json:"generation"`
 	Reset      bool          `json:"reset"`
 	Instances  []targetEntry `json:"instances"`
@@ -74,21 +75,21 @@
 	Started   float64 `json:"startedAtMs"`
 }
 
-// list is the whole list as one gateway is told it.
-func (w *world) list(gateway int) targetList {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	out := targetList{Generation: w.generation, Reset: true}
-	for _, e := range w.engines {
-		out.Instances = append(out.Instances, targetEntry{
-			ID: e.spec.ID, HostPort: e.links[gateway].addr, Zone: zoneName(e.spec.Zone), Kind: kindOf(e.spec.Role), Cell: e.spec.Zone,
-			Lifecycle: w.lifecycle[e.index], Weight: 1, Started: w.startedAt[e.index],
+// membership returns the snapshot for one gateway, with the addresses of its own links.
+func (tb *testbed) membership(gateway int) targetsReply {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	reply := targetsReply{Generation: tb.generation, Reset: true}
+	for _, e := range tb.engines {
+		reply.Instances = append(reply.Instances, targetEntry{
+			ID: e.spec.ID, HostPort: e.links[gateway].addr, Zone: zoneName(e.spec.Zone), Kind: kindName(e.spec.Role), Cell: e.spec.Zone,
+			Lifecycle: tb.lifecycle[e.index], Weight: 1, Started: tb.startedAt[e.index],
 		})
 	}
-	return out
+	return reply
 }
 
-const mostHold = 60 * time.Second
+const maxPollHold = 60 * time.Second
 
 func (a *agent) targets(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
@@ -99,31 +100,31 @@
 	if err != nil {
 		holdMs = 0
 	}
-	until := time.NewTimer(min(time.Duration(holdMs*float64(time.Millisecond)), mostHold))
-	defer until.Stop()
-	due := from < 0
+	timer := time.NewTimer(min(time.Duration(holdMs*float64(time.Millisecond)), maxPollHold))
+	defer timer.Stop()
+	expired := from < 0
 	for {
 		a.mu.Lock()
-		silent, change := a.silent > 0, a.change
+		silent, change := a.silences > 0, a.changed
 		a.mu.Unlock()
-		list := a.world.list(a.gateway)
-		if !silent && (due || list.Generation > from) {
-			a.write(w, list)
+		reply := a.testbed.membership(a.gateway)
+		if !silent && (expired || reply.Generation > from) {
+			a.write(w, reply)
 			return
 		}
 		select {
 		case <-change:
-		case <-until.C:
-			due = true
+		case <-timer.C:
+			expired = true
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// write answers with a list; from then on the gateway counts as told of it.
-func (a *agent) write(w http.ResponseWriter, list targetList) {
-	raw, err := json.Marshal(list)
+// write sends a reply; from then on the gateway counts as notified of its entries.
+func (a *agent) write(w http.ResponseWriter, reply targetsReply) {
+	raw, err := json.Marshal(reply)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -131,12 +132,12 @@
 	if _, err := w.Write(raw); err != nil {
 		return
 	}
-	for i, entry := range list.Instances {
-		a.world.check.drains(a.gateway, i, entry.Lifecycle != lifecycleUp)
+	for i, entry := range reply.Instances {
+		a.testbed.checker.setDrainKnown(a.gateway, i, entry.Lifecycle != lifecycleUp)
 	}
 }
 
-// Lifecycles of engines in a list.
+// Lifecycles of engines in a reply.
 const (
 	lifecycleUp       = "up"
 	lifecycleDraining = "draining"
@@ -144,26 +145,26 @@
 
 func zoneName(zone int) string { return string(rune('a' + zone)) }
 
-func kindOf(r Role) string {
+func kindName(r Role) string {
 	return map[Role]string{Prefill: "prefill", Decode: "decode", Mixed: "mixed"}[r]
 }
 
-// tell changes an engine's entry in all lists.
-func (w *world) tell(engine int, lifecycle string, started float64) {
-	w.mu.Lock()
-	w.generation++
-	w.lifecycle[engine], w.startedAt[engine] = lifecycle, started
-	agents := append([]*agent(nil), w.agents...)
-	w.mu.Unlock()
+// updateMembership changes an engine's entry and wakes all agents' long polls.
+func (tb *testbed) updateMembership(engine int, lifecycle string, started float64) {
+	tb.mu.Lock()
+	tb.generation++
+	tb.lifecycle[engine], tb.startedAt[engine] = lifecycle, started
+	agents := append([]*agent(nil), tb.agents...)
+	tb.mu.Unlock()
 	for _, a := range agents {
-		a.news()
+		a.notifyWatchers()
 	}
 }
 
-// settings is the object that a gateway is configured with.
-func (w *world) settings(gateway int) map[string]any {
+// gatewaySettings returns the settings object of a gateway's configuration.
+func (tb *testbed) gatewaySettings(gateway int) map[string]any {
 	type object = map[string]any
-	s := w.story
+	s := tb.scenario
 	var lanes []object
 	for _, c := range s.Classes {
 		lanes = append(lanes, object{
@@ -182,14 +183,14 @@
 			"attempts_cap": 6, "cancel": true, "probes": s.Probes, "retry_after": true, "max_retry_after": 500, "connect_timeout": 250, "conn_idle": 15000,
 			"second_copies": false,
 		},
-		"obligations": object{"fall_multiple": fallMultiple, "fall": 1000, "start_capacity": coldFrom, "warm_within": millis(warmWithin), "ask_every": 10000},
+		"obligations": object{"fall_multiple": slowStartMultiple, "fall": 1000, "start_capacity": coldCapacity, "warm_within": millis(warmUpTime), "ask_every": 10000},
 		"report":      object{"how": s.Reports, "fields": []string{"busy_reqs", "pending", "x0", "x1"}},
 	}
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// sleep waits, and tells whether the run goes on.
+// sleep waits for d; it returns false if ctx ends before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/lab/soak/checker.go
+++ b/lab/soak/checker.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// Rule names a rule.
+// Rule names a rule that the checker verifies.
 type Rule string
 
 // The rules.
 const (
-	Lost      Rule = "lost"
-	Late      Rule = "late answer"
-	Duplicate Rule = "duplicate"
-	Drain     Rule = "drain"
-	Failback  Rule = "failback"
-	Held      Rule = "held"
-	HeldBack  Rule = "held-back events"
-	Told      Rule = "time told to an engine"
-	Crash     Rule = "crash"
+	RuleLost           Rule = "lost"
+	RuleLateAnswer     Rule = "late answer"
+	RuleDuplicate      Rule = "duplicate"
+	RuleDrain          Rule = "drain"
+	RuleSlowStart      Rule = "failback"
+	RuleHolds          Rule = "held"
+	RuleHeldBackEvents Rule = "held-back events"
+	RuleRemainingTime  Rule = "time told to an engine"
+	RuleCrash          Rule = "crash"
 )
 
-// The rules' figures, with the protocol's tolerance for sockets.
+// Limits of the rules. Sums include the protocol's tolerance for work over real sockets.
 const (
-	heldFor       = 500*time.Millisecond + 300*time.Millisecond + 50*time.Millisecond
-	drainFor      = time.Second + 150*time.Millisecond
-	overlapFor    = 50 * time.Millisecond
-	answerSlack   = 500 * time.Millisecond
-	leaveSlack    = 100*time.Millisecond + 50*time.Millisecond
-	toldSlack     = 150*time.Millisecond + 50*time.Millisecond
-	eventSlack    = 300 * time.Millisecond
-	stoppedFor    = 3 * time.Second // of silence, after which a stream may be taken to have stopped
-	streamSilence = 5*time.Second + 500*time.Millisecond
-	exemptFor     = 700 * time.Millisecond // of what is taken after SIGTERM
-	sweepEvery    = 20 * time.Millisecond
-	heldUpFor     = 150 * time.Millisecond // by which a gateway may be late without excuse
+	maxHoldTime        = 500*time.Millisecond + 300*time.Millisecond + 50*time.Millisecond
+	maxDrainDelay      = time.Second + 150*time.Millisecond
+	maxOverlap         = 50 * time.Millisecond
+	answerSlack        = 500 * time.Millisecond
+	cancelSlack        = 100*time.Millisecond + 50*time.Millisecond
+	remainingTimeSlack = 150*time.Millisecond + 50*time.Millisecond
+	maxEventDelay      = 300 * time.Millisecond
+	stoppedStreamAfter = 3 * time.Second // of silence, after which the caller may treat a stream as stopped
+	maxStreamSilence   = 5*time.Second + 500*time.Millisecond
+	exemptAfterTerm    = 700 * time.Millisecond // requests written up to this long after SIGTERM may be lost with the process
+	sweepInterval      = 20 * time.Millisecond
+	toleratedPause     = 150 * time.Millisecond // pauses up to this count as the gateway's own lateness
 )
 
-// Break is a broken rule, with what its request went through.
-type Break struct {
+// Violation is a broken rule with the history of its request.
+type Violation struct {
 	Rule    Rule
 	At      time.Duration
 	ID      string
@@ -48,8 +48,8 @@
 	History []string
 }
 
-// String writes a break with its history.
-func (b Break) String() string {
+// String formats the violation and its history.
+func (b Violation) String() string {
 	text := fmt.Sprintf("%7.3fs rule broken: %s: %s %s\n", b.At.Seconds(), b.Rule, b.ID, b.Text)
 	for _, line := range b.History {
 		text += "    " + line + "\n"
@@ -57,12 +57,12 @@
 	return text
 }
 
-// Counts are what a run has seen.
+// Counts holds the totals of one run or of several. They are printed under their field names.
 type Counts struct {
 	Requests, Served, Refused, Failed, Left, Exempt int
 	Attempts, Reservations, Releases, Probes        int
 	Holds, Streams, HeldBackStreams, Unread         int
-	NoCase                                          int // requests on connections that the protocol does not have
+	NoCase                                          int // requests on connections that the protocol rules out
 }
 
 // Add adds another run's counts.
@@ -74,172 +74,172 @@
 	c.NoCase += o.NoCase
 }
 
-// checker counts the rules from what engines and clients see. It knows nothing of what
-// gateways say of themselves.
+// checker verifies the rules from what engines and clients observe. It uses nothing that
+// gateways report about themselves.
 type checker struct {
-	story *Story
-	begun time.Time
-
-	mu       sync.Mutex
-	requests map[string]*request
-	told     map[[2]int]time.Time // gateway, engine: since when the gateway knows that it drains
-	openFrom map[[2]int]time.Time // gateway, engine: since when the engine can be reached; none = it can't
-	pauses   [][]pause            // by gateway
-	lags     []pause              // of the machine
-	lateness []lateMoment         // of the soak itself
-	lateRead []string             // events that came late, and how late their clients read them
-	died     []time.Time          // by gateway, the latest
-	cold     map[int]*coldEngine
-	breaks   []Break
-	counts   Counts
+	scenario *FaultScenario
+	start    time.Time
+
+	mu              sync.Mutex
+	requests        map[string]*request
+	drainKnownSince map[[2]int]time.Time // by gateway and engine: when the gateway was notified that the engine drains or is gone
+	reachableSince  map[[2]int]time.Time // by gateway and engine: since when the engine is reachable; no entry = unreachable
+	pauses          [][]interval         // of each gateway's process
+	machineLags     []interval           // times in which timers of this machine fired late
+	lateness        []latenessRecord     // of the soak process itself
+	lateEvents      []string             // descriptions of stream events that clients read late
+	exitedAt        []time.Time          // by gateway: when its last process exited
+	coldEngines     map[int]*coldEngine
+	violations      []Violation
+	counts          Counts
 }
 
-// pause is a time in which a gateway's process was stopped.
-type pause struct{ from, to time.Time }
+// interval is a time span, such as a pause of a gateway's process; a zero to means that it has not ended.
+type interval struct{ from, to time.Time }
 
-// request is what is known of one.
+// request is what the checker knows of one request.
 type request struct {
-	id       string
-	class    Class
-	gateway  int
-	asked    time.Time
-	written  bool      // whole, at asked; before, asked is when that began
-	untimed  []func()  // checks that wait for it
-	left     time.Time // its client did; zero = not
-	answer   string    // its final one
-	attempts []*attempt
-	holds    map[int]*hold
-	lastEnd  time.Time
-	brokeIn  time.Duration // its stream broke so long behind its last event; 0 = it did not
-	leftIn   bool          // an engine saw its stream left by the caller
-	history  []string
-	reported map[Rule]bool
+	id             string
+	class          Class
+	gateway        int
+	sentAt         time.Time
+	fullyWritten   bool      // if not, sentAt is when writing began, otherwise when it was complete
+	pendingChecks  []func()  // checks that need the time at which writing was complete
+	leftAt         time.Time // when its client closed the connection; zero = it did not
+	outcome        string    // its final outcome for the client
+	attempts       []*attempt
+	holds          map[int]*hold
+	lastAttemptEnd time.Time
+	brokenAfter    time.Duration // time from the stream's last event to its break; 0 = not broken
+	streamClosed   bool          // an engine saw the gateway close the stream
+	history        []string
+	reported       map[Rule]bool
 }
 
-// hold is a KV state or a reservation at an engine.
+// hold is KV state or a reservation that an engine keeps for a request.
 type hold struct {
-	place   bool
-	unknown bool // its attempt or call had been given up before
-	since   time.Time
+	reservation bool
+	callerGone  bool // the gateway had closed the attempt or call before the hold began
+	since       time.Time
 }
 
-// attempt is one that an engine which runs has read.
+// attempt is an attempt that a running engine has read whole.
 type attempt struct {
-	engine    int
-	role      Role
-	conn      *linkConn
-	over      bool
-	turned    bool // away: it never ran
-	begun     bool // its answer has: it waits for nothing more
-	overlapAt time.Time
+	engine       int
+	role         Role
+	conn         *linkConn
+	ended        bool
+	rejected     bool // the engine rejected it: it never ran
+	answerBegun  bool // its answer has begun: it needs no hold any more
+	overlapSince time.Time
 }
 
-// coldEngine is one that has just started anew.
+// coldEngine is an engine in slow start.
 type coldEngine struct {
-	since    time.Time
-	arrivals []time.Time
+	startedAt time.Time
+	arrivals  []time.Time
 }
 
-func newChecker(s *Story, begun time.Time) *checker {
+func newChecker(s *FaultScenario, start time.Time) *checker {
 	c := &checker{
-		story: s, begun: begun, requests: map[string]*request{}, told: map[[2]int]time.Time{}, openFrom: map[[2]int]time.Time{},
-		pauses: make([][]pause, s.Gateways), died: make([]time.Time, s.Gateways), cold: map[int]*coldEngine{},
+		scenario: s, start: start, requests: map[string]*request{}, drainKnownSince: map[[2]int]time.Time{}, reachableSince: map[[2]int]time.Time{},
+		pauses: make([][]interval, s.Gateways), exitedAt: make([]time.Time, s.Gateways), coldEngines: map[int]*coldEngine{},
 	}
 	for g := range s.Gateways {
 		for e := range s.Engines {
-			c.openFrom[[2]int{g, e}] = begun
+			c.reachableSince[[2]int{g, e}] = start
 		}
 	}
 	return c
 }
 
-// begins tells when the run has: the time before it counts for nothing.
-func (c *checker) begins(at time.Time) {
+// setStart sets the time at which the run starts. Times in the report count from it.
+func (c *checker) setStart(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.begun = at
+	c.start = at
 }
 
-const mostHistory = 60
+const maxHistory = 60
 
-func (c *checker) note(r *request, format string, args ...any) {
-	if len(r.history) < mostHistory {
-		r.history = append(r.history, fmt.Sprintf("%8.3f ", time.Since(c.begun).Seconds())+fmt.Sprintf(format, args...))
+func (c *checker) addHistory(r *request, format string, args ...any) {
+	if len(r.history) < maxHistory {
+		r.history = append(r.history, fmt.Sprintf("%8.3f ", time.Since(c.start).Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
-func (c *checker) broke(rule Rule, r *request, format string, args ...any) {
-	b := Break{Rule: rule, At: time.Since(c.begun), Text: fmt.Sprintf(format, args...)}
+func (c *checker) addViolation(rule Rule, r *request, format string, args ...any) {
+	b := Violation{Rule: rule, At: time.Since(c.start), Text: fmt.Sprintf(format, args...)}
 	if r != nil {
 		if r.reported[rule] {
 			return
 		}
 		r.reported[rule] = true
-		b.ID, b.History = r.id, append(slices.Clone(r.history), c.latenessIn(r.asked, time.Now())...)
+		b.ID, b.History = r.id, append(slices.Clone(r.history), c.describeLateness(r.sentAt, time.Now())...)
 	}
-	c.breaks = append(c.breaks, b)
+	c.violations = append(c.violations, b)
 }
 
-// asks tells that a client begins to write a request; asked, that it is written whole, on a connection of an age that has or
-// has not brought an answer before. What is left unanswered may be that of an idle connection or of one that came up late.
-func (c *checker) asks(id string, class Class, gateway int) {
+// requestBegun records that a client begins to write a request. requestWritten records that it is written whole, on a connection of
+// the given age that has (reused) or has not carried an answer before; both help to explain an unanswered request.
+func (c *checker) requestBegun(id string, class Class, gateway int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if r := c.requests[id]; r != nil { // sent again on a new connection, as it was not read
-		r.written = false
+	if r := c.requests[id]; r != nil { // sent again on a new connection, as the gateway had not read it
+		r.fullyWritten = false
 		return
 	}
 	now := time.Now()
-	r := &request{id: id, class: class, gateway: gateway, asked: now, holds: map[int]*hold{}, lastEnd: now, reported: map[Rule]bool{}}
+	r := &request{id: id, class: class, gateway: gateway, sentAt: now, holds: map[int]*hold{}, lastAttemptEnd: now, reported: map[Rule]bool{}}
 	c.requests[id] = r
-	c.note(r, "for gateway %d: %s (%s), waits %v", gateway, class.Name, class.Effect, class.Deadline)
+	c.addHistory(r, "to gateway %d: %s (%s), deadline %v", gateway, class.Name, class.Effect, class.Deadline)
 }
 
-func (c *checker) asked(id string, at time.Time, age time.Duration, reused bool) {
+func (c *checker) requestWritten(id string, at time.Time, age time.Duration, reused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Requests++
 	r := c.requests[id]
-	r.asked, r.written = at, true
-	r.time()
-	c.note(r, "written whole, on a connection that is %v old (used before: %v)", age, reused)
+	r.sentAt, r.fullyWritten = at, true
+	r.runPendingChecks()
+	c.addHistory(r, "written whole, on a connection that is %v old (used before: %v)", age, reused)
 }
 
-// time makes the checks that have waited for the time at which the request was written whole.
-func (r *request) time() {
-	for _, check := range r.untimed {
+// runPendingChecks runs the checks that needed the time at which the request was written whole.
+func (r *request) runPendingChecks() {
+	for _, check := range r.pendingChecks {
 		check()
 	}
-	r.untimed = nil
+	r.pendingChecks = nil
 }
 
-// leaves tells that a client closes before its answer.
-func (c *checker) leaves(id string) {
+// clientLeft records that a client closes its connection before the end of its answer.
+func (c *checker) clientLeft(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.requests[id]; r != nil {
-		r.left = time.Now()
+		r.leftAt = time.Now()
 		c.counts.Left++
-		c.note(r, "the client leaves")
+		c.addHistory(r, "the client closes its connection")
 	}
 }
 
-// answered tells how a request has ended for its client, at a time.
-func (c *checker) answered(id, how string, at time.Time) {
+// requestEnded records the outcome of a request for its client.
+func (c *checker) requestEnded(id, outcome string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.requests[id]
 	if r == nil {
 		return
 	}
-	r.answer = how
-	c.note(r, "the client: %s", how)
-	switch how {
+	r.outcome = outcome
+	c.addHistory(r, "the client: %s", outcome)
+	switch outcome {
 	case answerServed, answerBroken:
 		c.counts.Served++
 	case answerRefused:
 		c.counts.Refused++
-		c.refusedAfterRun(r)
+		c.checkRefusal(r)
 	case answerFailed:
 		c.counts.Failed++
 	case answerExempt:
@@ -247,62 +247,63 @@
 	case answerNoCase:
 		c.counts.NoCase++
 		if len(r.attempts) > 0 {
-			c.broke(Lost, r, "%s, though it was sent to an engine", how)
+			c.addViolation(RuleLost, r, "%s, though it was sent to an engine", outcome)
 		}
 	case answerUnread:
 		c.counts.Unread++
 		if len(r.attempts) > 0 {
-			c.broke(Lost, r, "closed without an answer, though it was sent to an engine")
+			c.addViolation(RuleLost, r, "closed without an answer, though it was sent to an engine")
 		}
 	default:
-		c.broke(Lost, r, "%s", how)
+		c.addViolation(RuleLost, r, "%s", outcome)
 	}
-	late := at.Sub(r.asked) - r.class.Deadline - answerSlack - c.paused(r.gateway, r.asked, at)
-	if late > heldUpFor && (how == answerRefused || how == answerFailed) {
-		c.broke(Late, r, "%s %v after its time", how, late+answerSlack)
+	late := at.Sub(r.sentAt) - r.class.Deadline - answerSlack - c.pausedBetweenLocked(r.gateway, r.sentAt, at)
+	if late > toleratedPause && (outcome == answerRefused || outcome == answerFailed) {
+		c.addViolation(RuleLateAnswer, r, "%s %v after its deadline", outcome, late+answerSlack)
 	}
 }
 
-// refusedAfterRun checks a refusal of what must not be repeated.
-func (c *checker) refusedAfterRun(r *request) {
+// checkRefusal reports a refused request with a side effect that an engine may have run: the client may repeat what was refused.
+func (c *checker) checkRefusal(r *request) {
 	for _, a := range r.attempts {
-		if r.class.Effect == SideEffect && a.role != Prefill && !a.turned {
-			c.broke(Duplicate, r, "refused, though engine %d may have run it", a.engine)
+		if r.class.Effect == SideEffect && a.role != Prefill && !a.rejected {
+			c.addViolation(RuleDuplicate, r, "refused, though engine %d may have run it", a.engine)
 		}
 	}
 }
 
-// sees tells of a broken rule that a client has seen.
-func (c *checker) sees(rule Rule, id, text string) {
+// reportViolation records a broken rule that the caller has observed.
+func (c *checker) reportViolation(rule Rule, id, text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.broke(rule, c.requests[id], "%s", text)
+	c.addViolation(rule, c.requests[id], "%s", text)
 }
 
-// reserves and probes count calls.
-func (c *checker) reserves() {
+// countReservation counts a reservation call.
+func (c *checker) countReservation() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Reservations++
 }
 
-func (c *checker) probes() {
+// countProbe counts a probe.
+func (c *checker) countProbe() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Probes++
 }
 
-// broken tells that a stream broke for its client, so long behind its last event.
-func (c *checker) broken(id string, behind time.Duration) {
+// streamBroken records that a stream broke for its client, the given time after its last event.
+func (c *checker) streamBroken(id string, after time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.requests[id]; r != nil {
-		r.brokeIn = max(behind, 1)
+		r.brokenAfter = max(after, 1)
 	}
 }
 
-// streamed counts a whole stream, and whether one of its events was held back.
-func (c *checker) streamed(heldBack bool) {
+// streamFinished counts a whole stream, and whether one of its events was held back.
+func (c *checker) streamFinished(heldBack bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Streams++
@@ -311,32 +312,32 @@
 	}
 }
 
-// eventLate notes an event that a client read so long behind its engine's write, and when its last byte had come.
-func (c *checker) eventLate(id string, n int, wrote, came, read time.Time) {
+// recordLateEvent records an event that its client read late: when its engine wrote it, when its last byte arrived and when it was read.
+func (c *checker) recordLateEvent(id string, n int, writtenAt, arrivedAt, readAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.noteLate(lateClient, came, read.Sub(came))
-	if len(c.lateRead) < mostHistory {
-		c.lateRead = append(c.lateRead, fmt.Sprintf("event %d of %s, written at %.3f, came %v later and was read %v behind that", n, id,
-			wrote.Sub(c.begun).Seconds(), came.Sub(wrote).Round(time.Millisecond), read.Sub(came).Round(time.Millisecond)))
+	c.recordLatenessLocked(lateClient, arrivedAt, readAt.Sub(arrivedAt))
+	if len(c.lateEvents) < maxHistory {
+		c.lateEvents = append(c.lateEvents, fmt.Sprintf("event %d of %s, written at %.3f, arrived %v later and was read %v after its arrival", n, id,
+			writtenAt.Sub(c.start).Seconds(), arrivedAt.Sub(writtenAt).Round(time.Millisecond), readAt.Sub(arrivedAt).Round(time.Millisecond)))
 	}
 }
 
-// finish gives the broken rules and the counts at a run's end.
-func (c *checker) finish() ([]Break, Counts) {
+// finish runs the last checks and returns the violations and the counts.
+func (c *checker) finish() ([]Violation, Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range c.requests {
-		r.time()
-		if r.leftIn && r.left.IsZero() && r.brokeIn > 0 && r.brokeIn < stoppedFor {
-			c.broke(Lost, r, "its stream was cut %v behind an event", r.brokeIn)
+		r.runPendingChecks()
+		if r.streamClosed && r.leftAt.IsZero() && r.brokenAfter > 0 && r.brokenAfter < stoppedStreamAfter {
+			c.addViolation(RuleLost, r, "its stream was cut %v after an event", r.brokenAfter)
 		}
 	}
-	const least, share = 5, 10 // single delays are the machine's
-	if n := c.counts.HeldBackStreams; n > least && n*share > c.counts.Streams {
-		c.broke(HeldBack, nil, "%d of %d streams", n, c.counts.Streams)
-		late := &c.breaks[len(c.breaks)-1]
-		late.History = append(slices.Clone(c.lateRead), c.latenessIn(c.begun, time.Now())...)
+	const minStreams, shareDivisor = 5, 10 // a few delays are attributed to the machine
+	if n := c.counts.HeldBackStreams; n > minStreams && n*shareDivisor > c.counts.Streams {
+		c.addViolation(RuleHeldBackEvents, nil, "%d of %d streams", n, c.counts.Streams)
+		violation := &c.violations[len(c.violations)-1]
+		violation.History = append(slices.Clone(c.lateEvents), c.describeLateness(c.start, time.Now())...)
 	}
-	return slices.Clone(c.breaks), c.counts
+	return slices.Clone(c.violations), c.counts
 }
--- a/lab/soak/checker_holds.go
+++ b/lab/soak/checker_holds.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// This file checks what is held, and what engines that have just started are sent.
+// This file checks how long engines keep KV state and reservations, and how many requests engines in slow start receive.
 
-// holds tells that an engine holds a KV state or a reservation for a request from now on.
-func (c *checker) holds(id string, engine int, h hold) {
+// holdBegun records that an engine holds KV state or a reservation for a request from now on.
+func (c *checker) holdBegun(id string, engine int, h hold) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.requests[id]; r != nil {
 		c.counts.Holds++
-		if h.place {
-			r.dropPlaces(engine)
+		if h.reservation {
+			r.dropReservations(engine)
 		}
 		r.holds[engine] = &h
-		c.note(r, "engine %d holds (reservation: %v, given up before: %v)", engine, h.place, h.unknown)
+		c.addHistory(r, "engine %d begins a hold (reservation: %v, closed by the gateway before: %v)", engine, h.reservation, h.callerGone)
 	}
 }
 
-// dropPlaces takes back the reservations at other engines: a request has one.
-func (r *request) dropPlaces(engine int) {
+// dropReservations drops the reservations at other engines, as a request has at most one.
+func (r *request) dropReservations(engine int) {
 	for e, h := range r.holds {
-		if h.place && e != engine {
+		if h.reservation && e != engine {
 			delete(r.holds, e)
 		}
 	}
 }
 
-// stateAt gives the engine that holds a request's KV state.
-func (c *checker) stateAt(id string) (engine int, ok bool) {
+// kvStateHolder returns the engine that holds a request's KV state.
+func (c *checker) kvStateHolder(id string) (engine int, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.requests[id]; r != nil {
 		for e, h := range r.holds {
-			if !h.place {
+			if !h.reservation {
 				return e, true
 			}
 		}
@@ -46,8 +46,8 @@
 	return 0, false
 }
 
-// reading tells whether a prompt is being read for a request.
-func (c *checker) reading(id string) bool {
+// prefillRunning reports whether an engine is reading the request's prompt.
+func (c *checker) prefillRunning(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.requests[id]
@@ -55,26 +55,26 @@
 		return false
 	}
 	for _, a := range r.attempts {
-		if a.role == Prefill && !a.over {
+		if a.role == Prefill && !a.ended {
 			return true
 		}
 	}
 	return false
 }
 
-// takesHolds tells that an answer has begun, with which all that is held goes.
-func (c *checker) takesHolds(id string, a *attempt) {
+// holdsTaken records that an answer has begun, which ends all holds of its request.
+func (c *checker) holdsTaken(id string, a *attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a.begun = true
+	a.answerBegun = true
 	if r := c.requests[id]; r != nil {
 		clear(r.holds)
 	}
 }
 
-// releases tells that an engine that runs has got the call to let go of a request. What an
-// attempt waits for stays.
-func (c *checker) releases(id string, engine int) {
+// releaseReceived records that a running engine has received a release for a request. Holds that
+// an attempt still needs stay.
+func (c *checker) releaseReceived(id string, engine int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Releases++
@@ -82,21 +82,21 @@
 	if r == nil {
 		return
 	}
-	c.note(r, "engine %d is told to release", engine)
+	c.addHistory(r, "engine %d received a release", engine)
 	for _, a := range r.attempts {
-		if a.role != Prefill && !a.over && !a.begun {
+		if a.role != Prefill && !a.ended && !a.answerBegun {
 			return
 		}
 	}
-	if c.story.OwnReleases {
+	if c.scenario.LocalReleases {
 		delete(r.holds, engine)
 	} else {
 		clear(r.holds)
 	}
 }
 
-// forgets tells that an engine has lost all that it held.
-func (c *checker) forgets(engine int) {
+// holdsLost records that an engine has lost all its holds.
+func (c *checker) holdsLost(engine int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range c.requests {
@@ -104,76 +104,76 @@
 	}
 }
 
-// reaches tells whether a gateway can reach an engine from now on.
-func (c *checker) reaches(gateway, engine int, can bool) {
+// setReachable records whether a gateway can reach an engine from now on.
+func (c *checker) setReachable(gateway, engine int, reachable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := [2]int{gateway, engine}
-	_, could := c.openFrom[k]
+	key := [2]int{gateway, engine}
+	_, wasReachable := c.reachableSince[key]
 	switch {
-	case !can:
-		delete(c.openFrom, k)
-	case !could:
-		c.openFrom[k] = time.Now()
+	case !reachable:
+		delete(c.reachableSince, key)
+	case !wasReachable:
+		c.reachableSince[key] = time.Now()
 	}
 }
 
-// drains tells that a gateway has been told that an engine drains or is gone, or is up again.
-func (c *checker) drains(gateway, engine int, drains bool) {
+// setDrainKnown records that a gateway has been notified that an engine drains or is gone, or that it is up.
+func (c *checker) setDrainKnown(gateway, engine int, drains bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := [2]int{gateway, engine}
-	if _, known := c.told[k]; drains && !known {
-		c.told[k] = time.Now()
+	key := [2]int{gateway, engine}
+	if _, known := c.drainKnownSince[key]; drains && !known {
+		c.drainKnownSince[key] = time.Now()
 	} else if !drains {
-		delete(c.told, k)
+		delete(c.drainKnownSince, key)
 	}
 }
 
-// pausedFrom tells that a gateway's process is stopped; the end of the pause is set by resumed.
-func (c *checker) pausedFrom(gateway int) {
+// gatewayPaused records that a gateway's process is stopped; gatewayResumed records the end of that pause.
+func (c *checker) gatewayPaused(gateway int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pauses[gateway] = append(c.pauses[gateway], pause{from: time.Now()})
+	c.pauses[gateway] = append(c.pauses[gateway], interval{from: time.Now()})
 }
 
-func (c *checker) resumed(gateway int) {
+func (c *checker) gatewayResumed(gateway int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if list := c.pauses[gateway]; len(list) > 0 {
-		list[len(list)-1].to = time.Now()
+	if pauses := c.pauses[gateway]; len(pauses) > 0 {
+		pauses[len(pauses)-1].to = time.Now()
 	}
 }
 
-// pausedSince is paused, for clients.
-func (c *checker) pausedSince(gateway int, from, to time.Time) time.Duration {
+// pausedBetween is pausedBetweenLocked for callers that do not hold the lock.
+func (c *checker) pausedBetween(gateway int, from, to time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.paused(gateway, from, to)
+	return c.pausedBetweenLocked(gateway, from, to)
 }
 
-// stoppedThrough tells whether a gateway's process did not run at any moment between two times.
-func (c *checker) stoppedThrough(gateway int, from, to time.Time) bool {
+// pausedThroughout reports whether a gateway's process was stopped during the whole time between from and to.
+func (c *checker) pausedThroughout(gateway int, from, to time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.ContainsFunc(c.pauses[gateway], func(p pause) bool {
+	return slices.ContainsFunc(c.pauses[gateway], func(p interval) bool {
 		return p.from.Before(from) && (p.to.IsZero() || p.to.After(to))
 	})
 }
 
-// paused is for how long a gateway could not run between two times: it was stopped, for longer than
-// it may be held up without excuse, or the machine itself was late.
-func (c *checker) paused(gateway int, from, to time.Time) time.Duration {
-	stopped := within(c.pauses[gateway], from, to)
-	if stopped <= heldUpFor {
+// pausedBetweenLocked returns for how long a gateway could not run between two times: its process was
+// stopped, which counts if it exceeds toleratedPause, or the machine itself was late.
+func (c *checker) pausedBetweenLocked(gateway int, from, to time.Time) time.Duration {
+	stopped := overlapping(c.pauses[gateway], from, to)
+	if stopped <= toleratedPause {
 		stopped = 0
 	}
-	return stopped + within(c.lags, from, to)
+	return stopped + overlapping(c.machineLags, from, to)
 }
 
-// within sums the parts of pauses that lie between two times.
-func within(list []pause, from, to time.Time) (sum time.Duration) {
-	for _, p := range list {
+// overlapping sums the parts of intervals that lie between two times.
+func overlapping(intervals []interval, from, to time.Time) (sum time.Duration) {
+	for _, p := range intervals {
 		begin, end := p.from, p.to
 		if end.IsZero() || end.After(to) {
 			end = to
@@ -188,30 +188,30 @@
 	return sum
 }
 
-// Times of looks at how late the machine is.
+// How often the machine's lateness is measured, and the smallest one that counts.
 const (
-	lagEvery = 5 * time.Millisecond
-	leastLag = 20 * time.Millisecond
+	lagInterval = 5 * time.Millisecond
+	minLag      = 20 * time.Millisecond
 )
 
-// watchLag notes when the machine itself is late, until ctx ends: its processor is busy with
-// other things then, and a gateway that is late as well is not to blame.
+// watchLag records when timers of this machine fire late, until ctx ends: its processors are busy
+// then, and a gateway that is late at that time is not at fault.
 func (c *checker) watchLag(ctx context.Context) {
-	for begun := time.Now(); sleep(ctx, lagEvery); begun = time.Now() {
-		if now := time.Now(); now.Sub(begun) > lagEvery+leastLag {
+	for begun := time.Now(); sleep(ctx, lagInterval); begun = time.Now() {
+		if now := time.Now(); now.Sub(begun) > lagInterval+minLag {
 			c.mu.Lock()
-			c.lags = append(c.lags, pause{begun.Add(lagEvery), now})
-			c.noteLate(lateTimer, begun.Add(lagEvery), now.Sub(begun)-lagEvery)
+			c.machineLags = append(c.machineLags, interval{begun.Add(lagInterval), now})
+			c.recordLatenessLocked(lateTimer, begun.Add(lagInterval), now.Sub(begun)-lagInterval)
 			c.mu.Unlock()
 		}
 	}
 }
 
-// ended tells that a gateway's process has: what it held for requests is the engines' to drop.
-func (c *checker) ended(gateway int) {
+// gatewayExited records that a gateway's process has exited; dropping the holds of its requests is then up to the engines.
+func (c *checker) gatewayExited(gateway int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.died[gateway] = time.Now()
+	c.exitedAt[gateway] = time.Now()
 	for _, r := range c.requests {
 		if r.gateway == gateway {
 			clear(r.holds)
@@ -219,60 +219,60 @@
 	}
 }
 
-// sweep looks for what has been held too long and for attempts that overlap.
+// sweep looks for holds that last too long and for attempts that overlap.
 func (c *checker) sweep() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	for _, r := range c.requests {
-		out := c.out(r, now)
+		inFlight := c.inFlightAttempts(r, now)
 		for e, h := range r.holds {
-			if r.asked.Before(c.died[r.gateway]) {
-				delete(r.holds, e) // its gateway has ended since
+			if r.sentAt.Before(c.exitedAt[r.gateway]) {
+				delete(r.holds, e) // its gateway has exited since
 				continue
 			}
-			if from, counts := c.heldFrom(r, e, h); counts && out == 0 {
-				if held := now.Sub(from) - c.paused(r.gateway, from, now); held > heldFor {
-					c.broke(Held, r, "engine %d has held (reservation: %v) for %v with no attempt out", e, h.place, held)
+			if from, counts := c.holdCountedFrom(r, e, h); counts && inFlight == 0 {
+				if held := now.Sub(from) - c.pausedBetweenLocked(r.gateway, from, now); held > maxHoldTime {
+					c.addViolation(RuleHolds, r, "engine %d keeps a hold (reservation: %v) for %v with no attempt in flight", e, h.reservation, held)
 				}
 			}
 		}
 	}
 }
 
-// out counts a request's attempts that are out, and notes those that their callers have closed.
-func (c *checker) out(r *request, now time.Time) (out int) {
+// inFlightAttempts counts the attempts of a request that are in flight, and records those that the gateway has closed.
+func (c *checker) inFlightAttempts(r *request, now time.Time) (inFlight int) {
 	for _, a := range r.attempts {
-		if a.over {
+		if a.ended {
 			continue
 		}
-		if a.conn.ended() {
-			a.over, r.lastEnd = true, now
-			c.note(r, "engine %d: the caller has closed", a.engine)
+		if a.conn.closedByCaller() {
+			a.ended, r.lastAttemptEnd = true, now
+			c.addHistory(r, "engine %d: closed by the gateway", a.engine)
 			continue
 		}
-		out++
-		if !a.overlapAt.IsZero() && now.Sub(a.overlapAt) > overlapFor {
-			c.broke(Duplicate, r, "an attempt at engine %d is still out beside another", a.engine)
+		inFlight++
+		if !a.overlapSince.IsZero() && now.Sub(a.overlapSince) > maxOverlap {
+			c.addViolation(RuleDuplicate, r, "an attempt at engine %d is still in flight beside another", a.engine)
 		}
 	}
-	return out
+	return inFlight
 }
 
-// heldFrom is the time from which a hold counts; counts is false while nobody could release it. What
-// came to be held for an attempt or a call that had been given up is known to nobody but its engine,
-// and can't be released before that is reached.
-func (c *checker) heldFrom(r *request, engine int, h *hold) (from time.Time, counts bool) {
+// holdCountedFrom returns the time from which a hold counts; counts is false while no gateway can release it. A hold for
+// an attempt or a call that the gateway had closed before is known to its engine alone, and can't be released while that
+// engine is unreachable.
+func (c *checker) holdCountedFrom(r *request, engine int, h *hold) (from time.Time, counts bool) {
 	from = h.since
-	if r.lastEnd.After(from) {
-		from = r.lastEnd
+	if r.lastAttemptEnd.After(from) {
+		from = r.lastAttemptEnd
 	}
 	var open time.Time
-	for e := range c.story.Engines {
-		if (c.story.OwnReleases || h.unknown) && e != engine {
+	for e := range c.scenario.Engines {
+		if (c.scenario.LocalReleases || h.callerGone) && e != engine {
 			continue
 		}
-		if at, ok := c.openFrom[[2]int{r.gateway, e}]; ok && (!counts || at.Before(open)) {
+		if at, ok := c.reachableSince[[2]int{r.gateway, e}]; ok && (!counts || at.Before(open)) {
 			open, counts = at, true
 		}
 	}
@@ -282,36 +282,37 @@
 	return from, counts
 }
 
-// Figures of engines in slow start, which the settings tell as well.
+// Limits of slow start; the first three are also in the gateways' settings.
 const (
-	fallMultiple  = 2.5
-	coldFrom      = 0.31
-	warmWithin    = 12 * time.Second
-	engineRate    = 20.0 // requests a second that a warm engine of the soak stands for
-	slackRoots    = 3
-	slackRequests = 3
+	slowStartMultiple  = 2.5
+	coldCapacity       = 0.31
+	warmUpTime         = 12 * time.Second
+	engineRate         = 20.0 // assumed capacity of a warm engine, in requests per second
+	burstSlackRoots    = 3
+	burstSlackRequests = 3
 )
 
-// starts tells that an engine has started anew, cold.
-func (c *checker) starts(engine int) {
+// engineStarted records that an engine has restarted and is cold.
+func (c *checker) engineStarted(engine int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cold[engine] = &coldEngine{since: time.Now()}
+	c.coldEngines[engine] = &coldEngine{startedAt: time.Now()}
 }
 
-// bear counts what a cold engine is sent within a second.
-func (c *checker) bear(engine int, now time.Time) {
-	e := c.cold[engine]
-	if e == nil || now.Sub(e.since) > warmWithin {
+// checkSlowStart counts the requests that a cold engine receives within a second. The limit is the slow-start budget, plus
+// burstSlackRoots times its square root, plus burstSlackRequests.
+func (c *checker) checkSlowStart(engine int, now time.Time) {
+	e := c.coldEngines[engine]
+	if e == nil || now.Sub(e.startedAt) > warmUpTime {
 		return
 	}
 	e.arrivals = append(e.arrivals, now)
 	for len(e.arrivals) > 0 && now.Sub(e.arrivals[0]) > time.Second {
 		e.arrivals = e.arrivals[1:]
 	}
-	budget := fallMultiple * coldFrom * engineRate
-	if n := float64(len(e.arrivals)); n > budget+slackRoots*math.Sqrt(budget)+slackRequests {
-		c.broke(Failback, nil, "engine %d, started %v ago, got %v requests in a second", engine, now.Sub(e.since), n)
-		delete(c.cold, engine)
+	budget := slowStartMultiple * coldCapacity * engineRate
+	if n := float64(len(e.arrivals)); n > budget+burstSlackRoots*math.Sqrt(budget)+burstSlackRequests {
+		c.addViolation(RuleSlowStart, nil, "engine %d, started %v ago, received %v requests within a second", engine, now.Sub(e.startedAt), n)
+		delete(c.coldEngines, engine)
 	}
 }
--- a/lab/soak/checker_test.go
+++ b/lab/soak/checker_test.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// How a gateway was blamed for the lab's own lateness (TestHeldState_SilentEngines, decode_engines_flicker, once in the CI script: "told
-// 4s with 3.789s left" 0.29 s into the story, though the gateway's log has the request read and sent on in the same ms). Played 12 and 24 at
-// once beside busy processes, attempts are read 60 to 125 ms behind the client's write, most at a story's begin. In 116 traces the
-// kernel tells how long the last byte had been at the engine's socket: all but 15 ms of the delay in 95, and in the others the gateway and
-// the way took up to 74 ms, where 150 are allowed. The lab's process, engines, clients and checker in one, stood still with them unread.
+// A gateway was blamed for the laboratory's own lateness (decode_engines_flicker of TestHolds_SilentEngines, once in the CI script: an
+// attempt with a remaining time of 4s with 3.789s left, 0.29 s into the scenario, though the gateway's log shows the request read and
+// forwarded within the same ms). With 12 and 24 scenarios at once beside busy processes, attempts are read 60 to 125 ms after the client's
+// write, most at a scenario's start. In 116 traces the kernel reports how long the last byte had been at the engine's socket: all but 15 ms
+// of the delay in 95, and in the others the gateway and the network took up to 74 ms, of 150 allowed. The laboratory's process, which runs
+// engines, clients and the checker, did not run while they were unread.
 
 const (
-	toldLong  = time.Second
-	readLate  = toldSlack + 100*time.Millisecond
-	waitBound = 5 * time.Second
+	attemptDeadline = time.Second
+	readDelay       = remainingTimeSlack + 100*time.Millisecond
+	waitTimeout     = 5 * time.Second
 )
 
-// attemptRead gives a connection at an engine whose caller has written to it.
-func attemptRead(t *testing.T) *linkConn {
+// readAttemptConn returns an engine's side of a connection from which the caller's bytes have been read.
+func readAttemptConn(t *testing.T) *linkConn {
 	t.Helper()
-	k, err := openLink()
+	engineLink, err := openLink()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { k.Close() })
-	caller, err := net.Dial("tcp", k.addr)
+	t.Cleanup(func() { engineLink.Close() })
+	caller, err := net.Dial("tcp", engineLink.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +36,7 @@
 	if _, err := caller.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	conn, err := k.Accept()
+	conn, err := engineLink.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,105 +46,106 @@
 	return conn.(*linkConn)
 }
 
-// toldBreaks plays an attempt whose request was written at a time, and is read now.
-func toldBreaks(conn *linkConn, asked time.Time) int {
-	c := newChecker(&Story{Gateways: 1, Engines: []Engine{{ID: "e0", Role: Prefill}}}, asked.Add(-time.Second))
-	c.asks("q", Class{Effect: Pure, Deadline: toldLong}, 0)
-	c.asked("q", asked, 0, false)
-	c.takes("q", 0, 0, conn, time.Now(), toldLong)
-	breaks, _ := c.finish()
-	return len(breaks)
+// remainingTimeViolations counts the rules broken by an attempt that is read now and whose request was written at writtenAt.
+func remainingTimeViolations(conn *linkConn, writtenAt time.Time) int {
+	c := newChecker(&FaultScenario{Gateways: 1, Engines: []Engine{{ID: "e0", Role: Prefill}}}, writtenAt.Add(-time.Second))
+	c.requestBegun("q", Class{Effect: Pure, Deadline: attemptDeadline}, 0)
+	c.requestWritten("q", writtenAt, 0, false)
+	c.attemptReceived("q", 0, 0, conn, time.Now(), attemptDeadline)
+	violations, _ := c.finish()
+	return len(violations)
 }
 
-// An attempt that comes late and is told the whole time breaks the rule. One that came in time and is read late by the lab does not.
-func TestChecker_TimeToldCountsToTheArrival(t *testing.T) {
-	conn := attemptRead(t)
-	if n := toldBreaks(conn, time.Now().Add(-readLate)); n != 1 {
-		t.Errorf("%d rules broken by an attempt that comes %v behind its request, want 1", n, readLate)
+// An attempt that arrives late and carries the full deadline breaks the rule. One that arrives in time and is read late by the laboratory does not.
+func TestChecker_RemainingTimeAtArrival(t *testing.T) {
+	conn := readAttemptConn(t)
+	if n := remainingTimeViolations(conn, time.Now().Add(-readDelay)); n != 1 {
+		t.Errorf("%d rules broken by an attempt that arrives %v after its request, want 1", n, readDelay)
 	}
-	asked := time.Now()
-	conn = attemptRead(t)
-	looks := time.NewTicker(time.Millisecond)
-	defer looks.Stop()
-	for now := range looks.C {
-		if !conn.arrived(now).Add(readLate).After(now) {
+	writtenAt := time.Now()
+	conn = readAttemptConn(t)
+	ticker := time.NewTicker(time.Millisecond)
+	defer ticker.Stop()
+	for now := range ticker.C {
+		if !conn.lastArrival(now).Add(readDelay).After(now) {
 			break
 		}
-		if now.Sub(asked) > waitBound {
-			t.Fatal("the kernel does not tell when the attempt came")
+		if now.Sub(writtenAt) > waitTimeout {
+			t.Fatal("the kernel does not report when the attempt arrived")
 		}
 	}
-	if n := toldBreaks(conn, asked); n != 0 {
-		t.Errorf("%d rules broken by an attempt that came in time and is read %v late, want none", n, readLate)
+	if n := remainingTimeViolations(conn, writtenAt); n != 0 {
+		t.Errorf("%d rules broken by an attempt that arrived in time and is read %v late, want none", n, readDelay)
 	}
 }
 
-// A broken rule that the soak's own lateness may explain tells of it: which part was late, how often and by how much, in the
-// request's time alone.
-func TestChecker_LatenessIsPrintedWithABreak(t *testing.T) {
-	c := newChecker(&Story{Gateways: 1}, time.Now().Add(-time.Minute))
-	c.wasLate(lateSweep, time.Now().Add(-30*time.Second), time.Second) // before the request
-	c.asks("q", Class{Effect: Pure}, 0)
+// The history of a violation includes the soak's own lateness that may explain it: which part was late, how often and by how much,
+// limited to the request's time.
+func TestChecker_LatenessInViolation(t *testing.T) {
+	c := newChecker(&FaultScenario{Gateways: 1}, time.Now().Add(-time.Minute))
+	c.recordLateness(lateSweep, time.Now().Add(-30*time.Second), time.Second) // before the request began
+	c.requestBegun("q", Class{Effect: Pure}, 0)
 	now := time.Now()
-	c.wasLate(lateFault, now, leastNoted-1) // too little
-	c.wasLate(lateEngine, now, 40*time.Millisecond)
-	c.wasLate(lateEngine, now, 90*time.Millisecond)
-	c.sees(Lost, "q", "unanswered")
-	breaks, _ := c.finish()
-	if len(breaks) != 1 {
-		t.Fatalf("%d broken rules, want 1", len(breaks))
+	c.recordLateness(lateFault, now, minLateness-1) // below the limit
+	c.recordLateness(lateEngine, now, 40*time.Millisecond)
+	c.recordLateness(lateEngine, now, 90*time.Millisecond)
+	c.reportViolation(RuleLost, "q", "unanswered")
+	violations, _ := c.finish()
+	if len(violations) != 1 {
+		t.Fatalf("%d broken rules, want 1", len(violations))
 	}
-	var told []string
-	for _, line := range breaks[0].History {
+	var lines []string
+	for _, line := range violations[0].History {
 		if strings.HasPrefix(line, "late: ") {
-			told = append(told, line)
+			lines = append(lines, line)
 		}
 	}
-	if len(told) != 1 || !strings.Contains(told[0], string(lateEngine)+" late 2 times, the worst by 90ms") {
-		t.Errorf("the break tells of %q", told)
+	if len(lines) != 1 || !strings.Contains(lines[0], string(lateEngine)+" late 2 times, the worst by 90ms") {
+		t.Errorf("the violation lists the lateness %q", lines)
 	}
 	if all := c.latenessText(); strings.Count(all, "late: ") != 2 {
-		t.Errorf("of the whole run: %s", all)
+		t.Errorf("lateness of the whole run: %s", all)
 	}
 }
 
-// Guards against two ways in which a gateway was blamed for the lab's own lateness beside load (soak seed 100): an attempt counted from when a
-// client began to write its request, as it was taken before the client noted that this was written; and from when its engine read it.
-func TestChecker_LateNotesOfTheLab(t *testing.T) {
-	conn := attemptRead(t)
-	came := conn.arrived(time.Now())
-	looks := time.NewTicker(time.Millisecond)
-	defer looks.Stop()
-	for now := range looks.C {
-		if came = conn.arrived(now); now.Sub(came) > leaveSlack {
+// Guards against two ways in which a gateway was blamed for the laboratory's own lateness under load (soak seed 100): an attempt was timed
+// from when the client began to write its request, because it was received before the client recorded the end of the write; and an attempt
+// was timed to when its engine read it instead of to its arrival.
+func TestChecker_LateRecordsInLab(t *testing.T) {
+	conn := readAttemptConn(t)
+	arrived := conn.lastArrival(time.Now())
+	ticker := time.NewTicker(time.Millisecond)
+	defer ticker.Stop()
+	for now := range ticker.C {
+		if arrived = conn.lastArrival(now); now.Sub(arrived) > cancelSlack {
 			break
 		}
-		if now.Sub(came) > waitBound {
-			t.Fatal("the kernel does not tell when the attempt came")
+		if now.Sub(arrived) > waitTimeout {
+			t.Fatal("the kernel does not report when the attempt arrived")
 		}
 	}
 	for _, tt := range []struct {
-		name    string
-		written time.Duration // of the request, before the attempt's last byte came; its client began long before
-		left    time.Duration // when its client left, the same; 0 = it stayed
-		breaks  int
+		name       string
+		written    time.Duration // end of the request's write, before the arrival of the attempt's last byte; the write began long before
+		left       time.Duration // when the client closed its connection, before that arrival; 0 = it did not
+		violations int
 	}{
-		{"written just before, noted late", 0, 0, 0},
-		{"written long before, noted late", readLate, 0, 1},
-		{"begun in time behind its client's leaving, read late", 0, 100 * time.Millisecond, 0},
-		{"begun late behind its client's leaving", 0, leaveSlack + 20*time.Millisecond, 1},
+		{"written just before, recorded late", 0, 0, 0},
+		{"written long before, recorded late", readDelay, 0, 1},
+		{"begun in time after its client closed, read late", 0, 100 * time.Millisecond, 0},
+		{"begun late after its client closed", 0, cancelSlack + 20*time.Millisecond, 1},
 	} {
-		c := newChecker(&Story{Gateways: 1, Engines: []Engine{{ID: "e0", Role: Prefill}}}, came.Add(-time.Minute))
-		c.asks("q", Class{Effect: Pure, Deadline: toldLong}, 0)
+		c := newChecker(&FaultScenario{Gateways: 1, Engines: []Engine{{ID: "e0", Role: Prefill}}}, arrived.Add(-time.Minute))
+		c.requestBegun("q", Class{Effect: Pure, Deadline: attemptDeadline}, 0)
 		r := c.requests["q"]
-		r.asked = came.Add(-toldLong)
+		r.sentAt = arrived.Add(-attemptDeadline)
 		if tt.left > 0 {
-			r.left = came.Add(-tt.left)
+			r.leftAt = arrived.Add(-tt.left)
 		}
-		c.takes("q", 0, 0, conn, time.Now(), toldLong)
-		c.asked("q", came.Add(-tt.written), 0, false)
-		if breaks, _ := c.finish(); len(breaks) != tt.breaks {
-			t.Errorf("%s: %d rules broken, want %d: %v", tt.name, len(breaks), tt.breaks, breaks)
+		c.attemptReceived("q", 0, 0, conn, time.Now(), attemptDeadline)
+		c.requestWritten("q", arrived.Add(-tt.written), 0, false)
+		if violations, _ := c.finish(); len(violations) != tt.violations {
+			t.Errorf("%s: %d rules broken, want %d: %v", tt.name, len(violations), tt.violations, violations)
 		}
 	}
 }
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -16,10 +16,10 @@
 	"time"
 )
 
-// How a request ends for its client, as the checker is told.
+// Outcomes of a request for its client, as reported to the checker.
 const (
 	answerServed  = "served"
-	answerBroken  = "broken" // a begun stream ended without its last chunk
+	answerBroken  = "broken" // a stream that had begun ended without its last chunk
 	answerRefused = "refused"
 	answerFailed  = "failed"
 	answerExempt  = "lost with its process, which the rules allow"
@@ -27,168 +27,168 @@
 	answerNoCase  = "on a new connection that the protocol has no more, to a process that could not run"
 )
 
-// client is one client. It has one request out at a time, and keeps its connection.
+// client sends one request at a time and keeps its connection open between requests.
 type client struct {
-	world   *world
-	kind    ClientKind
-	gateway *gateway
-	rng     *rand.Rand
-	name    string
-	count   int
+	testbed      *testbed
+	kind         ClientKind
+	gateway      *gateway
+	rng          *rand.Rand
+	name         string
+	requestCount int
 
-	conn    net.Conn
-	in      *bufio.Reader
-	dialled time.Time // when conn came up
-	reused  bool      // conn has brought an answer
+	conn      net.Conn
+	reader    *bufio.Reader
+	dialledAt time.Time // when conn was established
+	reused    bool      // conn has carried an answer
 }
 
 // Behaviour of clients.
 const (
-	leaveShare   = 0.5 // of a leaver's requests
-	mostStay     = 1200 * time.Millisecond
-	halfWayShare = 0.3
-	leastThink   = 10 * time.Millisecond
-	mostThink    = 300 * time.Millisecond
-	mostRest     = 2500 * time.Millisecond
-	halfWayStay  = 3500 * time.Millisecond
-	waitSlack    = time.Second // beyond what the rules give an answer, until it is missing
-	dialWait     = 500 * time.Millisecond
-	noGateway    = 25 * time.Millisecond // between tries to connect
-	mostBody     = 64 << 10
+	earlyCloseShare     = 0.5 // share of requests that a client of kind ClientClosesEarly abandons
+	maxStay             = 1200 * time.Millisecond
+	partialRequestShare = 0.3
+	minThinkTime        = 10 * time.Millisecond
+	maxThinkTime        = 300 * time.Millisecond
+	maxIdleTime         = 2500 * time.Millisecond
+	partialRequestStay  = 3500 * time.Millisecond
+	answerWaitSlack     = time.Second // beyond the latest time that the rules allow for an answer
+	dialTimeout         = 500 * time.Millisecond
+	redialWait          = 25 * time.Millisecond // between attempts to connect
+	maxBody             = 64 << 10
 )
 
-func (w *world) newClient(index int, c Client) *client {
+func (tb *testbed) newClient(index int, c Client) *client {
 	return &client{
-		world: w, kind: c.Kind, gateway: w.gateways[c.Gateway], name: fmt.Sprintf("%06x%04x", w.story.Seed&0xffffff, index),
-		rng: rand.New(rand.NewPCG(w.story.Seed, uint64(index)|1<<33)),
+		testbed: tb, kind: c.Kind, gateway: tb.gateways[c.Gateway], name: fmt.Sprintf("%06x%04x", tb.scenario.Seed&0xffffff, index),
+		rng: rand.New(rand.NewPCG(tb.scenario.Seed, uint64(index)|1<<33)),
 	}
 }
 
-func (c *client) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(c.rng.Float64()*float64(most-least))
+func (c *client) durationBetween(low, high time.Duration) time.Duration {
+	return low + time.Duration(c.rng.Float64()*float64(high-low))
 }
 
-// run asks until the run ends.
+// run sends requests until ctx ends.
 func (c *client) run(ctx context.Context) {
-	defer c.hangUp()
+	defer c.closeConnection()
 	for ctx.Err() == nil {
-		if c.kind == CrowdIdle {
-			c.idle(ctx)
+		if c.kind == ClientSilent {
+			c.holdSilentConnection(ctx)
 			continue
 		}
-		again := c.ask(ctx)
-		if c.kind == Newcomer {
-			c.hangUp()
+		refused := c.sendRequest(ctx)
+		if c.kind == ClientReconnects {
+			c.closeConnection()
 		}
-		pause := c.between(leastThink, mostThink)
+		pause := c.durationBetween(minThinkTime, maxThinkTime)
 		switch {
-		case c.kind == Rester:
-			pause = c.between(leastThink, mostRest)
-		case c.kind == Retrier && again:
+		case c.kind == ClientIdlesLong:
+			pause = c.durationBetween(minThinkTime, maxIdleTime)
+		case c.kind == ClientRetriesAtOnce && refused:
 			pause = time.Millisecond
 		}
 		sleep(ctx, pause)
 	}
 }
 
-// idle holds a connection that says nothing, until the gateway closes it.
-func (c *client) idle(ctx context.Context) {
+// holdSilentConnection keeps a connection open and sends nothing, until the gateway closes it.
+func (c *client) holdSilentConnection(ctx context.Context) {
 	if !c.connect(ctx) {
 		return
 	}
 	conn := c.conn
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	_, _ = c.in.Peek(1) // its end is all that is waited for
-	c.hangUp()
+	_, _ = c.reader.Peek(1) // returns when the connection ends
+	c.closeConnection()
 }
 
-func (c *client) hangUp() {
+func (c *client) closeConnection() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// connect makes sure of a connection.
+// connect opens a connection unless there is one.
 func (c *client) connect(ctx context.Context) bool {
 	if c.conn != nil {
 		return true
 	}
-	conn, err := net.DialTimeout("tcp", c.gateway.listen, dialWait)
+	conn, err := net.DialTimeout("tcp", c.gateway.listen, dialTimeout)
 	if err != nil {
-		sleep(ctx, noGateway)
+		sleep(ctx, redialWait)
 		return false
 	}
-	c.conn, c.in, c.dialled, c.reused = conn, bufio.NewReader(conn), time.Now(), false
+	c.conn, c.reader, c.dialledAt, c.reused = conn, bufio.NewReader(conn), time.Now(), false
 	return true
 }
 
-// ask sends one request and sees to its answer; again tells of a refusal.
-func (c *client) ask(ctx context.Context) (again bool) {
-	class := c.world.story.Classes[c.rng.IntN(len(c.world.story.Classes))]
-	c.count++
-	id := fmt.Sprintf("%s%06x", c.name, c.count)
-	text := c.request(id, class)
+// sendRequest sends one request and reads its answer; refused reports a refusal.
+func (c *client) sendRequest(ctx context.Context) (refused bool) {
+	class := c.testbed.scenario.Classes[c.rng.IntN(len(c.testbed.scenario.Classes))]
+	c.requestCount++
+	id := fmt.Sprintf("%s%06x", c.name, c.requestCount)
+	text := c.requestText(id, class)
 	if !c.connect(ctx) {
 		return false
 	}
-	if c.kind == HalfWay && c.rng.Float64() < halfWayShare {
-		c.stopHalfWay(ctx, text)
+	if c.kind == ClientStopsMidRequest && c.rng.Float64() < partialRequestShare {
+		c.sendPartialRequest(ctx, text)
 		return false
 	}
-	for range 2 { // once more where the end of a connection crossed it
+	for range 2 { // once more if the gateway closed the connection just as the request was sent
 		if !c.connect(ctx) {
-			c.world.check.answered(id, answerUnread, time.Now())
+			c.testbed.checker.requestEnded(id, answerUnread, time.Now())
 			return false
 		}
-		c.world.check.asks(id, class, c.gateway.index)
+		c.testbed.checker.requestBegun(id, class, c.gateway.index)
 		if _, err := io.WriteString(c.conn, text); err != nil {
-			c.hangUp()
+			c.closeConnection()
 			continue
 		}
-		written := departure(c.conn.(syscall.Conn), time.Now())
-		c.world.check.asked(id, written, written.Sub(c.dialled), c.reused)
-		how := c.answer(ctx, id, class, written)
-		if how != answerUnread {
-			if how != "" {
-				c.world.check.answered(id, how, time.Now())
+		writtenAt := lastDeparture(c.conn.(syscall.Conn), time.Now())
+		c.testbed.checker.requestWritten(id, writtenAt, writtenAt.Sub(c.dialledAt), c.reused)
+		outcome := c.awaitAnswer(ctx, id, class, writtenAt)
+		if outcome != answerUnread {
+			if outcome != "" {
+				c.testbed.checker.requestEnded(id, outcome, time.Now())
 			}
-			return how == answerRefused
+			return outcome == answerRefused
 		}
-		c.hangUp()
+		c.closeConnection()
 	}
-	c.world.check.answered(id, answerUnread, time.Now())
+	c.testbed.checker.requestEnded(id, answerUnread, time.Now())
 	return false
 }
 
-func (c *client) request(id string, class Class) string {
-	body := fmt.Sprintf(`{"model":"chat","stream":true,"pad":%q}`, strings.Repeat("x", c.rng.IntN(mostBody)))
+func (c *client) requestText(id string, class Class) string {
+	body := fmt.Sprintf(`{"model":"chat","stream":true,"pad":%q}`, strings.Repeat("x", c.rng.IntN(maxBody)))
 	tokens := max(len(body)/4, 1)
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: service.internal\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Entity: %x\r\nX-Remaining: %.3f\r\n"+
 		"X-Labels: prefix=%x,prompt_len=%d,prefix_len=%d,max_out=80\r\nContent-Length: %d\r\n\r\n%s",
 		id, class.Name, c.rng.Uint32(), class.Deadline.Seconds(), c.rng.IntN(4)+1, tokens, tokens/2, len(body), body)
 }
 
-// stopHalfWay writes a part of a request and stays.
-func (c *client) stopHalfWay(ctx context.Context, text string) {
+// sendPartialRequest writes a part of a request and keeps the connection open.
+func (c *client) sendPartialRequest(ctx context.Context, text string) {
 	if _, err := io.WriteString(c.conn, text[:1+c.rng.IntN(len(text)-1)]); err == nil {
-		_ = c.conn.SetReadDeadline(time.Now().Add(halfWayStay)) // without one the client would stay longer
+		_ = c.conn.SetReadDeadline(time.Now().Add(partialRequestStay)) // without a deadline the client would wait longer
 		conn := c.conn
 		stop := context.AfterFunc(ctx, func() { conn.Close() })
-		_, _ = c.in.Peek(1)
+		_, _ = c.reader.Peek(1)
 		stop()
 	}
-	c.hangUp()
+	c.closeConnection()
 }
 
-// answer waits for what comes of a request; "" where nobody is to be told: the client has left,
-// or the run is over.
-func (c *client) answer(ctx context.Context, id string, class Class, written time.Time) (how string) {
+// awaitAnswer waits for a request's answer and returns its outcome, or "" if there is none to report:
+// the client has closed its connection, or the run is over.
+func (c *client) awaitAnswer(ctx context.Context, id string, class Class, writtenAt time.Time) (outcome string) {
 	conn := c.conn
 	leave := make(chan struct{})
-	if c.kind == Leaver && c.rng.Float64() < leaveShare {
-		defer c.leaveAfter(c.between(0, mostStay), id, leave)()
+	if c.kind == ClientClosesEarly && c.rng.Float64() < earlyCloseShare {
+		defer c.closeAfter(c.durationBetween(0, maxStay), id, leave)()
 	}
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
@@ -202,121 +202,121 @@
 			return false
 		}
 	}
-	err := c.wait(written.Add(class.Deadline + answerSlack + waitSlack))
+	err := c.awaitFirstByte(writtenAt.Add(class.Deadline + answerSlack + answerWaitSlack))
 	if left() {
-		c.hangUp()
+		c.closeConnection()
 		return ""
 	}
 	if err != nil {
-		return c.unanswered(written, err)
+		return c.classifyUnanswered(writtenAt, err)
 	}
-	how = c.read(id, written, left)
+	outcome = c.readAnswer(id, writtenAt, left)
 	if left() {
-		c.hangUp()
+		c.closeConnection()
 		return ""
 	}
 	c.reused = true
-	return how
+	return outcome
 }
 
-// leaveAfter has the client close its connection after a while, having closed leave. cancel prevents that or, where it comes too
-// late, waits until the connection is closed: nothing more is to be sent on it.
-func (c *client) leaveAfter(d time.Duration, id string, leave chan struct{}) (cancel func()) {
+// closeAfter closes leave and then the client's connection after d. cancel prevents that or, if it comes too late, waits until the
+// connection is closed, as nothing more may be sent on it.
+func (c *client) closeAfter(d time.Duration, id string, leave chan struct{}) (cancel func()) {
 	conn, closed := c.conn, make(chan struct{})
 	timer := time.AfterFunc(d, func() {
 		defer close(closed)
-		c.world.check.leaves(id)
+		c.testbed.checker.clientLeft(id)
 		close(leave)
 		conn.Close()
 	})
 	return func() {
 		if !timer.Stop() {
 			<-closed
-			c.hangUp()
+			c.closeConnection()
 		}
 	}
 }
 
-// wait waits for an answer's first byte until a time, longer where the gateway is stopped.
-func (c *client) wait(until time.Time) error {
+// awaitFirstByte waits for an answer's first byte until a deadline, which moves by the time for which the gateway was paused.
+func (c *client) awaitFirstByte(deadline time.Time) error {
 	for {
-		_ = c.conn.SetReadDeadline(until) // on a closed connection the read tells
-		_, err := c.in.Peek(1)
+		_ = c.conn.SetReadDeadline(deadline) // on a closed connection the read fails
+		_, err := c.reader.Peek(1)
 		now := time.Now()
-		more := c.world.check.pausedSince(c.gateway.index, until.Add(-longestPauseLook), now)
-		if !errors.Is(err, os.ErrDeadlineExceeded) || !now.Before(until.Add(more)) || more == 0 {
+		pausedFor := c.testbed.checker.pausedBetween(c.gateway.index, deadline.Add(-pauseLookBack), now)
+		if !errors.Is(err, os.ErrDeadlineExceeded) || !now.Before(deadline.Add(pausedFor)) || pausedFor == 0 {
 			return err
 		}
-		until = until.Add(more)
+		deadline = deadline.Add(pausedFor)
 	}
 }
 
-const longestPauseLook = 30 * time.Second
+const pauseLookBack = 30 * time.Second
 
-// unanswered tells what the end of a connection without an answer means.
-func (c *client) unanswered(written time.Time, err error) string {
-	reused, dialled := c.reused, c.dialled
-	c.hangUp()
+// classifyUnanswered returns the outcome of a request whose connection ended, or whose deadline passed, without an answer.
+func (c *client) classifyUnanswered(writtenAt time.Time, err error) string {
+	reused, dialledAt := c.reused, c.dialledAt
+	c.closeConnection()
 	switch {
-	case c.gateway.exempt(written):
+	case c.gateway.exempt(writtenAt):
 		return answerExempt
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return "no answer in time"
-	case c.gateway.couldNotRefuse(dialled):
+	case c.gateway.couldNotRefuse(dialledAt):
 		return answerNoCase
-	case c.gateway.killedSince(written):
+	case c.gateway.killedSince(writtenAt):
 		return "unanswered at the kill"
 	case errors.Is(err, io.EOF):
 		return answerUnread
-	case !reused && c.world.story.crowded(): // a crowd may have new connections shut unread
+	case !reused && c.testbed.scenario.hasSilentClients(): // with silent clients the gateway may close new connections unread
 		return answerUnread
 	}
 	return fmt.Sprintf("its connection (used before: %v) ended: %v", reused, err)
 }
 
-// event is one of a stream's, as engines write them.
+// event is one event of a stream, as engines write it.
 type event struct {
 	ID string `json:"id"`
 	N  int    `json:"n"`
 	Of int    `json:"of"`
-	At int64  `json:"at"` // ns of the run
+	At int64  `json:"at"` // when it was written, in ns since the start
 }
 
-// read reads an answer that has begun.
-func (c *client) read(id string, written time.Time, left func() bool) string {
-	r, err := http.ReadResponse(c.in, nil)
+// readAnswer reads an answer whose first byte has arrived.
+func (c *client) readAnswer(id string, writtenAt time.Time, left func() bool) string {
+	r, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		c.hangUp()
-		if c.gateway.exempt(written) {
+		c.closeConnection()
+		if c.gateway.exempt(writtenAt) {
 			return answerExempt
 		}
-		return fmt.Sprintf("its answer can't be read: %v", err)
+		return fmt.Sprintf("its answer is malformed: %v", err)
 	}
 	defer r.Body.Close()
 	if r.StatusCode != http.StatusOK {
-		_, err := io.Copy(io.Discard, io.LimitReader(r.Body, mostBody))
+		_, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBody))
 		if err != nil || r.Close {
-			c.hangUp()
+			c.closeConnection()
 		}
 		if r.StatusCode == http.StatusTooManyRequests || r.StatusCode == http.StatusServiceUnavailable {
 			return answerRefused
 		}
 		return answerFailed
 	}
-	how := c.stream(id, r, written, left)
-	if how != answerServed || r.Close {
-		c.hangUp()
+	outcome := c.readStream(id, r, writtenAt, left)
+	if outcome != answerServed || r.Close {
+		c.closeConnection()
 	}
-	return how
+	return outcome
 }
 
-// stream reads a stream's events to their end.
-func (c *client) stream(id string, r *http.Response, written time.Time, left func() bool) string {
+// readStream reads the events of a stream to its end.
+func (c *client) readStream(id string, r *http.Response, writtenAt time.Time, left func() bool) string {
 	lines := bufio.NewScanner(r.Body)
-	next, of, whole, heldBack := 0, 0, false, false
-	last := time.Now()
+	next, total, whole, heldBack := 0, 0, false, false
+	lastEventAt := time.Now()
 	for {
-		_ = c.conn.SetReadDeadline(time.Now().Add(streamSilence)) // on a closed connection the read tells
+		_ = c.conn.SetReadDeadline(time.Now().Add(maxStreamSilence)) // on a closed connection the read fails
 		if !lines.Scan() {
 			break
 		}
@@ -326,36 +326,36 @@
 		}
 		now := time.Now()
 		if data == "[DONE]" {
-			whole = next == of
+			whole = next == total
 			continue
 		}
 		var e event
 		if json.Unmarshal([]byte(data), &e) != nil || e.ID != id || e.N != next {
-			return fmt.Sprintf("got what no engine made for it: %.80q", data)
+			return fmt.Sprintf("received an event that no engine wrote for it: %.80q", data)
 		}
-		at := c.world.begun.Add(time.Duration(e.At))
-		if now.Sub(at) > eventSlack && c.world.check.pausedSince(c.gateway.index, at, now) == 0 {
+		eventWrittenAt := c.testbed.start.Add(time.Duration(e.At))
+		if now.Sub(eventWrittenAt) > maxEventDelay && c.testbed.checker.pausedBetween(c.gateway.index, eventWrittenAt, now) == 0 {
 			heldBack = true
-			c.world.check.eventLate(id, e.N, at, arrival(c.conn.(syscall.Conn), now), now)
+			c.testbed.checker.recordLateEvent(id, e.N, eventWrittenAt, lastArrival(c.conn.(syscall.Conn), now), now)
 		}
-		next, of, last = next+1, e.Of, now
+		next, total, lastEventAt = next+1, e.Of, now
 	}
 	err := lines.Err()
 	switch {
 	case left():
 		return ""
 	case err == nil && whole:
-		c.world.check.streamed(heldBack)
+		c.testbed.checker.streamFinished(heldBack)
 		return answerServed
 	case err == nil:
-		return "a stream that is not whole ended with the last chunk"
-	case c.gateway.exempt(written):
+		return "an incomplete stream ended with the last chunk"
+	case c.gateway.exempt(writtenAt):
 		return answerExempt
-	case errors.Is(err, os.ErrDeadlineExceeded) && c.world.check.pausedSince(c.gateway.index, last, time.Now()) == 0:
-		return "left waiting in its stream"
-	case c.gateway.killedSince(written):
+	case errors.Is(err, os.ErrDeadlineExceeded) && c.testbed.checker.pausedBetween(c.gateway.index, lastEventAt, time.Now()) == 0:
+		return "its stream stopped without an end"
+	case c.gateway.killedSince(writtenAt):
 		return "its stream was cut by the kill"
 	}
-	c.world.check.broken(id, time.Since(last))
+	c.testbed.checker.streamBroken(id, time.Since(lastEventAt))
 	return answerBroken
 }
--- a/lab/soak/engine.go
+++ b/lab/soak/engine.go
@@ -12,81 +12,81 @@
 	"time"
 )
 
-// Names of the platform's protocol.
+// Headers and paths of the platform protocol.
 const (
-	headerID        = "X-Txn"
-	headerRemaining = "X-Remaining"
-	headerReport    = "X-Pressure"
-	headerTurned    = "X-Turned-Away"
-	roomsPath       = "/bootstrap/rooms/"
+	headerID         = "X-Txn"
+	headerRemaining  = "X-Remaining"
+	headerReport     = "X-Pressure"
+	headerTurnedAway = "X-Turned-Away"
+	roomsPath        = "/bootstrap/rooms/"
 )
 
-// Times of an engine's work.
+// Times and bounds of an engine's work.
 const (
-	leastRead      = 10 * time.Millisecond
-	mostRead       = 240 * time.Millisecond
-	leastFirst     = 10 * time.Millisecond
-	mostFirst      = 200 * time.Millisecond
-	leastSlowFirst = 600 * time.Millisecond
-	mostSlowFirst  = 1800 * time.Millisecond
-	tokenEvery     = 25 * time.Millisecond
-	leastTokens    = 2
-	mostTokens     = 40
-	unknownAfter   = 300 * time.Millisecond // until a reservation without a read is answered
-	stateWait      = 2 * time.Second        // for an engine that holds the state and is silent
-	placeRefusals  = 0.15                   // share of reservations that are not held
+	minPrefill              = 10 * time.Millisecond
+	maxPrefill              = 240 * time.Millisecond
+	minFirstToken           = 10 * time.Millisecond
+	maxFirstToken           = 200 * time.Millisecond
+	minSlowFirstToken       = 600 * time.Millisecond
+	maxSlowFirstToken       = 1800 * time.Millisecond
+	tokenInterval           = 25 * time.Millisecond
+	minTokens               = 2
+	maxExtraTokens          = 40
+	noPrefillWait           = 300 * time.Millisecond // until a reservation for which no prefill runs is answered
+	kvStateWait             = 2 * time.Second        // for a silent engine that holds the KV state
+	reservationRefusalShare = 0.15                   // share of reservations that the engine refuses
 )
 
-// engine is a stand-in of one engine, reached by each gateway over a link of its own.
+// engine is the stand-in for one engine. Each gateway reaches it over a link of its own.
 type engine struct {
-	spec  Engine
-	index int
-	world *world
-	links []*link // by gateway
-	http  []*http.Server
+	spec    Engine
+	index   int
+	testbed *testbed
+	links   []*link // by gateway
+	http    []*http.Server
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	life    int // counts starts
-	stops   int // stops of its process that are on
-	running chan struct{}
-	hangs   int
-	work    chan struct{} // closed while it does not hang
-	refuses int
-	resets  int // attempts are reset
-	loses   int // answers are lost
-	late    time.Duration
-	drains  bool
-	busy    int
+	mu          sync.Mutex
+	rng         *rand.Rand
+	incarnation int // number of restarts
+	pauses      int // active pauses of its process
+	resumed     chan struct{}
+	hangs       int           // active hangs
+	unhung      chan struct{} // closed while the engine does not hang
+	refuses     int           // active faults that reject work
+	resets      int           // active faults that reset attempts
+	loses       int           // active faults that lose answers
+	answerDelay time.Duration
+	draining    bool
+	inFlight    int
 }
 
-func (w *world) openEngine(index int, spec Engine) (*engine, error) {
-	open := make(chan struct{})
-	close(open)
+func (tb *testbed) openEngine(index int, spec Engine) (*engine, error) {
+	closedChannel := make(chan struct{})
+	close(closedChannel)
 	e := &engine{
-		spec: spec, index: index, world: w, running: open, work: open,
-		rng: rand.New(rand.NewPCG(w.story.Seed, uint64(index)|1<<32)),
+		spec: spec, index: index, testbed: tb, resumed: closedChannel, unhung: closedChannel,
+		rng: rand.New(rand.NewPCG(tb.scenario.Seed, uint64(index)|1<<32)),
 	}
-	for g := range w.story.Gateways {
-		k, err := openLink()
+	for gateway := range tb.scenario.Gateways {
+		gatewayLink, err := openLink()
 		if err != nil {
 			return nil, err
 		}
 		server := &http.Server{
-			Handler: e.handler(g), IdleTimeout: time.Minute,
+			Handler: e.handler(gateway), IdleTimeout: time.Minute,
 			ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 				return context.WithValue(ctx, connKey{}, c.(*linkConn))
 			},
 		}
-		e.links, e.http = append(e.links, k), append(e.http, server)
-		w.background.Go(func() { _ = server.Serve(k) }) // it ends with the link
+		e.links, e.http = append(e.links, gatewayLink), append(e.http, server)
+		tb.background.Go(func() { _ = server.Serve(gatewayLink) }) // returns when the link is closed
 	}
 	return e, nil
 }
 
 func (e *engine) close() {
-	for i, k := range e.links {
-		k.Close()
+	for i, gatewayLink := range e.links {
+		gatewayLink.Close()
 		e.http[i].Close()
 	}
 }
@@ -101,21 +101,21 @@
 	mux.HandleFunc("DELETE "+roomsPath+"{id}", func(w http.ResponseWriter, r *http.Request) { e.release(w, r) })
 	mux.HandleFunc("GET /-/load", func(w http.ResponseWriter, r *http.Request) { e.probe(w, r) })
 	mux.HandleFunc("GET /-/healthy", func(w http.ResponseWriter, r *http.Request) { e.probe(w, r) })
-	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { e.attempt(w, r, gateway) })
+	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { e.serveAttempt(w, r, gateway) })
 	return mux
 }
 
-// draw gives a time between two.
-func (e *engine) draw(least, most time.Duration) time.Duration {
+// durationBetween draws a duration from low to high.
+func (e *engine) durationBetween(low, high time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return least + time.Duration(e.rng.Float64()*float64(most-least))
+	return low + time.Duration(e.rng.Float64()*float64(high-low))
 }
 
-func (e *engine) tokens() int {
+func (e *engine) extraTokens() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.rng.IntN(mostTokens)
+	return e.rng.IntN(maxExtraTokens)
 }
 
 func (e *engine) chance(share float64) bool {
@@ -124,8 +124,8 @@
 	return e.rng.Float64() < share
 }
 
-// does works for a time, in which its process runs; false means that the caller has closed.
-func (e *engine) does(ctx context.Context, d time.Duration) bool {
+// work waits for d, and longer while the engine is paused or hangs; false means that the caller has closed the connection.
+func (e *engine) work(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -134,7 +134,7 @@
 		return false
 	}
 	for {
-		wait := e.held()
+		wait := e.blocked()
 		if wait == nil {
 			return true
 		}
@@ -146,97 +146,99 @@
 	}
 }
 
-// held gives what ends with the engine's stop or hang; nil = it works.
-func (e *engine) held() chan struct{} {
+// blocked returns a channel that is closed when the engine's pause or hang ends; nil = the engine works.
+func (e *engine) blocked() chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
-	case e.stops > 0:
-		return e.running
+	case e.pauses > 0:
+		return e.resumed
 	case e.hangs > 0:
-		return e.work
+		return e.unhung
 	}
 	return nil
 }
 
-// abort ends a connection without an answer.
+// abort closes the connection without an answer.
 func abort() { panic(http.ErrAbortHandler) }
 
-// call is one attempt on its way through an engine.
+// call is one attempt that an engine processes.
 type call struct {
-	e       *engine
-	id      string
-	attempt *attempt
-	life    int
-	conn    *linkConn
+	engine      *engine
+	id          string
+	attempt     *attempt
+	incarnation int
+	conn        *linkConn
 }
 
-func (e *engine) attempt(w http.ResponseWriter, r *http.Request, gateway int) {
-	begun, id, conn := time.Now(), r.Header.Get(headerID), connOf(r)
-	if _, err := io.Copy(io.Discard, r.Body); err != nil || conn.wasLost.Load() {
-		abort() // it never was whole, or the engine has died with it unread
+func (e *engine) serveAttempt(w http.ResponseWriter, r *http.Request, gateway int) {
+	began, id, conn := time.Now(), r.Header.Get(headerID), connOf(r)
+	if _, err := io.Copy(io.Discard, r.Body); err != nil || conn.wasReset.Load() {
+		abort() // the request is incomplete, or the engine crashed before it was read
 	}
-	left, err := strconv.ParseFloat(r.Header.Get(headerRemaining), 64)
+	remaining, err := strconv.ParseFloat(r.Header.Get(headerRemaining), 64)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	a := e.world.check.takes(id, gateway, e.index, conn, begun, time.Duration(left*float64(time.Second)))
+	a := e.testbed.checker.attemptReceived(id, gateway, e.index, conn, began, time.Duration(remaining*float64(time.Second)))
 	if a == nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
-	c := &call{e: e, id: id, attempt: a, life: e.life, conn: conn}
-	resets, turns := e.resets > 0, e.refuses > 0 || e.drains
-	e.busy++
+	c := &call{engine: e, id: id, attempt: a, incarnation: e.incarnation, conn: conn}
+	resets, rejects := e.resets > 0, e.refuses > 0 || e.draining
+	e.inFlight++
 	e.mu.Unlock()
 	defer func() {
 		e.mu.Lock()
-		e.busy--
+		e.inFlight--
 		e.mu.Unlock()
 	}()
 	switch {
 	case resets:
-		c.ends("resets it after the last byte", false)
+		c.end("resets the connection after the last byte", false)
 		conn.reset()
 		abort()
-	case turns:
-		c.answer(w, r, http.StatusServiceUnavailable, "turns it away", true, "")
+	case rejects:
+		c.respond(w, r, http.StatusServiceUnavailable, "rejects it", true, "")
 	case e.spec.Role == Prefill:
-		c.read(w, r)
+		c.prefill(w, r)
 	default:
-		c.write(w, r)
+		c.decode(w, r)
 	}
 }
 
-func (c *call) ends(how string, turned bool) { c.e.world.check.ends(c.id, c.attempt, how, turned) }
+func (c *call) end(event string, rejected bool) {
+	c.engine.testbed.checker.attemptEnded(c.id, c.attempt, event, rejected)
+}
 
-// over tells whether the engine has died under the call.
-func (c *call) over() bool {
-	c.e.mu.Lock()
-	defer c.e.mu.Unlock()
-	return c.life != c.e.life
+// engineCrashed reports whether the engine has crashed since the call began.
+func (c *call) engineCrashed() bool {
+	c.engine.mu.Lock()
+	defer c.engine.mu.Unlock()
+	return c.incarnation != c.engine.incarnation
 }
 
-// answer gives a short answer, unless answers get lost.
-func (c *call) answer(w http.ResponseWriter, r *http.Request, code int, how string, turned bool, body string) {
-	c.e.mu.Lock()
-	late, lost := c.e.late, c.e.loses > 0
-	c.e.mu.Unlock()
+// respond sends a short answer, unless a fault loses answers.
+func (c *call) respond(w http.ResponseWriter, r *http.Request, code int, event string, rejected bool, body string) {
+	c.engine.mu.Lock()
+	delay, lost := c.engine.answerDelay, c.engine.loses > 0
+	c.engine.mu.Unlock()
 	if lost {
-		c.lose(r.Context())
+		c.dropAnswer(r.Context())
 	}
-	time.Sleep(late)
-	if turned {
-		w.Header().Set(headerTurned, "1")
+	time.Sleep(delay)
+	if rejected {
+		w.Header().Set(headerTurnedAway, "1")
 	}
-	w.Header().Set(headerReport, c.e.report())
+	w.Header().Set(headerReport, c.engine.report())
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	c.conn.link.send(func() { // an answer that can't leave has not been given
-		c.ends(how, turned)
+	c.conn.link.send(func() { // an answer counts as given only if it can be sent
+		c.end(event, rejected)
 		w.WriteHeader(code)
-		_, _ = io.WriteString(w, body) // the caller may have closed
+		_, _ = io.WriteString(w, body) // the caller may have closed the connection
 		w.(http.Flusher).Flush()
 	})
 }
@@ -244,117 +246,117 @@
 func (e *engine) report() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return fmt.Sprintf("inflight=%d,queue=0,x0=0.100,x1=0.00", e.busy)
+	return fmt.Sprintf("inflight=%d,queue=0,x0=0.100,x1=0.00", e.inFlight)
 }
 
-// read reads a prompt and keeps its state.
-func (c *call) read(w http.ResponseWriter, r *http.Request) {
-	e, check := c.e, c.e.world.check
+// prefill reads a prompt and holds its KV state.
+func (c *call) prefill(w http.ResponseWriter, r *http.Request) {
+	e, checker := c.engine, c.engine.testbed.checker
 	ctx := r.Context()
-	work := e.draw(leastRead, mostRead)
-	if e.world.story.ReadsOutlive {
+	work := e.durationBetween(minPrefill, maxPrefill)
+	if e.testbed.scenario.PrefillsOutliveCaller {
 		work, ctx = work/2, context.WithoutCancel(ctx)
 	}
-	if !e.does(ctx, work) || c.over() {
-		c.ends("is left by its caller in its read", false)
+	if !e.work(ctx, work) || c.engineCrashed() {
+		c.end("closed by the gateway during prefill", false)
 		abort()
 	}
-	check.holds(c.id, e.index, hold{since: time.Now(), unknown: c.conn.ended()})
-	c.answer(w, r, http.StatusAccepted, "has read the prompt", false, `{"cached_tokens":0}`)
+	checker.holdBegun(c.id, e.index, hold{since: time.Now(), callerGone: c.conn.closedByCaller()})
+	c.respond(w, r, http.StatusAccepted, "has read the prompt", false, `{"cached_tokens":0}`)
 }
 
-// write answers, with the state that a prefill engine holds or, at a mixed engine, by itself.
-func (c *call) write(w http.ResponseWriter, r *http.Request) {
-	e, check, ctx := c.e, c.e.world.check, r.Context()
-	if !c.fetch(ctx) {
-		c.answer(w, r, http.StatusGone, "finds no state", true, "")
+// decode writes the answer, with the KV state that a prefill engine holds or, at a mixed engine, without any.
+func (c *call) decode(w http.ResponseWriter, r *http.Request) {
+	e, checker, ctx := c.engine, c.engine.testbed.checker, r.Context()
+	if !c.fetchKVState(ctx) {
+		c.respond(w, r, http.StatusGone, "finds no KV state", true, "")
 		return
 	}
-	first := e.draw(leastFirst, mostFirst)
-	if e.chance(e.world.story.SlowFirstTokens) {
-		first = e.draw(leastSlowFirst, mostSlowFirst)
+	first := e.durationBetween(minFirstToken, maxFirstToken)
+	if e.chance(e.testbed.scenario.SlowFirstTokenShare) {
+		first = e.durationBetween(minSlowFirstToken, maxSlowFirstToken)
 	}
-	if !e.does(ctx, first) || c.over() {
-		c.ends("is left by its caller before the first token", false)
+	if !e.work(ctx, first) || c.engineCrashed() {
+		c.end("closed by the gateway before the first token", false)
 		abort()
 	}
-	if !c.fetch(ctx) {
-		c.answer(w, r, http.StatusGone, "has lost the state", true, "")
+	if !c.fetchKVState(ctx) {
+		c.respond(w, r, http.StatusGone, "has lost the KV state", true, "")
 		return
 	}
 	e.mu.Lock()
-	late, lost := e.late, e.loses > 0
+	delay, lost := e.answerDelay, e.loses > 0
 	e.mu.Unlock()
-	check.takesHolds(c.id, c.attempt)
+	checker.holdsTaken(c.id, c.attempt)
 	if lost {
-		c.lose(ctx)
+		c.dropAnswer(ctx)
 	}
-	time.Sleep(late)
+	time.Sleep(delay)
 	c.stream(ctx, w)
 }
 
-// fetch tells whether there is a state; one at an engine that is silent is waited for.
-func (c *call) fetch(ctx context.Context) bool {
-	if c.e.spec.Role == Mixed {
+// fetchKVState reports whether there is KV state to fetch; it waits up to kvStateWait for a silent engine that holds it.
+func (c *call) fetchKVState(ctx context.Context) bool {
+	if c.engine.spec.Role == Mixed {
 		return true
 	}
-	for until := time.Now().Add(stateWait); time.Now().Before(until); {
-		holder, ok := c.e.world.check.stateAt(c.id)
+	for until := time.Now().Add(kvStateWait); time.Now().Before(until); {
+		holder, ok := c.engine.testbed.checker.kvStateHolder(c.id)
 		if !ok {
 			return false
 		}
-		if !c.e.world.engines[holder].stopped() {
+		if !c.engine.testbed.engines[holder].isPaused() {
 			return true
 		}
-		if !c.e.does(ctx, sweepEvery) {
+		if !c.engine.work(ctx, sweepInterval) {
 			return false
 		}
 	}
 	return false
 }
 
-func (e *engine) stopped() bool {
+func (e *engine) isPaused() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.stops > 0
+	return e.pauses > 0
 }
 
-// lose says nothing until the caller closes.
-func (c *call) lose(ctx context.Context) {
+// dropAnswer sends nothing until the caller closes the connection.
+func (c *call) dropAnswer(ctx context.Context) {
 	<-ctx.Done()
-	c.ends("its answer was lost", false)
+	c.end("its answer was lost", false)
 	abort()
 }
 
-// stream writes an answer's events, each with the time at which it is written.
+// stream writes an answer's events, each stamped with the time of its write.
 func (c *call) stream(ctx context.Context, w http.ResponseWriter) {
-	e := c.e
-	n := leastTokens + e.tokens()
+	e := c.engine
+	n := minTokens + e.extraTokens()
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := range n {
-		if i > 0 && !e.does(ctx, tokenEvery) || c.over() {
-			c.cut(i)
+		if i > 0 && !e.work(ctx, tokenInterval) || c.engineCrashed() {
+			c.streamCut(i)
 			abort()
 		}
-		c.conn.link.pass()
-		_, err := fmt.Fprintf(w, "data: {\"id\":%q,\"n\":%d,\"of\":%d,\"at\":%d}\n\n", c.id, i, n, time.Since(e.world.begun).Nanoseconds())
+		c.conn.link.awaitOpen()
+		_, err := fmt.Fprintf(w, "data: {\"id\":%q,\"n\":%d,\"of\":%d,\"at\":%d}\n\n", c.id, i, n, time.Since(e.testbed.start).Nanoseconds())
 		w.(http.Flusher).Flush()
 		if err != nil {
-			c.cut(i)
+			c.streamCut(i)
 			abort()
 		}
 	}
-	c.ends("has written the whole answer", false)
-	_, _ = fmt.Fprintf(w, ": %s: %s\n\ndata: [DONE]\n\n", headerReport, e.report()) // the caller may have closed
+	c.end("has written the whole answer", false)
+	_, _ = fmt.Fprintf(w, ": %s: %s\n\ndata: [DONE]\n\n", headerReport, e.report()) // the caller may have closed the connection
 }
 
-// cut tells that a stream was left in the middle, unless the engine has died.
-func (c *call) cut(events int) {
-	how := "its stream is left by the caller"
-	if c.over() || c.conn.wasLost.Load() {
-		how = "dies or resets its stream"
+// streamCut records that the caller closed a stream in the middle, or that the engine crashed or reset it.
+func (c *call) streamCut(events int) {
+	event := "its stream is closed by the gateway"
+	if c.engineCrashed() || c.conn.wasReset.Load() {
+		event = "crashes or resets its stream"
 	} else {
-		c.e.world.check.leftInStream(c.id, c.attempt)
+		c.engine.testbed.checker.streamClosedByCaller(c.id, c.attempt)
 	}
-	c.ends(fmt.Sprintf("%s behind event %d", how, events), false)
+	c.end(fmt.Sprintf("%s after event %d", event, events), false)
 }
--- a/lab/soak/engine_calls.go
+++ b/lab/soak/engine_calls.go
@@ -7,50 +7,50 @@
 	"time"
 )
 
-// This file is what an engine does with calls that are no attempts.
+// This file handles the calls to an engine other than attempts: reservations, releases and probes.
 
-// reserve answers the asking for a place.
+// reserve answers a reservation call: refused, held, or, if no prefill runs for the request, neither.
 func (e *engine) reserve(w http.ResponseWriter, r *http.Request) {
-	id, asked, story, check := r.PathValue("id"), time.Now(), e.world.story, e.world.check
-	check.reserves()
+	id, receivedAt, scenario, checker := r.PathValue("id"), time.Now(), e.testbed.scenario, e.testbed.checker
+	checker.countReservation()
 	switch {
-	case !e.does(r.Context(), 0):
+	case !e.work(r.Context(), 0):
 		abort()
-	case e.chance(placeRefusals):
+	case e.chance(reservationRefusalShare):
 		w.WriteHeader(http.StatusConflict)
-	case story.BlindPlaces || check.reading(id):
-		check.holds(id, e.index, hold{place: true, unknown: connOf(r).ended(), since: asked})
+	case scenario.BlindReservations || checker.prefillRunning(id):
+		checker.holdBegun(id, e.index, hold{reservation: true, callerGone: connOf(r).closedByCaller(), since: receivedAt})
 		w.WriteHeader(http.StatusOK)
-	case e.does(r.Context(), unknownAfter):
+	case e.work(r.Context(), noPrefillWait):
 		w.WriteHeader(http.StatusNoContent)
 	default:
 		abort()
 	}
 }
 
-// release lets go of what is held for a request. An engine that hangs does and does not answer.
+// release drops the holds for a request. An engine that hangs drops them and does not answer.
 func (e *engine) release(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	running := e.running
+	running := e.resumed
 	e.mu.Unlock()
 	<-running
-	e.world.check.releases(strings.TrimPrefix(r.URL.Path, roomsPath), e.index)
-	if !e.does(r.Context(), 0) {
+	e.testbed.checker.releaseReceived(strings.TrimPrefix(r.URL.Path, roomsPath), e.index)
+	if !e.work(r.Context(), 0) {
 		abort()
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// probe answers with the load.
+// probe answers with the load report.
 func (e *engine) probe(w http.ResponseWriter, r *http.Request) {
-	e.world.check.probes()
+	e.testbed.checker.countProbe()
 	switch {
-	case !e.world.story.Probes:
+	case !e.testbed.scenario.Probes:
 		w.WriteHeader(http.StatusNotFound)
-	case !e.does(r.Context(), 0):
+	case !e.work(r.Context(), 0):
 		abort()
 	default:
 		w.Header().Set(headerReport, e.report())
-		_, _ = io.WriteString(w, e.report()) // the caller may have closed
+		_, _ = io.WriteString(w, e.report()) // the caller may have closed the connection
 	}
 }
--- a/lab/soak/engine_test.go
+++ b/lab/soak/engine_test.go
@@ -7,46 +7,46 @@
 	"time"
 )
 
-// How a gateway was blamed for a state that it could not know of (soak seed 13, 1 of 60 eight at once): engine 0 was about to
-// answer a read as its silence began. The checker noted "has read the prompt" at 3.651 s and counted the state from there; the
-// bytes waited for the silence's end at 4.505 s ("attempt … engine=e0 status=9 ms=955" in the gateway's log). The link was
-// looked at, the answer noted as given, and then the silence came before the write.
-
-// An answer that is noted as given has left: it arrives though its engine falls silent in that moment.
-func TestEngine_AnswerBesideASilence(t *testing.T) {
+// An answer that is recorded as given has been sent: it arrives though its engine falls silent at that moment.
+//
+// Guards against a race by which a gateway was blamed for KV state that it could not know of (soak seed 13, 1 of 60 runs, eight
+// at once): engine 0 was about to answer a prefill when its silence began. The checker recorded "has read the prompt" at 3.651 s
+// and counted the hold from there; the bytes waited for the silence's end at 4.505 s ("attempt … engine=e0 status=9 ms=955" in
+// the gateway's log). The silence had begun between the check of the link and the write.
+func TestEngine_AnswerDuringSilenceStart(t *testing.T) {
 	const rounds = 400
-	const arrival = 2 * time.Second // for an answer that has left
-	story := &Story{Seed: 1, Gateways: 1, Engines: []Engine{{ID: "e0", Role: Prefill}}}
-	w := &world{story: story, check: newChecker(story, time.Now())}
-	e, err := w.openEngine(0, story.Engines[0])
+	const arrival = 2 * time.Second // for an answer that has been sent
+	scenario := &FaultScenario{Seed: 1, Gateways: 1, Engines: []Engine{{ID: "e0", Role: Prefill}}}
+	tb := &testbed{scenario: scenario, checker: newChecker(scenario, time.Now())}
+	e, err := tb.openEngine(0, scenario.Engines[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.engines = []*engine{e}
-	e.change(func() { e.refuses = 1 })
-	defer w.background.Wait()
+	tb.engines = []*engine{e}
+	e.withLock(func() { e.refuses = 1 })
+	defer tb.background.Wait()
 	defer e.close()
-	w.check.asks("q", Class{Effect: Pure}, 0)
+	tb.checker.requestBegun("q", Class{Effect: Pure}, 0)
 	for range rounds {
-		taken := w.check.attempts("q")
+		taken := tb.checker.attemptCount("q")
 		answered := make(chan error, 1)
-		go func() { answered <- attemptAt(e.links[0].addr, "q") }()
-		for w.check.attempts("q") == taken {
+		go func() { answered <- sendAttempt(e.links[0].addr, "q") }()
+		for tb.checker.attemptCount("q") == taken {
 			runtime.Gosched()
 		}
-		if err := e.links[0].freeze(false); err != nil {
+		if err := e.links[0].beginSilence(false); err != nil {
 			t.Fatal(err)
 		}
-		given := w.check.lastOver("q")
-		if given {
+		answerNoted := tb.checker.lastAttemptEnded("q")
+		if answerNoted {
 			select {
 			case err := <-answered:
 				answered <- err
 			case <-time.After(arrival):
-				t.Fatal("an answer was noted as given and held back by the silence")
+				t.Fatal("an answer was recorded as given and held back by the silence")
 			}
 		}
-		if err := e.links[0].thaw(false); err != nil {
+		if err := e.links[0].endSilence(false); err != nil {
 			t.Fatal(err)
 		}
 		if err := <-answered; err != nil {
@@ -55,8 +55,8 @@
 	}
 }
 
-// attemptAt makes one attempt of a request at an engine.
-func attemptAt(addr, id string) error {
+// sendAttempt sends one attempt of a request to an engine.
+func sendAttempt(addr, id string) error {
 	r, err := http.NewRequest(http.MethodPost, "http://"+addr+"/v1/chat/completions", http.NoBody)
 	if err != nil {
 		return err
@@ -70,17 +70,17 @@
 	return answer.Body.Close()
 }
 
-// attempts counts a request's attempts that engines have taken.
-func (c *checker) attempts(id string) int {
+// attemptCount counts a request's attempts that engines have received.
+func (c *checker) attemptCount(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.requests[id].attempts)
 }
 
-// lastOver tells whether a request's last attempt has ended for its engine.
-func (c *checker) lastOver(id string) bool {
+// lastAttemptEnded reports whether a request's last attempt has ended at its engine.
+func (c *checker) lastAttemptEnded(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.requests[id].attempts
-	return list[len(list)-1].over
+	return list[len(list)-1].ended
 }
--- a/lab/soak/events.go
+++ b/lab/soak/events.go
@@ -8,211 +8,211 @@
 	"time"
 )
 
-// happen plays one event from its begin to its end.
-func (w *world) happen(ctx context.Context, e Event) {
+// playEvent starts an event, waits for its duration and ends it.
+func (tb *testbed) playEvent(ctx context.Context, e Event) {
 	switch e.Kind {
 	case DiscoverySilent:
-		w.hush(e, 1)
-		sleep(ctx, e.For)
-		w.hush(e, -1)
-	case GatewayReloads, GatewayStops, GatewayRestarts, GatewayTermTwice:
+		tb.changeDiscoverySilence(e, 1)
+		sleep(ctx, e.Duration)
+		tb.changeDiscoverySilence(e, -1)
+	case GatewayReloads, GatewayPauses, GatewayRestarts, GatewayMoreSignals:
 		for _, index := range e.Gateways {
-			w.background.Go(func() { w.disturb(ctx, w.gateways[index], e) })
+			tb.background.Go(func() { tb.disturbGateway(ctx, tb.gateways[index], e) })
 		}
-		sleep(ctx, e.For)
+		sleep(ctx, e.Duration)
 	default:
 		for _, index := range e.Engines {
-			w.begin(w.engines[index], e)
+			tb.beginFault(tb.engines[index], e)
 		}
-		sleep(ctx, e.For)
+		sleep(ctx, e.Duration)
 		for _, index := range e.Engines {
-			w.end(w.engines[index], e)
+			tb.endFault(tb.engines[index], e)
 		}
 	}
 }
 
-// hush has the agents of an event's gateways fall silent, or answer again.
-func (w *world) hush(e Event, by int) {
+// changeDiscoverySilence adds delta to the count of silences of each gateway's agent: 1 begins one, -1 ends it.
+func (tb *testbed) changeDiscoverySilence(e Event, delta int) {
 	for _, index := range e.Gateways {
-		g := w.gateways[index]
+		g := tb.gateways[index]
 		g.mu.Lock()
 		a := g.agent
 		g.mu.Unlock()
-		a.hush(by)
+		a.changeSilence(delta)
 	}
 }
 
-// disturb does to a gateway's process what an event says.
-func (w *world) disturb(ctx context.Context, g *gateway, e Event) {
+// disturbGateway applies an event to a gateway's process.
+func (tb *testbed) disturbGateway(ctx context.Context, g *gateway, e Event) {
 	switch e.Kind {
-	case GatewayStops:
-		g.pauseFor(e.For)
+	case GatewayPauses:
+		g.pauseFor(e.Duration)
 	case GatewayReloads:
 		if err := g.reload(); err != nil {
-			w.check.sees(Crash, "", fmt.Sprintf("gateway %d can't be reloaded: %v", g.index, err))
+			tb.checker.reportViolation(RuleCrash, "", fmt.Sprintf("gateway %d could not be reloaded: %v", g.index, err))
 		}
-	case GatewayTermTwice:
-		g.signalEnding()
+	case GatewayMoreSignals:
+		g.signalAgain()
 	case GatewayRestarts:
-		g.end()
+		g.terminate()
 		if ctx.Err() != nil {
 			return
 		}
 		if err := g.start(); err != nil {
-			w.check.sees(Crash, "", fmt.Sprintf("gateway %d does not start again: %v", g.index, err))
+			tb.checker.reportViolation(RuleCrash, "", fmt.Sprintf("gateway %d did not restart: %v", g.index, err))
 		}
 	}
 }
 
-// signalEnding sends more signals to a process that has been told to end.
-func (g *gateway) signalEnding() {
+// signalAgain sends further signals to a process that is terminating.
+func (g *gateway) signalAgain() {
 	g.mu.Lock()
-	told := !g.told.IsZero()
+	terminating := !g.termAt.IsZero()
 	g.mu.Unlock()
-	if told {
+	if terminating {
 		g.signal(syscall.SIGHUP)
 		g.signal(syscall.SIGTERM)
 	}
 }
 
-// freeze has the links to an engine from some gateways fall silent, or run again.
-func (w *world) freeze(e *engine, gateways []int, cut, on bool) {
-	var all sync.WaitGroup // to fill a queue of connections takes its time
+// silenceLinks begins or ends a silence of the links from some gateways to an engine.
+func (tb *testbed) silenceLinks(e *engine, gateways []int, cut, silent bool) {
+	var all sync.WaitGroup // filling a listener's backlog takes time
 	for _, g := range gateways {
 		all.Go(func() {
 			var err error
-			if on {
-				w.check.reaches(g, e.index, false)
-				err = e.links[g].freeze(cut)
+			if silent {
+				tb.checker.setReachable(g, e.index, false)
+				err = e.links[g].beginSilence(cut)
 			} else {
-				err = e.links[g].thaw(cut)
-				w.check.reaches(g, e.index, e.links[g].open())
+				err = e.links[g].endSilence(cut)
+				tb.checker.setReachable(g, e.index, e.links[g].isOpen())
 			}
-			if err != nil { // a story whose silence is none shows nothing
-				w.check.sees(Crash, "", fmt.Sprintf("the soak itself: the link of gateway %d to engine %d: %v", g, e.index, err))
+			if err != nil { // without its silence the scenario tests nothing
+				tb.checker.reportViolation(RuleCrash, "", fmt.Sprintf("soak failure: link of gateway %d to engine %d: %v", g, e.index, err))
 			}
 		})
 	}
 	all.Wait()
 }
 
-func (w *world) allGateways() []int {
-	list := make([]int, w.story.Gateways)
-	for i := range list {
-		list[i] = i
+func (tb *testbed) allGateways() []int {
+	indexes := make([]int, tb.scenario.Gateways)
+	for i := range indexes {
+		indexes[i] = i
 	}
-	return list
+	return indexes
 }
 
-// begin puts an engine's trouble on.
-func (w *world) begin(e *engine, event Event) {
+// beginFault starts a fault at an engine.
+func (tb *testbed) beginFault(e *engine, event Event) {
 	switch event.Kind {
-	case EngineStops, EngineVanishes:
-		w.freeze(e, w.allGateways(), event.Kind == EngineVanishes, true)
-		e.stop()
-	case Cut:
-		w.freeze(e, event.Gateways, true, true)
-	case ResetsOpen:
-		for _, k := range e.links {
-			k.resetAll()
+	case EngineStops, EngineUnreachable:
+		tb.silenceLinks(e, tb.allGateways(), event.Kind == EngineUnreachable, true)
+		e.pause()
+	case NetworkCut:
+		tb.silenceLinks(e, event.Gateways, true, true)
+	case EngineResetsConnections:
+		for _, gatewayLink := range e.links {
+			gatewayLink.resetAll()
 		}
 	case EngineDrains:
-		e.change(func() { e.drains = true })
-		w.tell(e.index, lifecycleDraining, w.started(e.index))
-	case EngineDies:
-		w.die(e)
+		e.withLock(func() { e.draining = true })
+		tb.updateMembership(e.index, lifecycleDraining, tb.startTime(e.index))
+	case EngineCrashes:
+		tb.crashEngine(e)
 	default:
-		e.change(func() { e.trouble(event, 1) })
+		e.withLock(func() { e.applyFault(event, 1) })
 	}
 }
 
-// end takes an engine's trouble off.
-func (w *world) end(e *engine, event Event) {
+// endFault ends a fault at an engine.
+func (tb *testbed) endFault(e *engine, event Event) {
 	switch event.Kind {
-	case EngineStops, EngineVanishes:
-		e.run()
-		w.freeze(e, w.allGateways(), event.Kind == EngineVanishes, false)
-	case Cut:
-		w.freeze(e, event.Gateways, true, false)
-	case ResetsOpen:
+	case EngineStops, EngineUnreachable:
+		e.resume()
+		tb.silenceLinks(e, tb.allGateways(), event.Kind == EngineUnreachable, false)
+	case NetworkCut:
+		tb.silenceLinks(e, event.Gateways, true, false)
+	case EngineResetsConnections:
 	case EngineDrains:
-		e.change(func() { e.drains = false })
-		w.tell(e.index, lifecycleUp, w.started(e.index))
-	case EngineDies:
-		w.revive(e)
+		e.withLock(func() { e.draining = false })
+		tb.updateMembership(e.index, lifecycleUp, tb.startTime(e.index))
+	case EngineCrashes:
+		tb.restartEngine(e)
 	default:
-		e.change(func() { e.trouble(event, -1) })
+		e.withLock(func() { e.applyFault(event, -1) })
 	}
 }
 
-func (w *world) started(engine int) float64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.startedAt[engine]
+func (tb *testbed) startTime(engine int) float64 {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	return tb.startedAt[engine]
 }
 
-// die ends an engine's process: what it held is gone.
-func (w *world) die(e *engine) {
-	e.change(func() { e.life++ })
-	for g, k := range e.links {
-		w.check.reaches(g, e.index, false)
-		k.die()
+// crashEngine ends an engine's process; all its holds are lost.
+func (tb *testbed) crashEngine(e *engine) {
+	e.withLock(func() { e.incarnation++ })
+	for g, gatewayLink := range e.links {
+		tb.checker.setReachable(g, e.index, false)
+		gatewayLink.crash()
 	}
-	w.check.forgets(e.index)
+	tb.checker.holdsLost(e.index)
 }
 
-// revive starts an engine's process under its old address, cold.
-func (w *world) revive(e *engine) {
-	w.check.starts(e.index)
-	for g, k := range e.links {
-		if err := k.revive(); err != nil {
-			w.check.sees(Crash, "", fmt.Sprintf("the soak itself: engine %d does not come back: %v", e.index, err))
+// restartEngine starts an engine's process, cold, at its old address.
+func (tb *testbed) restartEngine(e *engine) {
+	tb.checker.engineStarted(e.index)
+	for g, gatewayLink := range e.links {
+		if err := gatewayLink.restart(); err != nil {
+			tb.checker.reportViolation(RuleCrash, "", fmt.Sprintf("soak failure: engine %d did not restart: %v", e.index, err))
 			continue
 		}
-		w.check.reaches(g, e.index, k.open())
+		tb.checker.setReachable(g, e.index, gatewayLink.isOpen())
 	}
-	w.tell(e.index, lifecycleUp, float64(time.Now().UnixMilli()))
+	tb.updateMembership(e.index, lifecycleUp, float64(time.Now().UnixMilli()))
 }
 
-func (e *engine) change(f func()) {
+func (e *engine) withLock(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f()
 }
 
-// stop and run are the engine's process being stopped and going on.
-func (e *engine) stop() {
+// pause stops the engine's process; resume continues it once every pause has ended.
+func (e *engine) pause() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.stops++; e.stops == 1 {
-		e.running = make(chan struct{})
+	if e.pauses++; e.pauses == 1 {
+		e.resumed = make(chan struct{})
 	}
 }
 
-func (e *engine) run() {
+func (e *engine) resume() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.stops--; e.stops == 0 {
-		close(e.running)
+	if e.pauses--; e.pauses == 0 {
+		close(e.resumed)
 	}
 }
 
-// trouble puts on or takes off what an event does; the lock is held.
-func (e *engine) trouble(event Event, by int) {
+// applyFault starts (delta 1) or ends (delta -1) a fault. The caller holds the lock.
+func (e *engine) applyFault(event Event, delta int) {
 	switch event.Kind {
 	case EngineHangs:
-		if e.hangs += by; e.hangs == 1 && by > 0 {
-			e.work = make(chan struct{})
+		if e.hangs += delta; e.hangs == 1 && delta > 0 {
+			e.unhung = make(chan struct{})
 		} else if e.hangs == 0 {
-			close(e.work)
+			close(e.unhung)
 		}
 	case EngineRefuses:
-		e.refuses += by
-	case ResetsAfter:
-		e.resets += by
-	case LosesAnswers:
-		e.loses += by
-	case AnswersLate:
-		e.late += time.Duration(by) * event.Delay
+		e.refuses += delta
+	case EngineResetsAttempts:
+		e.resets += delta
+	case EngineLosesAnswers:
+		e.loses += delta
+	case EngineAnswersLate:
+		e.answerDelay += time.Duration(delta) * event.Delay
 	}
 }
--- a/lab/soak/held_test.go
+++ b/lab/soak/held_test.go
@@ -11,7 +11,7 @@
 
 var program string
 
-// TestMain builds the daemon.
+// TestMain builds the gateway's binary.
 func TestMain(m *testing.M) {
 	code, err := rehearse.WithDaemon(func(path string) int {
 		program = path
@@ -23,10 +23,10 @@
 	os.Exit(code)
 }
 
-// small is a story of two prefill engines (0 and 2) and two decode engines (1 and 3) in two
-// zones, two gateways and 24 clients, in which nothing goes wrong.
-func small() *Story {
-	s := &Story{
+// smallScenario has two prefill engines (0 and 2) and two decode engines (1 and 3) in two
+// zones, two gateways, 24 clients and no faults.
+func smallScenario() *FaultScenario {
+	s := &FaultScenario{
 		Seed: 40, Length: 7 * time.Second, Zones: 2, Gateways: 2, Reservations: true, Probes: true, Reports: "inline", Sockets: 1024,
 		Classes: []Class{
 			{Name: "rate-check", Effect: Pure, Aim: 800 * time.Millisecond, Deadline: 4 * time.Second},
@@ -38,85 +38,85 @@
 		s.Engines = append(s.Engines, Engine{ID: fmt.Sprintf("e%d", i), Role: role, Zone: i / 2})
 	}
 	for i := range 24 {
-		s.Clients = append(s.Clients, Client{Kind: Steady, Gateway: i % s.Gateways})
+		s.Clients = append(s.Clients, Client{Kind: ClientSteady, Gateway: i % s.Gateways})
 	}
 	return s
 }
 
-// silences are the ways in which engines give no sign for a while with their connections open, and read
-// later all that was written to them.
+// silences are faults in which engines are silent for a while with their connections open, and read
+// afterwards all that was written to them.
 var silences = []struct {
 	name   string
-	change func(*Story)
+	change func(*FaultScenario)
 }{
-	{"decode engines", func(s *Story) { s.Events = silentAt(time.Second, 4*time.Second, 1, 3) }},
-	{"one of two decode engines", func(s *Story) { s.Events = silentAt(time.Second, 4*time.Second, 1) }},
-	{"prefill engines", func(s *Story) {
-		s.BlindPlaces = true
+	{"decode engines", func(s *FaultScenario) { s.Events = silentAt(time.Second, 4*time.Second, 1, 3) }},
+	{"one of two decode engines", func(s *FaultScenario) { s.Events = silentAt(time.Second, 4*time.Second, 1) }},
+	{"prefill engines", func(s *FaultScenario) {
+		s.BlindReservations = true
 		s.Events = silentAt(time.Second, 4*time.Second, 0, 2)
 	}},
-	{"decode engines flicker", func(s *Story) {
+	{"decode engines flicker", func(s *FaultScenario) {
 		const every = 1400 * time.Millisecond
 		for at := time.Second; at < s.Length-every; at += every {
 			s.Events = append(s.Events, silentAt(at, 1100*time.Millisecond, 1, 3)...)
 		}
 	}},
-	{"clients leave", func(s *Story) {
+	{"clients close early", func(s *FaultScenario) {
 		s.Events = silentAt(time.Second, 4*time.Second, 1, 3)
 		for i := range s.Clients {
-			s.Clients[i].Kind = Leaver
+			s.Clients[i].Kind = ClientClosesEarly
 		}
 	}},
-	{"one zone is cut off", func(s *Story) {
-		s.Events = []Event{{Kind: Cut, At: time.Second, For: 4 * time.Second, Engines: []int{2, 3}, Gateways: []int{0}}}
+	{"one zone cut off", func(s *FaultScenario) {
+		s.Events = []Event{{Kind: NetworkCut, At: time.Second, Duration: 4 * time.Second, Engines: []int{2, 3}, Gateways: []int{0}}}
 	}},
-	{"decode engines hang, and releases count at their engine alone", func(s *Story) {
-		s.OwnReleases = true
-		s.Events = []Event{{Kind: EngineHangs, At: time.Second, For: 4 * time.Second, Engines: []int{1, 3}}}
+	{"decode engines hang, releases are local", func(s *FaultScenario) {
+		s.LocalReleases = true
+		s.Events = []Event{{Kind: EngineHangs, At: time.Second, Duration: 4 * time.Second, Engines: []int{1, 3}}}
 	}},
-	{"all but one vanish, and that hangs", func(s *Story) { s.Events = goneBut(EngineVanishes) }},
-	{"all but one are stopped, and that hangs", func(s *Story) { s.Events = goneBut(EngineStops) }},
-	{"releases count at their engine alone", func(s *Story) {
-		s.OwnReleases = true
+	{"all but one unreachable, that one hangs", func(s *FaultScenario) { s.Events = allButOneSilent(EngineUnreachable) }},
+	{"all but one stopped, that one hangs", func(s *FaultScenario) { s.Events = allButOneSilent(EngineStops) }},
+	{"releases are local", func(s *FaultScenario) {
+		s.LocalReleases = true
 		s.Events = silentAt(time.Second, 4*time.Second, 1, 3)
 	}},
 }
 
-// goneBut has a decode engine take calls and answer none, and all others fall silent a little later: releases reach that one alone.
-func goneBut(how EventKind) []Event {
+// allButOneSilent makes a decode engine accept calls without answering, and silences all others a little later: releases reach only that one.
+func allButOneSilent(kind EventKind) []Event {
 	return []Event{
-		{Kind: EngineHangs, At: time.Second, For: 4 * time.Second, Engines: []int{3}},
-		{Kind: how, At: 1200 * time.Millisecond, For: 3500 * time.Millisecond, Engines: []int{0, 1, 2}},
+		{Kind: EngineHangs, At: time.Second, Duration: 4 * time.Second, Engines: []int{3}},
+		{Kind: kind, At: 1200 * time.Millisecond, Duration: 3500 * time.Millisecond, Engines: []int{0, 1, 2}},
 	}
 }
 
 func silentAt(at, length time.Duration, engines ...int) []Event {
-	return []Event{{Kind: EngineStops, At: at, For: length, Engines: engines}}
+	return []Event{{Kind: EngineStops, At: at, Duration: length, Engines: engines}}
 }
 
-// What engines hold for a request is taken or released in time, although the engine that its
-// next attempt was written to gives no sign.
-func TestHeldState_SilentEngines(t *testing.T) {
+// Holds of a request are taken or released in time although the engine to which its next attempt
+// was written is silent.
+func TestHolds_SilentEngines(t *testing.T) {
 	for _, silence := range silences {
 		t.Run(silence.name, func(t *testing.T) {
 			t.Parallel()
-			s := small()
+			s := smallScenario()
 			silence.change(s)
-			playStory(t, s)
+			playScenario(t, s)
 		})
 	}
 }
 
-func playStory(t *testing.T, s *Story) {
+func playScenario(t *testing.T, s *FaultScenario) {
 	t.Helper()
-	rep, err := Play(t.Context(), s, Options{Program: program, LogLevel: "debug"})
+	report, err := Play(t.Context(), s, Options{Program: program, LogLevel: "debug"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if rep.Counts.Served == 0 || rep.Counts.Holds == 0 {
-		t.Errorf("nothing was served, or nothing held: %+v", rep.Counts)
+	if report.Counts.Served == 0 || report.Counts.Holds == 0 {
+		t.Errorf("no request was served, or there was no hold: %+v", report.Counts)
 	}
-	if !rep.OK() {
-		t.Errorf("%d broken rules:\n%.20000s", len(rep.Breaks), rep)
+	if !report.OK() {
+		t.Errorf("%d violations:\n%.20000s", len(report.Violations), report)
 	}
 }
--- a/lab/soak/lateness.go
+++ b/lab/soak/lateness.go
@@ -12,81 +12,81 @@
 	"ashwood.example/ashwood/internal/sockcall"
 )
 
-// This file notes how late the soak itself and its machine are. Engines, clients, faults and the checker share one process, and a machine
-// with what they judge: a hold that is too long, or an event that comes late, may be their own lateness. It excuses nothing; it is
-// printed with what it may explain.
+// This file records how late the soak process and its machine are. Engines, clients, faults and the checker share one process, and one
+// machine with the gateways: a hold that lasts too long, or an event that is read late, may be due to their own lateness. A recorded
+// lateness excuses nothing; it is printed with the violations that it may explain.
 
-// lateKind is a part of the soak that may be late.
+// lateKind names a part of the soak process, or of its machine, that may be late. The text is printed.
 type lateKind string
 
-// The parts.
+// The kinds of lateness.
 const (
-	lateFault  lateKind = "a fault began"           // behind its time in the story
-	lateEngine lateKind = "an engine read a call"   // behind the arrival of its last byte
-	lateSweep  lateKind = "the checker's sweep ran" // behind its time
+	lateFault  lateKind = "a fault began"           // after its time in the scenario
+	lateEngine lateKind = "an engine read a call"   // after the arrival of its last byte
+	lateSweep  lateKind = "the checker's sweep ran" // after its scheduled time
 	lateTimer  lateKind = "a timer fired"
-	lateClient lateKind = "a client read an event" // behind the arrival of its last byte
+	lateClient lateKind = "a client read an event" // after the arrival of its last byte
 	lateEnd    lateKind = "a killed gateway ended"
 	lateHost   lateKind = "the host gave processors"
 )
 
-// lateMoment is one lateness: what was to happen by at has happened so much later.
-type lateMoment struct {
-	kind lateKind
-	at   time.Time
-	by   time.Duration
+// latenessRecord is one lateness: what was to happen at the time at happened later by delay.
+type latenessRecord struct {
+	kind  lateKind
+	at    time.Time
+	delay time.Duration
 }
 
-// leastNoted is what is worth a note; it is more than a tick of the kernel's clock.
-const leastNoted = 20 * time.Millisecond
+// minLateness is the smallest lateness that is recorded; it exceeds a tick of the kernel's clock.
+const minLateness = 20 * time.Millisecond
 
-// wasLate notes a lateness. The lock is not held.
-func (c *checker) wasLate(kind lateKind, at time.Time, by time.Duration) {
+// recordLateness records a lateness. The caller does not hold the lock.
+func (c *checker) recordLateness(kind lateKind, at time.Time, by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.noteLate(kind, at, by)
+	c.recordLatenessLocked(kind, at, by)
 }
 
-// noteLate is wasLate with the lock held.
-func (c *checker) noteLate(kind lateKind, at time.Time, by time.Duration) {
-	if by >= leastNoted {
-		c.lateness = append(c.lateness, lateMoment{kind, at, by})
+// recordLatenessLocked is recordLateness for callers that hold the lock.
+func (c *checker) recordLatenessLocked(kind lateKind, at time.Time, by time.Duration) {
+	if by >= minLateness {
+		c.lateness = append(c.lateness, latenessRecord{kind, at, by})
 	}
 }
 
-// latenessIn describes, by kind, the worst lateness that lies between two times; the lock is held.
-func (c *checker) latenessIn(from, to time.Time) (lines []string) {
-	count, worst := map[lateKind]int{}, map[lateKind]lateMoment{}
+// describeLateness describes, by kind, the worst lateness between two times. The caller holds the lock.
+func (c *checker) describeLateness(from, to time.Time) (lines []string) {
+	count, worst := map[lateKind]int{}, map[lateKind]latenessRecord{}
 	for _, m := range c.lateness {
-		if m.at.After(to) || m.at.Add(m.by).Before(from) {
+		if m.at.After(to) || m.at.Add(m.delay).Before(from) {
 			continue
 		}
 		count[m.kind]++
-		if m.by > worst[m.kind].by {
+		if m.delay > worst[m.kind].delay {
 			worst[m.kind] = m
 		}
 	}
 	for kind, m := range worst {
-		lines = append(lines, fmt.Sprintf("late: %s late %d times, the worst by %v at %.3f", kind, count[kind], m.by.Round(time.Millisecond), m.at.Sub(c.begun).Seconds()))
+		lines = append(lines, fmt.Sprintf("late: %s late %d times, the worst by %v at %.3f", kind, count[kind], m.delay.Round(time.Millisecond), m.at.Sub(c.start).Seconds()))
 	}
 	slices.Sort(lines)
 	return lines
 }
 
-// latenessText describes that of a whole run.
+// latenessText describes the lateness of the whole run.
 func (c *checker) latenessText() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	lines := c.latenessIn(time.Time{}, time.Now())
+	lines := c.describeLateness(time.Time{}, time.Now())
 	if len(lines) == 0 {
-		return fmt.Sprintf("  late: nothing, by %v or more\n", leastNoted)
+		return fmt.Sprintf("  late: nothing, by %v or more\n", minLateness)
 	}
 	return "  " + strings.Join(lines, "\n  ") + "\n"
 }
 
-// arrival gives when the last byte that has come on a connection reached this machine, however late it is read here.
-// The kernel counts in its ticks.
-func arrival(socket syscall.Conn, now time.Time) time.Time {
+// lastArrival returns when the last byte received on a connection reached this machine, independent of when it is read.
+// The kernel reports the time in ticks; the result is late by at most one of them.
+func lastArrival(socket syscall.Conn, now time.Time) time.Time {
 	info, err := kernelInfo(socket)
 	if err != nil {
 		return now
@@ -95,8 +95,8 @@
 	return now.Add(-max(behind, 0))
 }
 
-// departure gives when the last byte that was written to a connection has left, however late its writer goes on.
-func departure(socket syscall.Conn, now time.Time) time.Time {
+// lastDeparture returns when the last byte written to a connection was sent, independent of when its writer resumes.
+func lastDeparture(socket syscall.Conn, now time.Time) time.Time {
 	info, err := kernelInfo(socket)
 	if err != nil {
 		return now
@@ -105,7 +105,7 @@
 	return now.Add(-max(behind, 0))
 }
 
-// kernelTick is the longest tick of a kernel's clock.
+// kernelTick is the longest tick of a kernel's clock (100 Hz).
 const kernelTick = 10 * time.Millisecond
 
 func kernelInfo(socket syscall.Conn) (info *unix.TCPInfo, err error) {
--- a/lab/soak/link.go
+++ b/lab/soak/link.go
@@ -10,26 +10,26 @@
 	"ashwood.example/ashwood/lab/backlog"
 )
 
-// link is the address at which one gateway reaches one engine. It can be made silent in two
-// ways: the peer's process is stopped (connections come up, bytes are acknowledged, nothing is
-// answered), or the path is cut (connections stay open, new ones never come up). Either way all
-// that was written is read once the link runs again, as with a real machine.
+// link is the address at which one gateway reaches one engine. It can be silenced in two ways:
+// the engine's process is stopped (connections are established, bytes are acknowledged, nothing is
+// answered), or the path is cut (connections stay open, new ones are never established). Either way
+// all bytes written are read once the silence ends, as with a real machine.
 type link struct {
 	addr string
 	port *port
 
-	sending sync.RWMutex // held while an answer leaves, which a silence does not cut short
+	sending sync.RWMutex // read-locked while an answer is sent, so that no silence begins meanwhile
 
-	mu      sync.Mutex
-	l       *net.TCPListener
-	frozen  int           // silences that are on
-	cuts    int           // of these, those in which no connection comes up
-	running chan struct{} // closed while bytes pass
-	fillers []net.Conn    // connections that keep the system's queue full
-	conns   map[*linkConn]struct{}
-	closed  chan struct{}
-	up      chan struct{} // closed while the process listens
-	down    bool          // it does not
+	mu        sync.Mutex
+	listener  *net.TCPListener
+	silences  int           // active silences
+	cuts      int           // those of them in which no connection is established
+	resumed   chan struct{} // closed while there is no silence
+	fillers   []net.Conn    // connections that keep the listener's backlog full
+	conns     map[*linkConn]struct{}
+	closed    chan struct{}
+	listening chan struct{} // closed while the engine's process listens
+	down      bool          // the engine's process does not listen
 }
 
 func openLink() (*link, error) {
@@ -42,86 +42,86 @@
 		p.release()
 		return nil, err
 	}
-	running := make(chan struct{})
-	close(running)
+	closedChannel := make(chan struct{})
+	close(closedChannel)
 	return &link{
-		addr: p.addr, port: p, l: l, running: running, conns: map[*linkConn]struct{}{}, closed: make(chan struct{}), up: running,
+		addr: p.addr, port: p, listener: l, resumed: closedChannel, conns: map[*linkConn]struct{}{}, closed: make(chan struct{}), listening: closedChannel,
 	}, nil
 }
 
-// die is the end of the engine's process: connections are reset, new ones refused.
-func (k *link) die() {
+// crash simulates the end of the engine's process: connections are reset, new ones refused.
+func (k *link) crash() {
 	k.mu.Lock()
-	k.up, k.down = make(chan struct{}), true
-	k.l.Close()
+	k.listening, k.down = make(chan struct{}), true
+	k.listener.Close()
 	k.mu.Unlock()
 	k.resetAll()
 }
 
-// revive has the engine's process listen at its address again.
-func (k *link) revive() error {
+// restart makes the engine's process listen at its address again.
+func (k *link) restart() error {
 	l, err := k.port.listen()
 	if err != nil {
 		return err
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.l, k.down = l, false
+	k.listener, k.down = l, false
 	if k.cuts > 0 {
-		err = k.fill()
+		err = k.fillBacklog()
 	}
-	close(k.up)
+	close(k.listening)
 	return err
 }
 
-// freeze begins a silence; with cut, no connection comes up either.
-func (k *link) freeze(cut bool) error {
+// beginSilence begins a silence; with cut, no connection is established either.
+func (k *link) beginSilence(cut bool) error {
 	k.sending.Lock()
 	defer k.sending.Unlock()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.frozen++; k.frozen == 1 {
-		k.running = make(chan struct{})
+	if k.silences++; k.silences == 1 {
+		k.resumed = make(chan struct{})
 	}
 	if cut {
 		if k.cuts++; k.cuts == 1 && !k.down {
-			return k.fill()
+			return k.fillBacklog()
 		}
 	}
 	return nil
 }
 
-// thaw ends a silence.
-func (k *link) thaw(cut bool) (err error) {
+// endSilence ends a silence.
+func (k *link) endSilence(cut bool) (err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if cut {
 		if k.cuts--; k.cuts == 0 {
-			err = k.drain()
+			err = k.drainBacklog()
 		}
 	}
-	if k.frozen--; k.frozen == 0 {
-		close(k.running)
+	if k.silences--; k.silences == 0 {
+		close(k.resumed)
 	}
 	return err
 }
 
-// queueLength is how many connections the system keeps for an engine that does not accept them yet.
-const queueLength = 512
+// backlogLength is the length of the listener's backlog of connections that are not yet accepted.
+const backlogLength = 512
 
-// fill has no connection come up: nothing is accepted, and the system's queue is kept full.
-func (k *link) fill() error {
-	// The accept loop ends its call with a timeout and waits for the end of the cut.
-	if err := k.l.SetDeadline(time.Unix(1, 0)); err != nil {
+// fillBacklog prevents new connections: it stops accepting and fills the listener's backlog.
+func (k *link) fillBacklog() error {
+	// The accept loop's call returns with a timeout; the loop then waits for the end of the cut.
+	if err := k.listener.SetDeadline(time.Unix(1, 0)); err != nil {
 		return fmt.Errorf("soak: %w", err)
 	}
-	fillers, err := backlog.Fill(k.l)
+	fillers, err := backlog.Fill(k.listener)
 	k.fillers = append(k.fillers, fillers...)
 	return err
 }
 
-// drain lets connections come up again; a listener that has been closed meanwhile has none.
-func (k *link) drain() error {
+// drainBacklog allows new connections again, unless the listener has been closed meanwhile.
+func (k *link) drainBacklog() error {
 	for _, c := range k.fillers {
 		c.Close()
 	}
@@ -129,17 +129,17 @@
 	if k.down {
 		return nil
 	}
-	if err := backlog.SetLength(k.l, queueLength); err != nil {
+	if err := backlog.SetLength(k.listener, backlogLength); err != nil {
 		return err
 	}
-	return k.l.SetDeadline(time.Time{})
+	return k.listener.SetDeadline(time.Time{})
 }
 
-// pass waits until bytes pass.
-func (k *link) pass() {
+// awaitOpen waits until there is no silence.
+func (k *link) awaitOpen() {
 	for {
 		k.mu.Lock()
-		running, frozen := k.running, k.frozen > 0
+		running, frozen := k.resumed, k.silences > 0
 		k.mu.Unlock()
 		if !frozen {
 			return
@@ -152,13 +152,13 @@
 	}
 }
 
-// send has something noted as sent and written once bytes pass. No silence begins between the two, or what is noted would
-// be taken for known to a caller that it has not reached.
+// send waits until there is no silence and calls write, which records an answer as given and sends it. No silence begins between
+// the two: otherwise the checker would assume that the caller knows an answer that has not reached it.
 func (k *link) send(write func()) {
 	for {
-		k.pass()
+		k.awaitOpen()
 		k.sending.RLock()
-		if k.passes() {
+		if k.mayWrite() {
 			defer k.sending.RUnlock()
 			write()
 			return
@@ -167,54 +167,54 @@
 	}
 }
 
-// passes tells whether bytes pass, or the link is closed and nothing waits any more.
-func (k *link) passes() bool {
+// mayWrite reports whether there is no silence, or the link is closed and nothing needs to wait.
+func (k *link) mayWrite() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	select {
 	case <-k.closed:
 		return true
 	default:
-		return k.frozen == 0
+		return k.silences == 0
 	}
 }
 
-// open tells whether the link carries bytes and connections now.
-func (k *link) open() bool {
+// isOpen reports whether bytes and new connections pass now.
+func (k *link) isOpen() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.frozen == 0 && !k.down
+	return k.silences == 0 && !k.down
 }
 
-// Accept is for net/http.
+// Accept implements net.Listener.
 func (k *link) Accept() (net.Conn, error) {
 	for {
 		k.mu.Lock()
-		l, up := k.l, k.up
+		l, listening := k.listener, k.listening
 		k.mu.Unlock()
 		c, err := l.AcceptTCP()
-		if err != nil { // the link is cut, or its process has died, or it is closed for good
-			k.pass()
+		if err != nil { // the link is cut, its engine has crashed, or it is closed
+			k.awaitOpen()
 			select {
 			case <-k.closed:
 				return nil, net.ErrClosed
-			case <-up:
+			case <-listening:
 			}
 			sleepShortly()
 			continue
 		}
-		out := &linkConn{TCPConn: c, link: k}
+		conn := &linkConn{TCPConn: c, link: k}
 		k.mu.Lock()
-		k.conns[out] = struct{}{}
+		k.conns[conn] = struct{}{}
 		k.mu.Unlock()
-		return out, nil
+		return conn, nil
 	}
 }
 
-// sleepShortly keeps a loop from spinning while an address is taken again.
+// sleepShortly keeps the accept loop from spinning while a new listener is opened.
 func sleepShortly() { time.Sleep(time.Millisecond) }
 
-// Close ends the link for good.
+// Close implements net.Listener: it closes the link for good.
 func (k *link) Close() error {
 	k.mu.Lock()
 	select {
@@ -227,49 +227,49 @@
 	for _, c := range k.fillers {
 		c.Close()
 	}
-	l := k.l
+	l := k.listener
 	k.mu.Unlock()
 	k.port.release()
 	return l.Close()
 }
 
-// Addr is for net/http.
-func (k *link) Addr() net.Addr { return k.l.Addr() }
+// Addr implements net.Listener.
+func (k *link) Addr() net.Addr { return k.listener.Addr() }
 
-// resetAll resets every open connection, as a process that dies does.
+// resetAll resets every open connection, as a crashing process does.
 func (k *link) resetAll() {
 	k.mu.Lock()
-	list := make([]*linkConn, 0, len(k.conns))
+	conns := make([]*linkConn, 0, len(k.conns))
 	for c := range k.conns {
-		list = append(list, c)
+		conns = append(conns, c)
 	}
 	k.mu.Unlock()
-	for _, c := range list {
+	for _, c := range conns {
 		c.reset()
 	}
 }
 
-// linkConn is one connection of a link.
+// linkConn is an engine's side of one connection of a link.
 type linkConn struct {
 	*net.TCPConn
-	link    *link
-	wasLost atomic.Bool // the engine's side has reset it
+	link     *link
+	wasReset atomic.Bool // reset by the engine's side
 }
 
-// Read gives what has come, once the link runs.
+// Read reads from the connection and returns once there is no silence.
 func (c *linkConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	c.link.pass()
+	c.link.awaitOpen()
 	return n, err
 }
 
-// Write writes once the link runs.
+// Write writes once there is no silence.
 func (c *linkConn) Write(p []byte) (int, error) {
-	c.link.pass()
+	c.link.awaitOpen()
 	return c.TCPConn.Write(p)
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *linkConn) Close() error {
 	c.link.mu.Lock()
 	delete(c.link.conns, c)
@@ -278,8 +278,8 @@
 }
 
 func (c *linkConn) reset() {
-	c.wasLost.Store(true)
-	_ = c.SetLinger(0) // without it the close ends the connection all the same
+	c.wasReset.Store(true)
+	_ = c.SetLinger(0) // if this fails, Close still closes the connection, without a reset
 	c.Close()
 }
 
@@ -289,12 +289,12 @@
 	tcpCloseWait = 8
 )
 
-// ended tells whether the caller has closed the connection or ended its sending, also while
-// the link is silent and nobody reads.
-func (c *linkConn) ended() bool {
+// closedByCaller reports whether the caller has closed the connection or shut down its sending side, also while
+// the link is silent and nothing is read.
+func (c *linkConn) closedByCaller() bool {
 	info, err := kernelInfo(c)
 	return err != nil || info.State == tcpClose || info.State == tcpCloseWait
 }
 
-// arrived is the arrival of the last byte that has come.
-func (c *linkConn) arrived(now time.Time) time.Time { return arrival(c, now) }
+// lastArrival returns when the last byte received on the connection arrived.
+func (c *linkConn) lastArrival(now time.Time) time.Time { return lastArrival(c, now) }
--- a/lab/soak/port.go
+++ b/lab/soak/port.go
@@ -12,8 +12,8 @@
 	"ashwood.example/ashwood/internal/sockcall"
 )
 
-// port keeps an address on loopback for one process or listener after another: a socket that is
-// bound and does not listen gets no connection, and nobody else gets the address meanwhile.
+// port reserves a loopback address for a succession of processes or listeners: its socket is bound
+// and does not listen, so it gets no connections, and no other program can take the address.
 type port struct {
 	addr string
 	file *os.File
@@ -41,7 +41,7 @@
 	return &port{addr: fmt.Sprintf("127.0.0.1:%d", name.(*unix.SockaddrInet4).Port), file: file}, nil
 }
 
-// listen begins to take connections at the address.
+// listen opens a listener at the address.
 func (p *port) listen() (*net.TCPListener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return sockcall.DoRaw(raw, func(fd int) error { return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -16,49 +16,49 @@
 	"time"
 )
 
-// gateway is one gateway: its address and the processes that follow one another there.
+// gateway is one gateway: an address and the processes that serve there one after the other.
 type gateway struct {
-	world  *world
-	index  int
-	port   *port
-	listen string
-	config string
+	testbed *testbed
+	index   int
+	port    *port
+	listen  string
+	config  string
 
-	writing sync.Mutex // of the configuration
+	writing sync.Mutex // serializes writes of the configuration
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	ended   chan struct{}
-	speaks  chan struct{} // closed at the present process's first line of log
-	agent   *agent
-	told    time.Time // when the present process was told to end; zero = not
-	killed  time.Time // when the last one was killed
-	killing *exec.Cmd // the process that was
-	toldOld time.Time // when that had been told
-	log     bytes.Buffer
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	exited        chan struct{}
+	firstLine     chan struct{} // closed when the current process logs its first line
+	agent         *agent
+	termAt        time.Time // when the current process was sent SIGTERM; zero = not yet
+	killedAt      time.Time // when the previous process was killed or had exited
+	killedProcess *exec.Cmd // the process that was sent SIGKILL
+	lastTermAt    time.Time // when the previous process was sent SIGTERM
+	log           bytes.Buffer
 }
 
-// readyWait bounds the wait for a process to serve.
-const readyWait = 20 * time.Second
+// readyTimeout bounds the wait for a process to become ready.
+const readyTimeout = 20 * time.Second
 
-func (w *world) openGateway(index int) (*gateway, error) {
-	p, err := reservePort()
+func (tb *testbed) openGateway(index int) (*gateway, error) {
+	listenPort, err := reservePort()
 	if err != nil {
 		return nil, err
 	}
-	g := &gateway{world: w, index: index, port: p, listen: p.addr, config: filepath.Join(w.dir, fmt.Sprintf("n%d.json", index))}
+	g := &gateway{testbed: tb, index: index, port: listenPort, listen: listenPort.addr, config: filepath.Join(tb.dir, fmt.Sprintf("n%d.json", index))}
 	return g, nil
 }
 
-// configure writes the configuration, with the address of the present agent.
+// configure writes the configuration, with the address of the current agent.
 func (g *gateway) configure() error {
 	g.writing.Lock()
 	defer g.writing.Unlock()
 	type object = map[string]any
 	raw, err := json.Marshal(object{
-		"name": fmt.Sprintf("n%d", g.index), "listen": g.listen, "discovery": g.agent.addr(), "seed": fmt.Sprintf("%x", g.world.story.Seed+uint64(g.index)),
-		"limits": object{"cores": 1, "memory_mb": 192, "sockets": g.world.story.Sockets}, "known": g.world.list(g.index),
-		"settings": g.world.settings(g.index),
+		"name": fmt.Sprintf("n%d", g.index), "listen": g.listen, "discovery": g.agent.addr(), "seed": fmt.Sprintf("%x", g.testbed.scenario.Seed+uint64(g.index)),
+		"limits": object{"cores": 1, "memory_mb": 192, "sockets": g.testbed.scenario.Sockets}, "known": g.testbed.membership(g.index),
+		"settings": g.testbed.gatewaySettings(g.index),
 	})
 	if err != nil {
 		return fmt.Errorf("soak: %w", err)
@@ -74,65 +74,65 @@
 	if err := g.configure(); err != nil {
 		return err
 	}
-	cmd := exec.Command(g.world.program)
-	tmp := filepath.Join(g.world.dir, fmt.Sprintf("tmp%d", g.index))
+	cmd := exec.Command(g.testbed.program)
+	tmp := filepath.Join(g.testbed.dir, fmt.Sprintf("tmp%d", g.index))
 	if err := os.MkdirAll(tmp, 0o700); err != nil {
 		return fmt.Errorf("soak: %w", err)
 	}
-	cmd.Env = []string{"ROUTER_CONFIG=" + g.config, "TMPDIR=" + tmp, "ASHWOOD_LOG=" + g.world.logLevel}
-	out, err := cmd.StderrPipe()
+	cmd.Env = []string{"ROUTER_CONFIG=" + g.config, "TMPDIR=" + tmp, "ASHWOOD_LOG=" + g.testbed.logLevel}
+	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		return fmt.Errorf("soak: %w", err)
 	}
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("soak: %w", err)
 	}
-	ended, speaks := make(chan struct{}), make(chan struct{})
+	exited, firstLine := make(chan struct{}), make(chan struct{})
 	g.mu.Lock()
-	g.cmd, g.ended, g.speaks, g.told = cmd, ended, speaks, time.Time{}
+	g.cmd, g.exited, g.firstLine, g.termAt = cmd, exited, firstLine, time.Time{}
 	g.mu.Unlock()
 	go func() {
-		defer close(ended)
-		spoke := sync.OnceFunc(func() { close(speaks) })
-		lines := bufio.NewScanner(out)
+		defer close(exited)
+		closeFirstLine := sync.OnceFunc(func() { close(firstLine) })
+		lines := bufio.NewScanner(stderr)
 		lines.Buffer(make([]byte, 0, 64<<10), 1<<20)
 		for lines.Scan() {
-			spoke()
+			closeFirstLine()
 			g.mu.Lock()
 			g.log.Write(lines.Bytes())
 			g.log.WriteByte('\n')
 			g.mu.Unlock()
 		}
-		g.judge(cmd, cmd.Wait())
+		g.checkExit(cmd, cmd.Wait())
 	}()
-	return g.ready(ended)
+	return g.waitReady(exited)
 }
 
-// judge tells of a process that ended though nobody had told it to, or in disorder.
-func (g *gateway) judge(cmd *exec.Cmd, err error) {
+// checkExit reports a process that exited without SIGTERM or SIGKILL, with an error after SIGTERM, or after a panic or a data race.
+func (g *gateway) checkExit(cmd *exec.Cmd, err error) {
 	g.mu.Lock()
-	text, told, killed := g.log.String(), !g.told.IsZero(), g.killing == cmd
+	text, terminated, killed := g.log.String(), !g.termAt.IsZero(), g.killedProcess == cmd
 	if killed {
-		g.world.check.wasLate(lateEnd, g.killed, time.Since(g.killed))
+		g.testbed.checker.recordLateness(lateEnd, g.killedAt, time.Since(g.killedAt))
 	}
 	g.mu.Unlock()
 	switch {
 	case strings.Contains(text, "panic") || strings.Contains(text, "DATA RACE") || strings.Contains(text, "fatal error"):
-		g.world.check.sees(Crash, "", fmt.Sprintf("gateway %d: its log tells of a panic or a data race", g.index))
-	case !told && !killed, told && !killed && err != nil:
-		g.world.check.sees(Crash, "", fmt.Sprintf("gateway %d ended: %v", g.index, err))
+		g.testbed.checker.reportViolation(RuleCrash, "", fmt.Sprintf("gateway %d: its log shows a panic or a data race", g.index))
+	case !terminated && !killed, terminated && !killed && err != nil:
+		g.testbed.checker.reportViolation(RuleCrash, "", fmt.Sprintf("gateway %d exited: %v", g.index, err))
 	}
 }
 
-var errNotReady = errors.New("soak: a gateway was not ready in time")
+var errNotReady = errors.New("soak: a gateway did not become ready in time")
 
-// ready waits for a process's yes.
-func (g *gateway) ready(ended chan struct{}) error {
+// waitReady waits until the process reports that it is ready.
+func (g *gateway) waitReady(exited chan struct{}) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for until := time.Now().Add(readyWait); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		select {
-		case <-ended:
-			return fmt.Errorf("%w: it has ended", errNotReady)
+		case <-exited:
+			return fmt.Errorf("%w: its process has exited", errNotReady)
 		default:
 		}
 		r, err := client.Get("http://" + g.listen + "/-/ready")
@@ -147,37 +147,37 @@
 	return errNotReady
 }
 
-// signal sends a signal. SIGHUP and SIGTERM wait for the process's first line of log: in its first 2 to 5 ms, before a Go program has
-// asked for them, the system ends it, with nothing taken on.
+// signal sends a signal. SIGHUP and SIGTERM wait for the process's first log line: in its first 2 to 5 ms, before a Go program has
+// installed its handlers, they end it by default; it has accepted no request by then.
 func (g *gateway) signal(s syscall.Signal) {
 	g.mu.Lock()
-	cmd, speaks, ended := g.cmd, g.speaks, g.ended
+	cmd, firstLine, exited := g.cmd, g.firstLine, g.exited
 	g.mu.Unlock()
 	if cmd == nil {
 		return
 	}
 	if s == syscall.SIGHUP || s == syscall.SIGTERM {
 		select {
-		case <-speaks:
-		case <-ended:
-		case <-time.After(readyWait):
+		case <-firstLine:
+		case <-exited:
+		case <-time.After(readyTimeout):
 		}
 	}
-	_ = cmd.Process.Signal(s) // it may have ended
+	_ = cmd.Process.Signal(s) // the process may have exited
 }
 
-// pauseFor stops the process for a while.
+// pauseFor stops the process with SIGSTOP and resumes it after d.
 func (g *gateway) pauseFor(d time.Duration) {
-	g.world.check.pausedFrom(g.index)
+	g.testbed.checker.gatewayPaused(g.index)
 	g.signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	g.signal(syscall.SIGCONT)
-	g.world.check.resumed(g.index)
+	g.testbed.checker.gatewayResumed(g.index)
 }
 
-// reload has the process read a new configuration, in which discovery has moved.
+// reload makes the process read a new configuration, in which discovery has another address.
 func (g *gateway) reload() error {
-	next, err := g.world.openAgent(g.index)
+	next, err := g.testbed.openAgent(g.index)
 	if err != nil {
 		return err
 	}
@@ -185,7 +185,7 @@
 	old := g.agent
 	g.agent = next
 	g.mu.Unlock()
-	g.world.replaceAgent(old, next)
+	g.testbed.replaceAgent(old, next)
 	if err := g.configure(); err != nil {
 		return err
 	}
@@ -193,74 +193,74 @@
 	return nil
 }
 
-// end tells the process to end and kills it at the earliest that the protocol allows.
-func (g *gateway) end() {
+// terminate sends SIGTERM, and SIGKILL at the earliest time that the protocol allows.
+func (g *gateway) terminate() {
 	g.mu.Lock()
-	g.told = time.Now()
-	told, ended := g.told, g.ended
+	g.termAt = time.Now()
+	termAt, exited := g.termAt, g.exited
 	g.mu.Unlock()
 	g.signal(syscall.SIGTERM)
 	select {
-	case <-ended:
-	case <-time.After(time.Until(told.Add(g.world.story.life()))):
+	case <-exited:
+	case <-time.After(time.Until(termAt.Add(g.testbed.scenario.terminationGrace()))):
 		g.kill()
 	}
 	g.mu.Lock()
-	g.killed, g.toldOld = time.Now(), told
+	g.killedAt, g.lastTermAt = time.Now(), termAt
 	g.mu.Unlock()
-	g.world.check.ended(g.index)
+	g.testbed.checker.gatewayExited(g.index)
 }
 
-// kill ends the process at once.
+// kill sends SIGKILL and waits for the process to exit.
 func (g *gateway) kill() {
 	g.mu.Lock()
-	ended := g.ended
+	exited := g.exited
 	if g.cmd == nil {
 		g.mu.Unlock()
 		return
 	}
-	g.killed, g.toldOld, g.killing = time.Now(), g.told, g.cmd
+	g.killedAt, g.lastTermAt, g.killedProcess = time.Now(), g.termAt, g.cmd
 	g.mu.Unlock()
 	g.signal(syscall.SIGKILL)
-	<-ended
+	<-exited
 }
 
-// exempt tells whether a request that was written at a time may be lost with a process: one that
-// was told to end less than 0.7 s before, and has ended since.
-func (g *gateway) exempt(written time.Time) bool {
+// exempt reports whether a request that was written at a time may be lost with its process: one that
+// was sent SIGTERM less than 0.7 s before, and has exited since.
+func (g *gateway) exempt(writtenAt time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return !g.killed.IsZero() && written.Before(g.killed) && written.Before(g.toldOld.Add(exemptFor))
+	return !g.killedAt.IsZero() && writtenAt.Before(g.killedAt) && writtenAt.Before(g.lastTermAt.Add(exemptAfterTerm))
 }
 
-// Times of the protocol behind SIGTERM, and what a gateway may take to close its listener.
+// For how long after SIGTERM the protocol allows new connections, and how long a gateway may then take to close its listener.
 const (
-	newcomersFor = 400 * time.Millisecond
-	listenerWait = 50 * time.Millisecond
+	newConnectionsFor = 400 * time.Millisecond
+	listenerCloseWait = 50 * time.Millisecond
 )
 
-// couldNotRefuse tells whether a connection was opened when the protocol has no new ones any more, to a process that was stopped before
-// it had to close its listener and did not run again before its kill. Whatever was opened before is owed an answer.
-func (g *gateway) couldNotRefuse(dialled time.Time) bool {
+// couldNotRefuse reports whether a connection was opened when the protocol allows no new ones, to a process that was stopped before it
+// had to close its listener and did not run again before it was killed. A request on any other connection must be answered.
+func (g *gateway) couldNotRefuse(dialledAt time.Time) bool {
 	g.mu.Lock()
-	told, killed := g.toldOld, g.killed
+	termAt, killedAt := g.lastTermAt, g.killedAt
 	g.mu.Unlock()
-	if told.IsZero() || killed.Before(dialled) || dialled.Before(told.Add(newcomersFor)) {
+	if termAt.IsZero() || killedAt.Before(dialledAt) || dialledAt.Before(termAt.Add(newConnectionsFor)) {
 		return false
 	}
-	return g.world.check.stoppedThrough(g.index, told.Add(newcomersFor+listenerWait), killed)
+	return g.testbed.checker.pausedThroughout(g.index, termAt.Add(newConnectionsFor+listenerCloseWait), killedAt)
 }
 
-// killedSince tells whether a process has been killed after a time.
+// killedSince reports whether a process of this gateway was killed after a time.
 func (g *gateway) killedSince(t time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.killed.After(t)
+	return g.killedAt.After(t)
 }
 
-// about gives the lines of the log that tell of a request, the last of them.
-func (g *gateway) about(id string) []string {
-	const most = 40
+// logLines returns the last log lines that contain a request's id.
+func (g *gateway) logLines(id string) []string {
+	const maxLines = 40
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var lines []string
@@ -269,5 +269,5 @@
 			lines = append(lines, strings.TrimSpace(line))
 		}
 	}
-	return lines[max(0, len(lines)-most):]
+	return lines[max(0, len(lines)-maxLines):]
 }
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -11,43 +11,43 @@
 	"time"
 )
 
-// Report is what came of a story.
+// Report is the result of a run.
 type Report struct {
-	Story  *Story
-	Counts Counts
-	Breaks []Break
-	Late   string // how late the soak itself was
+	Scenario   *FaultScenario
+	Counts     Counts
+	Violations []Violation
+	Lateness   string // how late the soak process itself was
 }
 
-// OK tells whether every rule was kept.
-func (r *Report) OK() bool { return len(r.Breaks) == 0 }
+// OK reports whether no rule was broken.
+func (r *Report) OK() bool { return len(r.Violations) == 0 }
 
-// String writes the script and the broken rules.
+// String formats the script, the counts, the lateness and the violations.
 func (r *Report) String() string {
 	var b strings.Builder
-	b.WriteString(r.Story.String())
-	fmt.Fprintf(&b, "  %+v\n%s", r.Counts, r.Late)
-	for _, v := range r.Breaks {
-		b.WriteString(v.String())
+	b.WriteString(r.Scenario.String())
+	fmt.Fprintf(&b, "  %+v\n%s", r.Counts, r.Lateness)
+	for _, violation := range r.Violations {
+		b.WriteString(violation.String())
 	}
 	return b.String()
 }
 
-// Options say how a story is played.
+// Options configure a run.
 type Options struct {
-	Program  string // the built daemon
-	LogLevel string // of the gateways, "debug" to have their records with broken rules
-	Logs     string // folder for the gateways' logs; "" = none
+	Program  string // path of the gateway's binary
+	LogLevel string // log level of the gateways; "debug" adds their records of a request to its violations
+	Logs     string // directory for the gateways' logs; "" = not saved
 }
 
-// world is a story that is being played.
-type world struct {
-	story      *Story
+// testbed holds the processes, links and clients of a scenario that is running.
+type testbed struct {
+	scenario   *FaultScenario
 	program    string
 	logLevel   string
 	dir        string
-	begun      time.Time // from which events of streams are stamped
-	check      *checker
+	start      time.Time // origin of the timestamps in stream events
+	checker    *checker
 	engines    []*engine
 	gateways   []*gateway
 	background sync.WaitGroup
@@ -59,63 +59,63 @@
 	agents     []*agent
 }
 
-// settle is for how long the world goes on behind the last request: what is held then must go.
-const settle = 1500 * time.Millisecond
+// settleTime is for how long the run continues after the last request; remaining holds must be released in it.
+const settleTime = 1500 * time.Millisecond
 
-// Play plays a story to its end.
-func Play(ctx context.Context, s *Story, opt Options) (rep *Report, err error) {
+// Play runs a scenario to its end.
+func Play(ctx context.Context, s *FaultScenario, opt Options) (report *Report, err error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return nil, fmt.Errorf("soak: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	w := &world{
-		story: s, program: opt.Program, logLevel: opt.LogLevel, dir: dir, begun: time.Now(), generation: 1,
+	tb := &testbed{
+		scenario: s, program: opt.Program, logLevel: opt.LogLevel, dir: dir, start: time.Now(), generation: 1,
 		lifecycle: make([]string, len(s.Engines)), startedAt: make([]float64, len(s.Engines)),
 	}
-	w.check = newChecker(s, w.begun)
-	defer w.close()
-	if err := w.open(); err != nil {
+	tb.checker = newChecker(s, tb.start)
+	defer tb.close()
+	if err := tb.startAll(); err != nil {
 		return nil, err
 	}
-	w.play(ctx)
-	breaks, counts := w.check.finish()
-	w.explain(breaks)
+	tb.runEvents(ctx)
+	violations, counts := tb.checker.finish()
+	tb.addGatewayLogs(violations)
 	if opt.Logs != "" {
-		if err := w.keepLogs(opt.Logs); err != nil {
+		if err := tb.saveLogs(opt.Logs); err != nil {
 			return nil, err
 		}
 	}
-	return &Report{Story: s, Counts: counts, Breaks: breaks, Late: w.check.latenessText()}, ctx.Err()
+	return &Report{Scenario: s, Counts: counts, Violations: violations, Lateness: tb.checker.latenessText()}, ctx.Err()
 }
 
-// open starts engines, discovery and gateways.
-func (w *world) open() error {
-	for i, spec := range w.story.Engines {
-		w.lifecycle[i] = lifecycleUp
-		e, err := w.openEngine(i, spec)
+// startAll starts engines, discovery agents and gateways.
+func (tb *testbed) startAll() error {
+	for i, spec := range tb.scenario.Engines {
+		tb.lifecycle[i] = lifecycleUp
+		e, err := tb.openEngine(i, spec)
 		if err != nil {
 			return err
 		}
-		w.engines = append(w.engines, e)
+		tb.engines = append(tb.engines, e)
 	}
-	errs := make(chan error, w.story.Gateways)
-	for i := range w.story.Gateways {
-		g, err := w.openGateway(i)
+	errs := make(chan error, tb.scenario.Gateways)
+	for i := range tb.scenario.Gateways {
+		g, err := tb.openGateway(i)
 		if err != nil {
 			return err
 		}
-		if g.agent, err = w.openAgent(i); err != nil {
+		if g.agent, err = tb.openAgent(i); err != nil {
 			return err
 		}
-		w.agents = append(w.agents, g.agent)
-		w.gateways = append(w.gateways, g)
+		tb.agents = append(tb.agents, g.agent)
+		tb.gateways = append(tb.gateways, g)
 	}
-	for _, g := range w.gateways {
+	for _, g := range tb.gateways {
 		go func() { errs <- g.start() }()
 	}
 	var first error
-	for range w.gateways {
+	for range tb.gateways {
 		if err := <-errs; err != nil && first == nil {
 			first = err
 		}
@@ -123,92 +123,92 @@
 	return first
 }
 
-// play has clients ask while events happen.
-func (w *world) play(ctx context.Context) {
+// runEvents runs clients, events and the checker's background work until the scenario is over.
+func (tb *testbed) runEvents(ctx context.Context) {
 	start := time.Now()
-	w.check.begins(start)
+	tb.checker.setStart(start)
 	running, stop := context.WithCancel(ctx)
-	var all, clients sync.WaitGroup
-	all.Go(func() {
-		for due := time.Now().Add(sweepEvery); sleep(running, time.Until(due)); due = time.Now().Add(sweepEvery) {
-			w.check.sweep()
-			w.check.wasLate(lateSweep, due, time.Since(due))
+	var watchers, clients sync.WaitGroup
+	watchers.Go(func() {
+		for scheduled := time.Now().Add(sweepInterval); sleep(running, time.Until(scheduled)); scheduled = time.Now().Add(sweepInterval) {
+			tb.checker.sweep()
+			tb.checker.recordLateness(lateSweep, scheduled, time.Since(scheduled))
 		}
 	})
-	all.Go(func() { w.check.watchLag(running) })
-	all.Go(func() { w.watchStarvation(running) })
-	asking, over := context.WithTimeout(running, w.story.Length)
-	for i, c := range w.story.Clients {
-		clients.Go(func() { w.newClient(i, c).run(asking) })
+	watchers.Go(func() { tb.checker.watchLag(running) })
+	watchers.Go(func() { tb.watchStarvation(running) })
+	asking, stopAsking := context.WithTimeout(running, tb.scenario.Length)
+	for i, c := range tb.scenario.Clients {
+		clients.Go(func() { tb.newClient(i, c).run(asking) })
 	}
 	var events sync.WaitGroup
-	for _, e := range w.story.Events {
+	for _, e := range tb.scenario.Events {
 		events.Go(func() {
-			due := start.Add(e.At)
-			if sleep(running, time.Until(due)) {
-				w.check.wasLate(lateFault, due, time.Since(due))
-				w.happen(running, e)
+			scheduled := start.Add(e.At)
+			if sleep(running, time.Until(scheduled)) {
+				tb.checker.recordLateness(lateFault, scheduled, time.Since(scheduled))
+				tb.playEvent(running, e)
 			}
 		})
 	}
 	clients.Wait()
-	over()
+	stopAsking()
 	events.Wait()
-	sleep(running, settle)
+	sleep(running, settleTime)
 	stop()
-	all.Wait()
+	watchers.Wait()
 }
 
-func (w *world) close() {
-	for _, g := range w.gateways {
+func (tb *testbed) close() {
+	for _, g := range tb.gateways {
 		g.mu.Lock()
-		if g.told.IsZero() {
-			g.told = time.Now()
+		if g.termAt.IsZero() {
+			g.termAt = time.Now()
 		}
 		g.mu.Unlock()
 		g.signal(syscall.SIGCONT)
 		g.kill()
 		g.port.release()
 	}
-	w.mu.Lock()
-	agents := w.agents
-	w.mu.Unlock()
+	tb.mu.Lock()
+	agents := tb.agents
+	tb.mu.Unlock()
 	for _, a := range agents {
 		a.close()
 	}
-	for _, e := range w.engines {
+	for _, e := range tb.engines {
 		e.close()
 	}
-	w.background.Wait()
+	tb.background.Wait()
 }
 
-// replaceAgent notes that discovery has moved; the old agent goes silent.
-func (w *world) replaceAgent(old, next *agent) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.agents = append(w.agents, next)
-	go old.hush(1)
+// replaceAgent registers the agent at discovery's new address and silences the old one.
+func (tb *testbed) replaceAgent(old, next *agent) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.agents = append(tb.agents, next)
+	go old.changeSilence(1)
 }
 
-// explain adds what gateways logged to the histories of broken rules.
-func (w *world) explain(breaks []Break) {
-	for i, b := range breaks {
-		if b.ID == "" {
+// addGatewayLogs adds the log lines of the gateways to the histories of violations.
+func (tb *testbed) addGatewayLogs(violations []Violation) {
+	for i, violation := range violations {
+		if violation.ID == "" {
 			continue
 		}
-		for _, g := range w.gateways {
-			for _, line := range g.about(b.ID) {
-				breaks[i].History = append(breaks[i].History, fmt.Sprintf("log of gateway %d: %s", g.index, line))
+		for _, g := range tb.gateways {
+			for _, line := range g.logLines(violation.ID) {
+				violations[i].History = append(violations[i].History, fmt.Sprintf("log of gateway %d: %s", g.index, line))
 			}
 		}
 	}
 }
 
-func (w *world) keepLogs(dir string) error {
+func (tb *testbed) saveLogs(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("soak: %w", err)
 	}
-	for _, g := range w.gateways {
+	for _, g := range tb.gateways {
 		g.mu.Lock()
 		raw := append([]byte(nil), g.log.Bytes()...)
 		g.mu.Unlock()
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -7,87 +7,89 @@
 	"time"
 )
 
-// The seeds that are played wherever tests are, the first of them in short runs. The first ten
-// have each shown a fault: 6 a hung engine's releases, 7 and 8 reads given up and read later, 13
-// the same where reads outlive their callers, 100 reads without probes, 110 many gateways.
+// seeds run in every test run, the first shortSeeds of them with -short. The first ten have each
+// shown a fault: 6 releases at a hung engine, 7 and 8 prefills that were abandoned and read later, 13
+// the same with prefills that outlive their callers, 100 prefills without probes, 110 many gateways.
 var seeds = []uint64{6, 7, 8, 13, 100, 110, 10, 12, 2, 3, 14, 20}
 
 const (
-	shortSeeds   = 4
-	storyLength  = 5 * time.Second
-	storiesAtOne = 3 // played at once: more would be late for want of processors
+	shortSeeds        = 4
+	scenarioLength    = 5 * time.Second
+	parallelScenarios = 3 // more at once would be late for lack of processors
 )
 
-// The seeds of stories in which all engines are silent, the first of them in short runs. Each was red on the code of issue 40: others
-// were asked for 0.4 s, or engines that hang were not told.
+// silenceSeeds are seeds of scenarios in which all engines are silent, the first shortSilenceSeeds for -short. Each failed on the code of
+// issue 40: other engines were asked to release for only 0.4 s, or engines that hang were not asked.
 var silenceSeeds = []uint64{3, 10, 16, 20, 23, 18}
 
 const shortSilenceSeeds = 2
 
-// The seeds of stories of gateways that end, the first of them in short runs: these two were red on the code of issue 43, 57 has a crowd.
-var endingSeeds = []uint64{46, 11, 21, 57}
+// terminationSeeds are seeds of scenarios in which gateways terminate, the first shortTerminationSeeds for -short. These two failed on the
+// code of issue 43; 57 has silent clients.
+var terminationSeeds = []uint64{46, 11, 21, 57}
 
-const shortEndingSeeds = 2
+const shortTerminationSeeds = 2
 
-// Whatever overlaps, every rule is kept.
+// Every rule holds under overlapping faults.
 func TestSoak(t *testing.T) {
 	playSeeds(t, seeds, shortSeeds, Generate)
 }
 
-// All engines fall silent and come back one by one, with signals, drains and leaving clients inside.
+// All engines fall silent and return one by one, with signals, drains and clients that close early meanwhile.
 func TestSoak_AllEnginesSilent(t *testing.T) {
 	playSeeds(t, silenceSeeds, shortSilenceSeeds, GenerateSilence)
 }
 
-// Guards against requests left to the kill: gateways are told to end, again and again, and stopped around that for 0.15 s, for seconds or to the kill.
-func TestSoak_GatewaysThatEnd(t *testing.T) {
-	playSeeds(t, endingSeeds, shortEndingSeeds, GenerateEnding)
+// Guards against requests left unanswered until SIGKILL: gateways get SIGTERM, repeatedly, and are paused around that for 0.15 s, for
+// seconds or until SIGKILL.
+func TestSoak_GatewayTermination(t *testing.T) {
+	playSeeds(t, terminationSeeds, shortTerminationSeeds, GenerateTermination)
 }
 
-// Guards against a listener and idle connections that stay open behind SIGTERM for longer than clients need them: a gateway that is stopped
-// (SIGSTOP) 0.48 s behind it and killed left "unanswered at the kill" what came on them, most of it on new connections.
-func TestSoak_StoppedToTheKill(t *testing.T) {
+// Guards against a listener and idle connections that stay open after SIGTERM for longer than clients need them: a gateway that was stopped
+// (SIGSTOP) 0.48 s after it and then killed left requests on them "unanswered at the kill", most of them on new connections.
+func TestSoak_PausedUntilKill(t *testing.T) {
 	const length = 8 * time.Second
-	playSeeds(t, []uint64{905}, 1, func(seed uint64, _ time.Duration) *Story { return GenerateSilence(seed, length) })
+	playSeeds(t, []uint64{905}, 1, func(seed uint64, _ time.Duration) *FaultScenario { return GenerateSilence(seed, length) })
 }
 
-func playSeeds(t *testing.T, list []uint64, short int, generate func(uint64, time.Duration) *Story) {
+func playSeeds(t *testing.T, seeds []uint64, shortCount int, generate func(uint64, time.Duration) *FaultScenario) {
 	t.Helper()
 	if testing.Short() {
-		list = list[:short]
+		seeds = seeds[:shortCount]
 	}
-	room := make(chan struct{}, storiesAtOne)
-	for _, seed := range list {
+	slots := make(chan struct{}, parallelScenarios)
+	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			room <- struct{}{}
-			defer func() { <-room }()
-			rep, err := Play(t.Context(), generate(seed, storyLength), Options{Program: program, LogLevel: "debug"})
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			report, err := Play(t.Context(), generate(seed, scenarioLength), Options{Program: program, LogLevel: "debug"})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if rep.Counts.Requests == 0 || rep.Counts.Attempts == 0 {
-				t.Errorf("nothing was played: %+v", rep.Counts)
+			if report.Counts.Requests == 0 || report.Counts.Attempts == 0 {
+				t.Errorf("no requests or no attempts: %+v", report.Counts)
 			}
-			if !rep.OK() {
-				t.Errorf("%d broken rules:\n%.30000s", len(rep.Breaks), rep)
+			if !report.OK() {
+				t.Errorf("%d violations:\n%.30000s", len(report.Violations), report)
 			}
 		})
 	}
 }
 
-// A seed gives one story, another seed another.
-func TestGenerate_OneSeedOneStory(t *testing.T) {
-	a, b, other := Generate(5, storyLength), Generate(5, storyLength), Generate(6, storyLength)
+// A seed always gives the same scenario, and another seed another.
+func TestGenerate_SameSeed(t *testing.T) {
+	a, b, other := Generate(5, scenarioLength), Generate(5, scenarioLength), Generate(6, scenarioLength)
 	if !reflect.DeepEqual(a, b) || a.String() != b.String() {
-		t.Errorf("two stories of one seed:\n%s\n%s", a, b)
+		t.Errorf("one seed gave two scenarios:\n%s\n%s", a, b)
 	}
-	for name, generate := range map[string]func(uint64, time.Duration) *Story{"silence": GenerateSilence, "endings": GenerateEnding} {
-		if x, y := generate(5, storyLength), generate(5, storyLength); !reflect.DeepEqual(x, y) || reflect.DeepEqual(x.Events, a.Events) {
-			t.Errorf("two stories of %s of one seed, or one as any other:\n%s\n%s", name, x, y)
+	for name, generate := range map[string]func(uint64, time.Duration) *FaultScenario{"silence": GenerateSilence, "endings": GenerateTermination} {
+		if x, y := generate(5, scenarioLength), generate(5, scenarioLength); !reflect.DeepEqual(x, y) || reflect.DeepEqual(x.Events, a.Events) {
+			t.Errorf("one seed gave two %s scenarios, or the events of Generate:\n%s\n%s", name, x, y)
 		}
 	}
 	if reflect.DeepEqual(a.Events, other.Events) {
-		t.Error("two seeds give the same events")
+		t.Error("two seeds gave the same events")
 	}
 }
--- a/lab/soak/starvation.go
+++ b/lab/soak/starvation.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// This file notes when gateways wait for a processor. A process that can run and gets none is late by no fault of its own; the system
-// counts that time for each thread, and a process that is stopped, blocked or busy adds nothing to it.
+// This file records when gateways wait for a processor. A runnable process that gets none is late through no fault of its own. The
+// kernel counts that time for each thread; a process that is stopped, blocked or running adds nothing to it.
 
-// starvedEvery is how often the counts are read.
-const starvedEvery = 50 * time.Millisecond
+// starvationInterval is the interval at which the counters are read.
+const starvationInterval = 50 * time.Millisecond
 
-// runDelays are the times, by thread, for which the threads of a process could run and did not.
+// runDelays maps each thread of a process to the time for which it was runnable but not running.
 type runDelays map[string]time.Duration
 
-// readRunDelays reads them; nil where the system does not tell or the process has ended.
+// readRunDelays reads the run delays of a process; nil if the kernel does not report them or the process has exited.
 func readRunDelays(pid int) runDelays {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil {
@@ -29,9 +29,9 @@
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
 		if err != nil {
-			continue // the thread has ended
+			continue // the thread has exited
 		}
-		fields := bytes.Fields(raw) // ns that it ran, ns that it waited to run, turns
+		fields := bytes.Fields(raw) // ns running, ns waiting to run, number of time slices
 		if len(fields) < 2 {
 			return nil
 		}
@@ -42,24 +42,24 @@
 	return delays
 }
 
-// longest is for how long the thread that has waited longest has done so since earlier counts.
-func (d runDelays) longest(before runDelays) (most time.Duration) {
+// maxIncrease returns the largest increase of any thread's delay since an earlier reading.
+func (d runDelays) maxIncrease(before runDelays) (longest time.Duration) {
 	for thread, now := range d {
-		most = max(most, now-before[thread])
+		longest = max(longest, now-before[thread])
 	}
-	return most
+	return longest
 }
 
-// kernelHz is how often a second the system counts the time of its processors.
+// kernelHz is the unit of /proc/stat: ticks per second.
 const kernelHz = 100
 
-// readSteal is for how long, summed over processors, the host of a virtual machine has run others in place of it.
-func readSteal() time.Duration {
+// readStealTime returns the steal time summed over processors: for how long the host of a virtual machine ran other work in its place.
+func readStealTime() time.Duration {
 	raw, err := os.ReadFile("/proc/stat")
 	if err != nil {
 		return 0
 	}
-	const stealField = 8 // of the first line: cpu, user, nice, system, idle, iowait, irq, softirq, steal
+	const stealField = 8 // in the first line: cpu, user, nice, system, idle, iowait, irq, softirq, steal
 	line, _, _ := bytes.Cut(raw, []byte("\n"))
 	fields := bytes.Fields(line)
 	if len(fields) <= stealField {
@@ -72,23 +72,23 @@
 	return time.Duration(ticks) * time.Second / kernelHz
 }
 
-// watchStarvation notes the times for which gateways waited for a processor, until ctx ends.
-func (w *world) watchStarvation(ctx context.Context) {
-	last, stolen := make([]runDelays, len(w.gateways)), readSteal()
-	for begun := time.Now(); sleep(ctx, starvedEvery); {
+// watchStarvation records the times for which gateways waited for a processor, until ctx ends.
+func (tb *testbed) watchStarvation(ctx context.Context) {
+	last, stolen := make([]runDelays, len(tb.gateways)), readStealTime()
+	for begun := time.Now(); sleep(ctx, starvationInterval); {
 		now := time.Now()
-		for i, g := range w.gateways {
+		for i, g := range tb.gateways {
 			g.mu.Lock()
 			pid := g.cmd.Process.Pid
 			g.mu.Unlock()
 			delays := readRunDelays(pid)
 			if last[i] != nil {
-				w.check.wasLate(lateKind(fmt.Sprintf("gateway %d got a processor", i)), begun, delays.longest(last[i]))
+				tb.checker.recordLateness(lateKind(fmt.Sprintf("gateway %d got a processor", i)), begun, delays.maxIncrease(last[i]))
 			}
 			last[i] = delays
 		}
-		steal := readSteal()
-		w.check.wasLate(lateHost, begun, steal-stolen)
+		steal := readStealTime()
+		tb.checker.recordLateness(lateHost, begun, steal-stolen)
 		begun, stolen = now, steal
 	}
 }
--- a/lab/soak/story.go
+++ b/lab/soak/story.go
@@ -1,7 +1,8 @@
-// Package soak plays stories drawn from a seed on real processes of the gateway: engines,
-// discovery, clients and faults that overlap, with every rule counted by a checker that shares
-// no code with the gateway. One seed gives one story; a failed one is printed with what its
-// requests went through, and can be played again alone.
+// Package soak runs fault scenarios against real gateway processes: stand-in engines, discovery
+// agents and clients on loopback, with faults and signals that overlap. A checker that shares no
+// code with the gateway verifies every rule from what engines and clients observe. A seed
+// determines a scenario; a scenario that breaks a rule is printed with the history of the requests
+// concerned and can be run again alone. Load scenarios are in lab/scenario, not here.
 package soak
 
 import (
@@ -11,7 +12,7 @@
 	"time"
 )
 
-// Effect is how safe it is to run a class's requests twice, by the settings' names.
+// Effect says whether a request of a class may run twice. Its values are those of the settings.
 type Effect string
 
 // The effects.
@@ -20,7 +21,7 @@
 	SideEffect Effect = "side_effect"
 )
 
-// Class is a class of requests.
+// Class describes a class of requests, with its time-to-first-token aim and its deadline.
 type Class struct {
 	Name     string
 	Effect   Effect
@@ -28,7 +29,7 @@
 	Deadline time.Duration
 }
 
-// Role is an engine's, by the settings' names.
+// Role says whether an engine reads prompts, writes answers or does both. Its values are those of the settings.
 type Role string
 
 // The roles.
@@ -38,75 +39,75 @@
 	Mixed   Role = "both"
 )
 
-// Engine is one engine of a story.
+// Engine describes one engine of a fault scenario.
 type Engine struct {
 	ID   string
 	Role Role
 	Zone int
 }
 
-// EventKind is what happens in a story.
+// EventKind names a fault or a signal.
 type EventKind string
 
-// The kinds of events. Those of engines last for Event.For.
+// The kinds of events. A fault of an engine lasts for Event.Duration.
 const (
-	EngineStops      EventKind = "engine-stops"      // its process: connections come up, nothing is answered; later it reads all
-	EngineVanishes   EventKind = "engine-vanishes"   // its machine, for a while: no connection comes up; later it reads all
-	Cut              EventKind = "cut"               // between some gateways and some engines
-	EngineHangs      EventKind = "engine-hangs"      // takes work, answers nothing until the end
-	EngineRefuses    EventKind = "engine-refuses"    // turns work away
-	ResetsAfter      EventKind = "resets-after"      // attempts, once their last byte has come
-	ResetsOpen       EventKind = "resets-open"       // all its connections, once
-	LosesAnswers     EventKind = "loses-answers"     // works, and never answers
-	AnswersLate      EventKind = "answers-late"      // by Event.Delay
-	EngineDrains     EventKind = "engine-drains"     // told to gateways; it finishes what it has
-	EngineDies       EventKind = "engine-dies"       // and comes back under its address, cold, with nothing
-	DiscoverySilent  EventKind = "discovery-silent"  // no answer
-	GatewayReloads   EventKind = "gateway-reloads"   // SIGHUP, discovery moved
-	GatewayStops     EventKind = "gateway-stops"     // SIGSTOP for a while
-	GatewayRestarts  EventKind = "gateway-restarts"  // SIGTERM, SIGKILL at the earliest, started again
-	GatewayTermTwice EventKind = "gateway-term-more" // more SIGTERM and SIGHUP to one that ends
+	EngineStops             EventKind = "engine-stops"      // process stopped: connections are established, nothing is answered; all is read on resumption
+	EngineUnreachable       EventKind = "engine-vanishes"   // machine gone for a while: no connection is established; all is read once it is back
+	NetworkCut              EventKind = "cut"               // network cut between some gateways and some engines
+	EngineHangs             EventKind = "engine-hangs"      // accepts requests, answers nothing until the fault ends
+	EngineRefuses           EventKind = "engine-refuses"    // rejects all work
+	EngineResetsAttempts    EventKind = "resets-after"      // resets the connection of each attempt after its last byte has arrived
+	EngineResetsConnections EventKind = "resets-open"       // resets all its open connections, once
+	EngineLosesAnswers      EventKind = "loses-answers"     // processes requests and never answers
+	EngineAnswersLate       EventKind = "answers-late"      // answers later by Event.Delay
+	EngineDrains            EventKind = "engine-drains"     // membership says draining; the engine finishes what it has
+	EngineCrashes           EventKind = "engine-dies"       // restarts at the same address: cold, with all its state lost
+	DiscoverySilent         EventKind = "discovery-silent"  // the gateway's discovery agent does not answer
+	GatewayReloads          EventKind = "gateway-reloads"   // SIGHUP, with discovery at a new address
+	GatewayPauses           EventKind = "gateway-stops"     // SIGSTOP, then SIGCONT
+	GatewayRestarts         EventKind = "gateway-restarts"  // SIGTERM, SIGKILL at the earliest time the protocol allows, then a new process
+	GatewayMoreSignals      EventKind = "gateway-term-more" // SIGHUP and SIGTERM to a process that is already terminating
 )
 
-// Event is something that happens at a time, to some engines or gateways.
+// Event is a fault or a signal that hits some engines or gateways at a time after the start.
 type Event struct {
 	At       time.Duration
-	For      time.Duration
+	Duration time.Duration
 	Kind     EventKind
 	Engines  []int
 	Gateways []int
 	Delay    time.Duration
 }
 
-// String writes an event on one line.
+// String formats the event on one line.
 func (e Event) String() string {
-	return fmt.Sprintf("%7.3fs %-18s for %.3fs engines %v gateways %v delay %v", e.At.Seconds(), e.Kind, e.For.Seconds(), e.Engines, e.Gateways, e.Delay)
+	return fmt.Sprintf("%7.3fs %-18s for %.3fs engines %v gateways %v delay %v", e.At.Seconds(), e.Kind, e.Duration.Seconds(), e.Engines, e.Gateways, e.Delay)
 }
 
-// ClientKind is how a client behaves.
+// ClientKind names a client's behaviour.
 type ClientKind string
 
 // The kinds of clients.
 const (
-	Steady    ClientKind = "steady"     // asks, waits for the whole answer, asks again
-	Leaver    ClientKind = "leaver"     // closes at some point of many requests
-	Retrier   ClientKind = "retrier"    // asks again at once after a refusal
-	Rester    ClientKind = "rester"     // rests long on connections between requests
-	HalfWay   ClientKind = "half-way"   // stops in the middle of some requests
-	Newcomer  ClientKind = "newcomer"   // a new connection for each request
-	CrowdIdle ClientKind = "crowd-idle" // opens a connection and says nothing
+	ClientSteady          ClientKind = "steady"     // sends a request, waits for the whole answer, sends the next
+	ClientClosesEarly     ClientKind = "leaver"     // closes its connection before the answer to many of its requests is complete
+	ClientRetriesAtOnce   ClientKind = "retrier"    // sends the next request at once after a refusal
+	ClientIdlesLong       ClientKind = "rester"     // keeps its connection idle for long between requests
+	ClientStopsMidRequest ClientKind = "half-way"   // stops writing in the middle of some requests
+	ClientReconnects      ClientKind = "newcomer"   // opens a new connection for each request
+	ClientSilent          ClientKind = "crowd-idle" // opens a connection and sends nothing
 )
 
-// Client is one client, which has one request out at a time.
+// Client describes one client, which has at most one request in flight.
 type Client struct {
 	Kind    ClientKind
 	Gateway int
 }
 
-// Story is all that one run is made of.
-type Story struct {
+// FaultScenario describes one run completely: the fleet, its settings, the clients and all events.
+type FaultScenario struct {
 	Seed     uint64
-	Length   time.Duration // of the clients' asking
+	Length   time.Duration // for how long clients send requests
 	Zones    int
 	Gateways int
 	Engines  []Engine
@@ -114,21 +115,21 @@
 	Clients  []Client
 	Events   []Event
 
-	Reservations    bool
-	BlindPlaces     bool // reservations are held whether or not a prompt is being read
-	Probes          bool
-	Reports         string  // "inline", "on_probe" or "off"
-	OwnReleases     bool    // a release lets go of what its engine holds, not of what others do
-	ReadsOutlive    bool    // a prompt that is being read is read to its end though the caller has closed
-	SlowFirstTokens float64 // share of answers whose first token takes long at a working engine
-	Sockets         int
+	Reservations          bool
+	BlindReservations     bool // engines hold a reservation whether or not its prompt is being read
+	Probes                bool
+	Reports               string  // "inline", "on_probe" or "off"
+	LocalReleases         bool    // a release drops the holds of the engine that receives it, not those of other engines
+	PrefillsOutliveCaller bool    // a prefill runs to its end though the caller has closed its connection
+	SlowFirstTokenShare   float64 // share of answers whose first token is slow though the engine is healthy
+	Sockets               int
 }
 
-// String writes the story as a script.
-func (s *Story) String() string {
+// String formats the scenario as a script, one line for each class, engine and event.
+func (s *FaultScenario) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d: %v, %d gateways, %d zones, %d clients, reservations %v (blind %v), probes %v, reports %s, own releases %v, reads outlive %v, slow %.2f, sockets %d\n",
-		s.Seed, s.Length, s.Gateways, s.Zones, len(s.Clients), s.Reservations, s.BlindPlaces, s.Probes, s.Reports, s.OwnReleases, s.ReadsOutlive, s.SlowFirstTokens, s.Sockets)
+		s.Seed, s.Length, s.Gateways, s.Zones, len(s.Clients), s.Reservations, s.BlindReservations, s.Probes, s.Reports, s.LocalReleases, s.PrefillsOutliveCaller, s.SlowFirstTokenShare, s.Sockets)
 	for _, c := range s.Classes {
 		fmt.Fprintf(&b, "  class %s %s aim %v deadline %v\n", c.Name, c.Effect, c.Aim, c.Deadline)
 	}
@@ -141,13 +142,13 @@
 	return b.String()
 }
 
-// crowded tells whether clients that say nothing fill the connections.
-func (s *Story) crowded() bool {
-	return slices.ContainsFunc(s.Clients, func(c Client) bool { return c.Kind == CrowdIdle })
+// hasSilentClients reports whether silent clients occupy connections of the gateways.
+func (s *FaultScenario) hasSilentClients() bool {
+	return slices.ContainsFunc(s.Clients, func(c Client) bool { return c.Kind == ClientSilent })
 }
 
-// longestDeadline is that of the classes.
-func (s *Story) longestDeadline() time.Duration {
+// longestDeadline returns the longest deadline of all classes.
+func (s *FaultScenario) longestDeadline() time.Duration {
 	var longest time.Duration
 	for _, c := range s.Classes {
 		longest = max(longest, c.Deadline)
@@ -155,11 +156,14 @@
 	return longest
 }
 
-// Times of a planned restart, by the protocol.
+// Times that the protocol sets for a planned restart: SIGKILL may follow SIGTERM after the longest deadline,
+// capped at maxGraceDeadline, plus graceSlack.
 const (
-	longestCounted = 3 * time.Second
-	killSlack      = 700 * time.Millisecond
+	maxGraceDeadline = 3 * time.Second
+	graceSlack       = 700 * time.Millisecond
 )
 
-// life is the time from SIGTERM to SIGKILL, the earliest that the protocol allows.
-func (s *Story) life() time.Duration { return min(s.longestDeadline(), longestCounted) + killSlack }
+// terminationGrace returns the shortest time from SIGTERM to SIGKILL that the protocol allows.
+func (s *FaultScenario) terminationGrace() time.Duration {
+	return min(s.longestDeadline(), maxGraceDeadline) + graceSlack
+}
