--- a/cmd/ashlab/compare.go
+++ b/cmd/ashlab/compare.go
@@ -74,8 +74,8 @@
 				}
 			}
 			if cmd.Flags().Changed("bound") {
-				if d.Most > bound {
-					return fmt.Errorf("%w: %.3f, the bound is %.3f", errApart, d.Most, bound)
+				if d.Max > bound {
+					return fmt.Errorf("%w: %.3f, the bound is %.3f", errApart, d.Max, bound)
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "within %.3f\n", bound)
 			}
--- a/cmd/ashlab/main_test.go
+++ b/cmd/ashlab/main_test.go
@@ -60,7 +60,7 @@
 	if out, err := run("compare", calm, hang, "--bound", "0.01"); !errors.Is(err, errApart) || exitCode(err) != 1 || !strings.Contains(out, "send-order") {
 		t.Errorf("%s, %v", out, err)
 	}
-	if _, err := run("compare", calm, "main.go"); !errors.Is(err, record.ErrShape) {
+	if _, err := run("compare", calm, "main.go"); !errors.Is(err, record.ErrFormat) {
 		t.Errorf("no recording: %v", err)
 	}
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet counts what gateways did over a whole fleet, from their debug
-// logs: what one does may be fine alone and do harm when all do it.
+// Package fleet sums up what all gateways did to a fleet of engines, from their debug
+// logs: behaviour that is harmless in one gateway may overload an engine when all
+// gateways show it. It only reads logs.
 package fleet
 
 import (
@@ -16,62 +17,62 @@
 	"time"
 )
 
-// ErrEmpty says that a folder's logs tell of nothing that could be counted.
+// ErrEmpty is returned if the logs of a directory contain nothing that could be counted.
 var ErrEmpty = errors.New("fleet: no debug line of a gateway")
 
-// Names of statuses, places and states, by the numbers that logs hold.
+// Names of statuses and answers to reservations by the numbers that logs hold, and names of outcomes.
 var (
-	statuses = []string{"", "served", "error", "turned-away", "no-answer", "no-connection", "lost", "called-off", "not-sent", "read"}
-	places   = []string{"", "held", "refused", "unknown", "unasked"}
-	kinds    = map[string]string{"served": "served", "refused": "refused", "failed": "failed", "gone": "gone"}
+	statuses           = []string{"", "served", "error", "turned-away", "no-answer", "no-connection", "lost", "called-off", "not-sent", "read"}
+	reservationAnswers = []string{"", "held", "refused", "unknown", "unasked"}
+	outcomes           = map[string]string{"served": "served", "refused": "refused", "failed": "failed", "gone": "gone"}
 )
 
-// maxLine bounds a log's line in bytes.
+// maxLine is the longest log line that is read, in bytes.
 const maxLine = 1 << 20
 
-// Counts are numbers of events by name, such as "attempt read" or "list failed".
+// Counts holds numbers of events by name, such as "attempt read" or "list failed".
 type Counts map[string]int
 
-// Engine is what all gateways did with one engine.
+// Engine sums up what all gateways did to one engine.
 type Engine struct {
 	ID, Kind, Zone, Cell string
 	Counts               Counts
-	Cold                 []float64 // seconds of the day of sends while it was cold
-	Late                 float64   // ms at most from the news that it is to get nothing more to a send
+	ColdSends            []float64 // attempts sent to it while it was cold, in seconds since the first line
+	MaxLateMs            float64   // longest time from a gateway's notification that it drains or is gone to an attempt
 }
 
-// Fleet is the sum over gateways.
+// Fleet sums up the logs of all gateways.
 type Fleet struct {
-	Gateways int
-	Seconds  []Counts // by second from the first line on
-	Engines  map[string]*Engine
-	Skipped  int    // lines that could not be read
-	Example  string // the first of them, cut short
-	cold     time.Duration
-	first    float64 // ms since 1970
-	lines    []line
+	Gateways     int
+	Seconds      []Counts // by second since the first line
+	Engines      map[string]*Engine
+	Skipped      int    // lines that could not be parsed
+	FirstSkipped string // the first of them, truncated
+	coldTime     time.Duration
+	startMs      float64 // ms since 1970
+	lines        []line
 }
 
-// line is a log line that counts.
+// line is a log line with a message that is counted.
 type line struct {
 	gateway int
-	at      float64 // ms since 1970
+	atMs    float64 // ms since 1970
 	msg     string
-	value   map[string]string
+	values  map[string]string
 }
 
-var pair = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\S+)`)
+var keyValue = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\S+)`)
 
-// wanted are the messages counted, and what each must tell.
-var wanted = map[string][]string{
+// requiredKeys lists the messages that are counted, and the keys that each must have.
+var requiredKeys = map[string][]string{
 	"attempt": {"engine", "status", "ms"}, "answer": {"kind"}, "probe": {"engine", "status"}, "place": {"engine", "answer"},
 	"list": {"err"}, "connect": {"address", "err"}, "news": {"engine", "state", "started"},
 	"release": {"engine", "try", "err"}, "release given up": {"engine", "why"},
 }
 
-// Read counts the logs of a folder, a file (*.log) for each gateway. For cold
-// after its start, an engine counts as cold.
-func Read(dir string, cold time.Duration) (*Fleet, error) {
+// Read counts the logs of a directory, one file (*.log) for each gateway. An engine
+// counts as cold for coldTime after its start.
+func Read(dir string, coldTime time.Duration) (*Fleet, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
@@ -79,13 +80,13 @@
 	if len(paths) == 0 {
 		return nil, fmt.Errorf("%w: %s holds no *.log", ErrEmpty, dir)
 	}
-	f := &Fleet{Engines: map[string]*Engine{}, cold: cold}
+	f := &Fleet{Engines: map[string]*Engine{}, coldTime: coldTime}
 	for _, path := range paths {
 		r, err := os.Open(path)
 		if err != nil {
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
-		err = f.add(r)
+		err = f.addLog(r)
 		r.Close()
 		if err != nil {
 			return nil, fmt.Errorf("fleet: %s: %w", path, err)
@@ -98,42 +99,42 @@
 	return f, nil
 }
 
-// add takes in one gateway's log.
-func (f *Fleet) add(r io.Reader) error {
+// addLog parses one gateway's log.
+func (f *Fleet) addLog(r io.Reader) error {
 	gateway := f.Gateways
 	f.Gateways++
-	in := bufio.NewScanner(r)
-	in.Buffer(make([]byte, 0, 64<<10), maxLine)
-	for in.Scan() {
-		text := in.Text()
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	for scanner.Scan() {
+		text := scanner.Text()
 		if strings.TrimSpace(text) == "" {
 			continue
 		}
-		value := map[string]string{}
-		for _, m := range pair.FindAllStringSubmatch(text, -1) {
-			value[m[1]] = strings.Trim(m[2], `"`)
+		values := map[string]string{}
+		for _, m := range keyValue.FindAllStringSubmatch(text, -1) {
+			values[m[1]] = strings.Trim(m[2], `"`)
 		}
-		at, err := time.Parse(time.RFC3339Nano, value["time"])
-		keys, known := wanted[value["msg"]]
-		whole := err == nil && value["msg"] != ""
+		at, err := time.Parse(time.RFC3339Nano, values["time"])
+		keys, known := requiredKeys[values["msg"]]
+		complete := err == nil && values["msg"] != ""
 		for _, k := range keys {
-			_, has := value[k]
-			whole = whole && has
+			_, has := values[k]
+			complete = complete && has
 		}
 		switch {
-		case !whole:
-			if f.Skipped++; f.Example == "" {
-				f.Example = text[:min(len(text), 120)]
+		case !complete:
+			if f.Skipped++; f.FirstSkipped == "" {
+				f.FirstSkipped = text[:min(len(text), 120)]
 			}
 		case known:
-			f.lines = append(f.lines, line{gateway, float64(at.UnixMicro()) / 1000, value["msg"], value})
+			f.lines = append(f.lines, line{gateway, float64(at.UnixMicro()) / 1000, values["msg"], values})
 		}
 	}
-	return in.Err()
+	return scanner.Err()
 }
 
-// number reads a figure; what is none counts as 0.
-func number(s string) float64 {
+// parseNumber parses a number; anything else counts as 0.
+func parseNumber(s string) float64 {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil {
 		return 0
@@ -141,83 +142,84 @@
 	return v
 }
 
-func name(names []string, s string) string {
+// nameOf returns the name for a logged number.
+func nameOf(names []string, s string) string {
 	if n, err := strconv.Atoi(s); err == nil && n > 0 && n < len(names) {
 		return names[n]
 	}
 	return "unknown"
 }
 
-// count sums the lines up in the order of their times.
+// count counts the lines of all gateways in the order of their times.
 func (f *Fleet) count() {
-	sort.SliceStable(f.lines, func(i, j int) bool { return f.lines[i].at < f.lines[j].at })
-	f.first = f.lines[0].at
-	address := map[string]string{}      // to engine
-	off := map[int]map[string]float64{} // by gateway: when it was told that an engine is to get nothing more
-	started := map[string]float64{}     // as told to any gateway first
-	for _, l := range f.lines {
-		v := l.value
-		for n := int((l.at - f.first) / 1000); len(f.Seconds) <= n; {
+	sort.SliceStable(f.lines, func(i, j int) bool { return f.lines[i].atMs < f.lines[j].atMs })
+	f.startMs = f.lines[0].atMs
+	engineAt := map[string]string{}             // from address to engine
+	noWorkSince := map[int]map[string]float64{} // by gateway and engine: when it was notified that the engine drains or is gone
+	started := map[string]float64{}             // by engine: the latest start that any gateway was notified of
+	for _, line := range f.lines {
+		values := line.values
+		for n := int((line.atMs - f.startMs) / 1000); len(f.Seconds) <= n; {
 			f.Seconds = append(f.Seconds, Counts{})
 		}
-		var what string
-		e := f.engine(v["engine"])
-		switch l.msg {
+		var event string
+		engine := f.engine(values["engine"])
+		switch line.msg {
 		case "news":
-			e.Kind, e.Zone, e.Cell, address[v["address"]] = v["kind"], v["zone"], v["cell"], e.ID
-			if s := number(v["started"]); s > started[e.ID] {
-				started[e.ID] = s
+			engine.Kind, engine.Zone, engine.Cell, engineAt[values["address"]] = values["kind"], values["zone"], values["cell"], engine.ID
+			if s := parseNumber(values["started"]); s > started[engine.ID] {
+				started[engine.ID] = s
 			}
-			if off[l.gateway] == nil {
-				off[l.gateway] = map[string]float64{}
+			if noWorkSince[line.gateway] == nil {
+				noWorkSince[line.gateway] = map[string]float64{}
 			}
-			if v["state"] == "1" {
-				delete(off[l.gateway], e.ID)
-			} else if _, told := off[l.gateway][e.ID]; !told {
-				off[l.gateway][e.ID] = l.at
+			if values["state"] == "1" {
+				delete(noWorkSince[line.gateway], engine.ID)
+			} else if _, notified := noWorkSince[line.gateway][engine.ID]; !notified {
+				noWorkSince[line.gateway][engine.ID] = line.atMs
 			}
 			continue
 		case "attempt":
-			what = "attempt " + name(statuses, v["status"])
-			if sent := l.at - number(v["ms"]); v["status"] != "8" { // not sent
-				if told, ok := off[l.gateway][e.ID]; ok {
-					e.Late = max(e.Late, sent-told)
+			event = "attempt " + nameOf(statuses, values["status"])
+			if sent := line.atMs - parseNumber(values["ms"]); values["status"] != "8" { // not sent
+				if since, ok := noWorkSince[line.gateway][engine.ID]; ok {
+					engine.MaxLateMs = max(engine.MaxLateMs, sent-since)
 				}
-				if s := started[e.ID]; s > 0 && sent >= s && sent-s < float64(f.cold.Milliseconds()) {
-					e.Cold = append(e.Cold, (sent-f.first)/1000)
+				if s := started[engine.ID]; s > 0 && sent >= s && sent-s < float64(f.coldTime.Milliseconds()) {
+					engine.ColdSends = append(engine.ColdSends, (sent-f.startMs)/1000)
 					f.Seconds[len(f.Seconds)-1]["cold send"]++
 				}
 			}
 		case "answer":
-			if what = kinds[v["kind"]]; v["why"] != "" {
-				what += " " + v["why"]
+			if event = outcomes[values["kind"]]; values["why"] != "" {
+				event += " " + values["why"]
 			}
-			e = nil
+			engine = nil
 		case "probe":
-			what = "probe " + name(statuses, v["status"])
+			event = "probe " + nameOf(statuses, values["status"])
 		case "place":
-			what = "place " + name(places, v["answer"])
+			event = "place " + nameOf(reservationAnswers, values["answer"])
 		case "release":
-			if what = "release made"; v["err"] != "<nil>" {
-				what = "release failed"
+			if event = "release made"; values["err"] != "<nil>" {
+				event = "release failed"
 			}
-			if v["try"] != "0" {
+			if values["try"] != "0" {
 				f.Seconds[len(f.Seconds)-1]["release repeated"]++
-				e.Counts["release repeated"]++
+				engine.Counts["release repeated"]++
 			}
 		case "release given up":
-			what = l.msg
+			event = line.msg
 		case "list", "connect":
-			if what = l.msg + " ok"; v["err"] != "<nil>" {
-				what = l.msg + " failed"
+			if event = line.msg + " ok"; values["err"] != "<nil>" {
+				event = line.msg + " failed"
 			}
-			if e = nil; l.msg == "connect" {
-				e = f.Engines[address[v["address"]]]
+			if engine = nil; line.msg == "connect" {
+				engine = f.Engines[engineAt[values["address"]]]
 			}
 		}
-		f.Seconds[len(f.Seconds)-1][what]++
-		if e != nil {
-			e.Counts[what]++
+		f.Seconds[len(f.Seconds)-1][event]++
+		if engine != nil {
+			engine.Counts[event]++
 		}
 	}
 	delete(f.Engines, "")
@@ -230,16 +232,16 @@
 	return f.Engines[id]
 }
 
-// Peak is the most sends within a second while it was cold.
-func (e *Engine) Peak() (most int) {
-	at := append([]float64(nil), e.Cold...)
-	sort.Float64s(at)
+// PeakColdSends returns the largest number of attempts sent to it within a second while it was cold.
+func (e *Engine) PeakColdSends() (largest int) {
+	times := append([]float64(nil), e.ColdSends...)
+	sort.Float64s(times)
 	first := 0
-	for i := range at {
-		for at[i]-at[first] >= 1 {
+	for i := range times {
+		for times[i]-times[first] >= 1 {
 			first++
 		}
-		most = max(most, i-first+1)
+		largest = max(largest, i-first+1)
 	}
-	return most
+	return largest
 }
--- a/lab/record/logs.go
+++ b/lab/record/logs.go
@@ -9,95 +9,97 @@
 	"time"
 )
 
-// A gateway's debug log tells of each try once its answer begins or is given
-// (msg=answer), and of each stream that ends (msg=end). Bench and rehearsals are
-// recorded from the same lines, so that both are seen with the same eyes.
+// A gateway's debug log has a line for each request when its answer begins or is
+// given (msg=answer), and one for each stream that ends (msg=end). Benchmarks and
+// rehearsals are recorded from the same lines, so that their recordings are comparable.
 var (
 	answerLine = regexp.MustCompile(`time=(\S+) level=DEBUG msg=answer id=(\S+) class=(\S+) kind=(\S+) ms=(\S+)`)
 	endLine    = regexp.MustCompile(`time=(\S+) level=DEBUG msg=end id=(\S+) class=(\S+) status=(\d+) ms=(\S+)`)
 )
 
-// servedStatus is the module's number for a whole answer.
+// servedStatus is the number by which the decision module logs a whole answer.
 const servedStatus = "1"
 
-// maxLine bounds a log's line.
+// maxLine is the longest log line that is read, in bytes.
 const maxLine = 1 << 20
 
-type tryLine struct {
-	class string
-	at    float64 // ms since 1970 when the gateway took it
-	kind  string
-	ms    float64
-	end   string // the status of its stream's end
-	total float64
+// loggedRequest is what the log lines of one request contain.
+type loggedRequest struct {
+	class     string
+	beganAt   float64 // when the gateway received it, in ms since 1970
+	outcome   string
+	firstMs   float64
+	endStatus string // status of the end of its stream
+	totalMs   float64
 }
 
 // FromLogs builds a recording from gateways' debug logs. Times count from the
-// first try that any of them took.
+// first request that any of them received.
 func FromLogs(name, source string, logs ...io.Reader) (*Recording, error) {
-	tries := map[string]*tryLine{}
+	requests := map[string]*loggedRequest{}
 	var order []string
-	for n, log := range logs {
+	for index, log := range logs {
 		lines := bufio.NewScanner(log)
 		lines.Buffer(make([]byte, 0, 64<<10), maxLine)
 		for lines.Scan() {
 			text := lines.Text()
 			if m := answerLine.FindStringSubmatch(text); m != nil {
-				at, took, err := times(m[1], m[5])
+				at, took, err := parseTimes(m[1], m[5])
 				if err != nil {
-					return nil, fmt.Errorf("record: log %d: %w", n, err)
+					return nil, fmt.Errorf("record: log %d: %w", index, err)
 				}
-				if tries[m[2]] == nil {
+				if requests[m[2]] == nil {
 					order = append(order, m[2])
 				}
-				tries[m[2]] = &tryLine{class: m[3], at: at - took, kind: m[4], ms: took}
+				requests[m[2]] = &loggedRequest{class: m[3], beganAt: at - took, outcome: m[4], firstMs: took}
 			} else if m := endLine.FindStringSubmatch(text); m != nil {
-				_, took, err := times(m[1], m[5])
+				_, took, err := parseTimes(m[1], m[5])
 				if err != nil {
-					return nil, fmt.Errorf("record: log %d: %w", n, err)
+					return nil, fmt.Errorf("record: log %d: %w", index, err)
 				}
-				if t := tries[m[2]]; t != nil {
-					t.end, t.total = m[4], took
+				if request := requests[m[2]]; request != nil {
+					request.endStatus, request.totalMs = m[4], took
 				}
 			}
 		}
 		if err := lines.Err(); err != nil {
-			return nil, fmt.Errorf("record: log %d: %w", n, err)
+			return nil, fmt.Errorf("record: log %d: %w", index, err)
 		}
 	}
 	if len(order) == 0 {
-		return nil, fmt.Errorf("%w: the logs tell of no answer; gateways log them at level debug", ErrShape)
+		return nil, fmt.Errorf("%w: the logs contain no answer; gateways log them at level debug", ErrFormat)
 	}
-	first := tries[order[0]].at
-	for _, t := range tries {
-		first = min(first, t.at)
+	first := requests[order[0]].beganAt
+	for _, request := range requests {
+		first = min(first, request.beganAt)
 	}
-	b := NewBuilder()
+	builder := NewBuilder()
 	for _, id := range order {
-		t := tries[id]
-		at := t.at - first
-		switch t.kind {
+		request := requests[id]
+		at := request.beganAt - first
+		switch request.outcome {
 		case "served":
-			b.Answer(t.class, at, Served, t.ms)
-			if t.end == servedStatus {
-				b.End(t.class, at, t.total)
-			} else if t.end != "" {
-				b.Broke(t.class, at)
+			builder.AddAnswer(request.class, at, Served, request.firstMs)
+			if request.endStatus == servedStatus {
+				builder.AddEnd(request.class, at, request.totalMs)
+			} else if request.endStatus != "" {
+				builder.MarkBroken(request.class, at)
 			}
 		case "refused":
-			b.Answer(t.class, at, Refused, 0)
+			builder.AddAnswer(request.class, at, Refused, 0)
 		default:
-			b.Answer(t.class, at, Failed, 0)
+			builder.AddAnswer(request.class, at, Failed, 0)
 		}
 	}
-	return b.Recording(name, source), nil
+	return builder.Recording(name, source), nil
 }
 
-func times(at, took string) (atMs, tookMs float64, err error) {
-	v, err := time.Parse(time.RFC3339Nano, at)
+// parseTimes parses a line's time, as ms since 1970, and its duration in ms.
+func parseTimes(at, took string) (atMs, tookMs float64, err error) {
+	parsed, err := time.Parse(time.RFC3339Nano, at)
 	if err != nil {
 		return 0, 0, err
 	}
 	tookMs, err = strconv.ParseFloat(took, 64)
-	return float64(v.UnixMicro()) / 1000, tookMs, err
+	return float64(parsed.UnixMicro()) / 1000, tookMs, err
 }
--- a/lab/record/record.go
+++ b/lab/record/record.go
@@ -1,5 +1,6 @@
-// Package record keeps the shape of a day, as gateways' logs tell it, and
-// measures how far two of them lie apart.
+// Package record summarizes a run from gateways' debug logs as a recording (outcomes
+// and latency distributions by class) and measures the distance of two recordings.
+// It neither runs gateways nor generates load.
 package record
 
 import (
@@ -13,75 +14,75 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Version is that of the format; a reader refuses others.
+// Version is the version of the format. Read rejects all others.
 const Version = 1
 
-// WindowMs is the length of a recording's windows.
+// WindowMs is the length of a recording's windows in ms.
 const WindowMs = 5000.0
 
-// Recording is the shape of a day: by class and window what became of tries, and
-// how long first tokens and whole answers took.
+// Recording is the summary of a run: the outcomes of requests by class and window, and
+// the distributions of the times to first tokens and to whole answers.
 type Recording struct {
 	Version int     `json:"version"`
 	Name    string  `json:"name"`
-	Source  string  `json:"source"` // what it was recorded from, in words
+	Source  string  `json:"source"` // free text: what it was recorded from
 	LengthS float64 `json:"length_s"`
-	Classes []Class `json:"classes"` // in the order of their names
+	Classes []Class `json:"classes"` // sorted by name
 }
 
-// Class is one class's part.
+// Class is the part of a recording for one class of requests.
 type Class struct {
 	Name    string   `json:"name"`
 	Windows []Window `json:"windows"`
-	First   Grid     `json:"first_ms"` // from the gateway's taking a try to the first token
-	Total   Grid     `json:"total_ms"` // and to the answer's end
+	First   Grid     `json:"first_ms"` // from the gateway's receipt of a request to the first token
+	Total   Grid     `json:"total_ms"` // from that receipt to the answer's end
 }
 
-// Window is a stretch of WindowMs.
+// Window counts the requests that began within a span of WindowMs.
 type Window struct {
 	Offered  int     `json:"offered"`
 	Served   int     `json:"served"`
 	Refused  int     `json:"refused"`
-	Failed   int     `json:"failed"` // failed, broken or left
+	Failed   int     `json:"failed"` // failed, broken, or abandoned by the client
 	FirstP50 float64 `json:"first_p50_ms"`
 	FirstP99 float64 `json:"first_p99_ms"`
 }
 
-// Grid is a distribution: its quantiles at 0, 1, 2 … 100 percent, and how many
-// values it is of. Without values there are no quantiles.
+// Grid is a distribution: the number of its values and its quantiles at
+// 0, 1, 2 … 100 percent. Without values there are no quantiles.
 type Grid struct {
 	N  int64     `json:"n"`
 	At []float64 `json:"at"`
 }
 
-// Errors of reading.
+// Errors of reading recordings.
 var (
-	ErrVersion = errors.New("record: a recording of another version")
-	ErrShape   = errors.New("record: no recording")
+	ErrVersion = errors.New("record: unsupported version of a recording")
+	ErrFormat  = errors.New("record: not a recording")
 )
 
-// Read reads a recording.
+// Read reads a recording as JSON and checks its version and quantiles.
 func Read(r io.Reader) (*Recording, error) {
-	var out Recording
-	d := json.NewDecoder(r)
-	d.DisallowUnknownFields()
-	if err := d.Decode(&out); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrShape, err)
+	var recording Recording
+	decoder := json.NewDecoder(r)
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&recording); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrFormat, err)
 	}
-	if out.Version != Version {
-		return nil, fmt.Errorf("%w: %d, this program reads %d", ErrVersion, out.Version, Version)
+	if recording.Version != Version {
+		return nil, fmt.Errorf("%w: %d, this program reads %d", ErrVersion, recording.Version, Version)
 	}
-	for i, c := range out.Classes {
-		for _, g := range []struct {
-			key string
-			g   Grid
+	for i, c := range recording.Classes {
+		for _, quantiles := range []struct {
+			key  string
+			grid Grid
 		}{{"first_ms", c.First}, {"total_ms", c.Total}} {
-			if g.g.N > 0 != (len(g.g.At) == gridPoints) || !sort.Float64sAreSorted(g.g.At) {
-				return nil, fmt.Errorf("%w: classes[%d].%s.at: %d quantiles of %d values", ErrShape, i, g.key, len(g.g.At), g.g.N)
+			if quantiles.grid.N > 0 != (len(quantiles.grid.At) == quantileCount) || !sort.Float64sAreSorted(quantiles.grid.At) {
+				return nil, fmt.Errorf("%w: classes[%d].%s.at: %d quantiles of %d values", ErrFormat, i, quantiles.key, len(quantiles.grid.At), quantiles.grid.N)
 			}
 		}
 	}
-	return &out, nil
+	return &recording, nil
 }
 
 // Open reads a recording from a file.
@@ -91,77 +92,80 @@
 		return nil, fmt.Errorf("record: %w", err)
 	}
 	defer f.Close()
-	rec, err := Read(f)
+	recording, err := Read(f)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return rec, nil
+	return recording, nil
 }
 
-// Write writes a recording.
+// Write writes the recording as JSON.
 func (r *Recording) Write(w io.Writer) error {
-	e := json.NewEncoder(w)
-	e.SetIndent("", " ")
-	return e.Encode(r)
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", " ")
+	return encoder.Encode(r)
 }
 
-const gridPoints = 101
+// quantileCount is the number of quantiles of a Grid: 0 to 100 percent.
+const quantileCount = 101
 
-// maxUs bounds latencies, in microseconds.
-const maxUs = int64(600e6)
+// maxLatencyUs is the highest latency that is recorded, in microseconds; longer ones count as this.
+const maxLatencyUs = int64(600e6)
 
-// Builder puts a recording together from what became of single tries.
+// Builder builds a recording from the outcomes of single requests.
 type Builder struct {
-	classes map[string]*part
-	last    float64
+	classes map[string]*classBuilder
+	lastMs  float64
 }
 
-type part struct {
+// classBuilder accumulates the values of one class.
+type classBuilder struct {
 	windows      []Window
-	firsts       []*hdrhistogram.Histogram
+	windowFirst  []*hdrhistogram.Histogram
 	first, total *hdrhistogram.Histogram
 }
 
-// Outcome tells how a try ended.
+// Outcome is how a request ended.
 type Outcome int
 
-// The outcomes of tries.
+// The outcomes of requests.
 const (
 	Served Outcome = iota + 1
 	Refused
 	Failed
 )
 
-// NewBuilder makes an empty builder.
-func NewBuilder() *Builder { return &Builder{classes: map[string]*part{}} }
+// NewBuilder returns an empty builder.
+func NewBuilder() *Builder { return &Builder{classes: map[string]*classBuilder{}} }
 
-func hist() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxUs, 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyUs, 3) }
 
-func (b *Builder) at(class string, at float64) (*part, int) {
+// window returns a class's builder and the index of the window at a time in ms; it adds both as needed.
+func (b *Builder) window(class string, atMs float64) (*classBuilder, int) {
 	p := b.classes[class]
 	if p == nil {
-		p = &part{first: hist(), total: hist()}
+		p = &classBuilder{first: newHistogram(), total: newHistogram()}
 		b.classes[class] = p
 	}
-	i := max(0, int(at/WindowMs))
+	i := max(0, int(atMs/WindowMs))
 	for len(p.windows) <= i {
 		p.windows = append(p.windows, Window{})
-		p.firsts = append(p.firsts, hdrhistogram.New(1, maxUs, 2))
+		p.windowFirst = append(p.windowFirst, hdrhistogram.New(1, maxLatencyUs, 2))
 	}
-	b.last = max(b.last, at)
+	b.lastMs = max(b.lastMs, atMs)
 	return p, i
 }
 
-// Answer notes a try that began at a time in ms, with the time to its first token.
-func (b *Builder) Answer(class string, at float64, how Outcome, firstMs float64) {
-	p, i := b.at(class, at)
+// AddAnswer records a request that began at atMs, with its outcome and, if served, the time to its first token.
+func (b *Builder) AddAnswer(class string, atMs float64, outcome Outcome, firstMs float64) {
+	p, i := b.window(class, atMs)
 	w := &p.windows[i]
 	w.Offered++
-	switch how {
+	switch outcome {
 	case Served:
 		w.Served++
-		note(p.first, firstMs)
-		note(p.firsts[i], firstMs)
+		recordMs(p.first, firstMs)
+		recordMs(p.windowFirst[i], firstMs)
 	case Refused:
 		w.Refused++
 	default:
@@ -169,47 +173,49 @@
 	}
 }
 
-// End notes a whole answer's time.
-func (b *Builder) End(class string, at, totalMs float64) {
-	p, _ := b.at(class, at)
-	note(p.total, totalMs)
+// AddEnd records the total time of a whole answer to a request that began at atMs.
+func (b *Builder) AddEnd(class string, atMs, totalMs float64) {
+	p, _ := b.window(class, atMs)
+	recordMs(p.total, totalMs)
 }
 
-// Broke notes that an answer which had begun was not whole.
-func (b *Builder) Broke(class string, at float64) {
-	p, i := b.at(class, at)
+// MarkBroken counts a request that was added as served as failed, as its answer was not whole.
+func (b *Builder) MarkBroken(class string, atMs float64) {
+	p, i := b.window(class, atMs)
 	p.windows[i].Served--
 	p.windows[i].Failed++
 }
 
-func note(h *hdrhistogram.Histogram, ms float64) {
-	_ = h.RecordValue(min(max(int64(ms*1000), 1), maxUs)) // the bounds keep it within range
+func recordMs(h *hdrhistogram.Histogram, ms float64) {
+	_ = h.RecordValue(min(max(int64(ms*1000), 1), maxLatencyUs)) // never fails: the value is clamped to the histogram's range
 }
 
-// Recording gives what was noted.
+// Recording returns what has been recorded.
 func (b *Builder) Recording(name, source string) *Recording {
-	r := &Recording{Version: Version, Name: name, Source: source, LengthS: b.last / 1000}
+	r := &Recording{Version: Version, Name: name, Source: source, LengthS: b.lastMs / 1000}
 	for class, p := range b.classes {
-		for i, h := range p.firsts {
+		for i, h := range p.windowFirst {
 			if h.TotalCount() > 0 {
-				p.windows[i].FirstP50, p.windows[i].FirstP99 = ms(h, 50), ms(h, 99)
+				p.windows[i].FirstP50, p.windows[i].FirstP99 = quantileMs(h, 50), quantileMs(h, 99)
 			}
 		}
-		r.Classes = append(r.Classes, Class{Name: class, Windows: p.windows, First: grid(p.first), Total: grid(p.total)})
+		r.Classes = append(r.Classes, Class{Name: class, Windows: p.windows, First: newGrid(p.first), Total: newGrid(p.total)})
 	}
 	sort.Slice(r.Classes, func(i, j int) bool { return r.Classes[i].Name < r.Classes[j].Name })
 	return r
 }
 
-func ms(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+func quantileMs(h *hdrhistogram.Histogram, q float64) float64 {
+	return float64(h.ValueAtQuantile(q)) / 1000
+}
 
-func grid(h *hdrhistogram.Histogram) Grid {
+func newGrid(h *hdrhistogram.Histogram) Grid {
 	g := Grid{N: h.TotalCount()}
 	if g.N == 0 {
 		return g
 	}
-	for q := range gridPoints {
-		g.At = append(g.At, ms(h, float64(q)))
+	for q := range quantileCount {
+		g.At = append(g.At, quantileMs(h, float64(q)))
 	}
 	g.At[0] = float64(h.Min()) / 1000
 	return g
--- a/lab/record/record_test.go
+++ b/lab/record/record_test.go
@@ -11,41 +11,41 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func day(shift float64, refused int) *Recording {
+func testRecording(shift float64, refused int) *Recording {
 	b := NewBuilder()
 	for i := range 1000 {
-		b.Answer("case-chat", float64(i)*20, Served, float64(i)+1+shift)
-		b.End("case-chat", float64(i)*20, 2000)
+		b.AddAnswer("case-chat", float64(i)*20, Served, float64(i)+1+shift)
+		b.AddEnd("case-chat", float64(i)*20, 2000)
 	}
 	for i := range refused {
-		b.Answer("case-chat", float64(i), Refused, 0)
+		b.AddAnswer("case-chat", float64(i), Refused, 0)
 	}
 	return b.Recording("day", "test")
 }
 
-func TestDistance(t *testing.T) {
+func TestCompare_Distance(t *testing.T) {
 	for _, c := range []struct {
 		b              *Recording
 		first, refused float64
 	}{
-		{day(0, 0), 0, 0}, {day(250, 0), 0.25, 0}, {day(5000, 0), 1, 0}, {day(0, 1000), 0, 0.5},
+		{testRecording(0, 0), 0, 0}, {testRecording(250, 0), 0.25, 0}, {testRecording(5000, 0), 1, 0}, {testRecording(0, 1000), 0, 0.5},
 	} {
-		d := Compare(day(0, 0), c.b)
+		d := Compare(testRecording(0, 0), c.b)
 		got := d.Classes[0]
 		if math.Abs(got.First-c.first) > 0.02 || math.Abs(got.Refused-c.refused) > 1e-9 || got.Total != 0 {
 			t.Errorf("%+v, want first %v, refused %v", got, c.first, c.refused)
 		}
-		if back := Compare(c.b, day(0, 0)); math.Abs(back.Most-d.Most) > 1e-9 {
-			t.Errorf("there %v, back %v", d.Most, back.Most)
+		if reverse := Compare(c.b, testRecording(0, 0)); math.Abs(reverse.Max-d.Max) > 1e-9 {
+			t.Errorf("distance %v, in reverse %v", d.Max, reverse.Max)
 		}
 	}
-	if d := Compare(day(0, 0), NewBuilder().Recording("", "")); d.Most != 1 {
-		t.Errorf("a class that is not there: %+v", d)
+	if d := Compare(testRecording(0, 0), NewBuilder().Recording("", "")); d.Max != 1 {
+		t.Errorf("a class missing in one recording: %+v, want distance 1", d)
 	}
 }
 
-func TestRecordingsAreReadAsWritten(t *testing.T) {
-	want := day(3, 7)
+func TestRead_RoundTripAndErrors(t *testing.T) {
+	want := testRecording(3, 7)
 	var text bytes.Buffer
 	if err := want.Write(&text); err != nil {
 		t.Fatal(err)
@@ -61,8 +61,8 @@
 		text string
 		want error
 	}{
-		{"{", ErrShape}, {`{"version":1,"odd":2}`, ErrShape}, {`{"version":9}`, ErrVersion},
-		{`{"version":1,"classes":[{"name":"x","first_ms":{"n":3,"at":[1]},"total_ms":{"n":0}}]}`, ErrShape},
+		{"{", ErrFormat}, {`{"version":1,"odd":2}`, ErrFormat}, {`{"version":9}`, ErrVersion},
+		{`{"version":1,"classes":[{"name":"x","first_ms":{"n":3,"at":[1]},"total_ms":{"n":0}}]}`, ErrFormat},
 	} {
 		if _, err := Read(strings.NewReader(c.text)); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", c.text, err)
@@ -88,7 +88,7 @@
 	if chat.First.N != 2 || chat.Total.N != 1 || math.Abs(chat.Total.At[50]-1000) > 1 || r.Classes[1].Windows[0].Refused != 1 {
 		t.Errorf("%+v", r.Classes)
 	}
-	if _, err := FromLogs("day", "test", strings.NewReader("nothing\n")); !errors.Is(err, ErrShape) {
+	if _, err := FromLogs("day", "test", strings.NewReader("nothing\n")); !errors.Is(err, ErrFormat) {
 		t.Error(err)
 	}
 }
