--- a/cmd/ashlab/compare.go
+++ b/cmd/ashlab/compare.go
@@ -36,7 +36,7 @@
 		defer f.Close()
 		logs = append(logs, f)
 	}
-	rec, err := record.FromLogs(name, source, logs...)
+	recording, err := record.FromLogs(name, source, logs...)
 	if err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(rec.Write(f), f.Close())
+	return errors.Join(recording.Write(f), f.Close())
 }
 
 func compareCommand() *cobra.Command {
@@ -75,7 +75,7 @@
 			}
 			if cmd.Flags().Changed("bound") {
 				if d.Max > bound {
-					return fmt.Errorf("%w: %.3f, the bound is %.3f", errApart, d.Max, bound)
+					return fmt.Errorf("%w: %.3f, the bound is %.3f", errDistance, d.Max, bound)
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "within %.3f\n", bound)
 			}
--- a/cmd/ashlab/emulate.go
+++ b/cmd/ashlab/emulate.go
@@ -17,8 +17,8 @@
 	"ashwood.example/ashwood/lab/scenario"
 )
 
-// address is a box's, as emulate prints it.
-type address struct {
+// engineAddress is an engine's entry in the output of emulate.
+type engineAddress struct {
 	ID   string `json:"id"`
 	Kind string `json:"kind"`
 	Zone string `json:"zone"`
@@ -31,7 +31,7 @@
 	var grpc bool
 	var ip string
 	var gateways int
-	var hold time.Duration
+	var delay time.Duration
 	cmd := &cobra.Command{
 		Use: "emulate SCENARIO", Args: cobra.ExactArgs(1), Short: "Serve a scenario's boxes and discovery for gateways of your own",
 		Long: `Serves a scenario's boxes and one agent of discovery for each gateway on loopback.
@@ -56,7 +56,7 @@
 			if err != nil {
 				return err
 			}
-			err = emulate(cmd, em, plan, hold)
+			err = emulate(cmd, em, plan, delay)
 			return errors.Join(err, em.Close())
 		},
 	}
@@ -64,18 +64,18 @@
 	f.BoolVar(&grpc, "grpc", false, "boxes speak gRPC too")
 	f.StringVar(&ip, "ip", emulator.DefaultIP, "loopback address of all listeners")
 	f.IntVar(&gateways, "gateways", 0, "how many gateways it is for; 0 = as the scenario says")
-	f.DurationVar(&hold, "delay", 5*time.Second, "until the scenario's time begins")
+	f.DurationVar(&delay, "delay", 5*time.Second, "until the scenario's time begins")
 	return cmd
 }
 
 func emulate(cmd *cobra.Command, em *emulator.Emulator, plan *scenario.Plan, delay time.Duration) error {
 	out := json.NewEncoder(cmd.OutOrStdout())
 	for g := range plan.Gateways {
-		var boxes []address
+		var engines []engineAddress
 		for _, b := range em.Boxes(g) {
-			boxes = append(boxes, address{b.ID, b.Kind, b.Zone, b.Cell, b.HTTP, b.GRPC})
+			engines = append(engines, engineAddress{b.ID, b.Kind, b.Zone, b.Cell, b.HTTP, b.GRPC})
 		}
-		if err := out.Encode(map[string]any{"gateway": g, "discovery": em.Discovery(g), "boxes": boxes, "settings": plan.Settings(g)}); err != nil {
+		if err := out.Encode(map[string]any{"gateway": g, "discovery": em.Discovery(g), "boxes": engines, "settings": plan.Settings(g)}); err != nil {
 			return err
 		}
 	}
@@ -86,20 +86,20 @@
 		return err
 	}
 	sleep(cmd.Context(), time.Duration(plan.LengthS*float64(time.Second)))
-	breaks := em.Rules().Breaks()
-	for _, b := range breaks {
+	violations := em.Rules().Breaks()
+	for _, b := range violations {
 		fmt.Fprintf(cmd.ErrOrStderr(), "BROKEN RULE %s, request %s, box %s: %s\n", b.Rule, b.Request, b.Box, b.Text)
 	}
 	if st := em.Stats(); st.Late() {
 		fmt.Fprintf(cmd.ErrOrStderr(), "LATE: the emulator was %.1f ms late at p99\n", st.LateP99)
 	}
-	if len(breaks) > 0 {
+	if len(violations) > 0 {
 		return errBroken
 	}
 	return nil
 }
 
-// sleep waits; false if the context ended first.
+// sleep waits for d; it returns false if ctx ends before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -130,7 +130,7 @@
 			var clients []load.Client
 			for _, addr := range addrs {
 				if !grpc {
-					clients = append(clients, load.NewHTTP(addr, plan.Load.Connections, c))
+					clients = append(clients, load.NewHTTP(addr, plan.Load.MaxConnections, c))
 					continue
 				}
 				client, err := load.NewGRPC(addr, c)
@@ -139,25 +139,25 @@
 				}
 				clients = append(clients, client)
 			}
-			check := rules.New(rules.Platform())
-			runner := load.Runner{Plan: plan, Clients: clients, Clock: c, Watch: check}
-			_, sum := runner.Run(cmd.Context(), c.Now(), load.Draw(plan))
+			checker := rules.New(rules.Platform())
+			runner := load.Runner{Plan: plan, Clients: clients, Clock: c, Watch: checker}
+			_, summary := runner.Run(cmd.Context(), c.Now(), load.Draw(plan))
 			for _, client := range clients {
 				client.Close()
 			}
 			w := cmd.OutOrStdout()
 			fmt.Fprintf(w, "%d asked, service %.4f, worst class %.4f, first token p50 %.0f, p99 %.0f ms, sent late by %.2f ms at p99\n",
-				sum.Whole.Offered, sum.Service, sum.WorstClass, sum.Whole.FirstP50, sum.Whole.FirstP99, sum.IntendedLag)
-			for kind, n := range sum.Whole.Kinds {
+				summary.Overall.Offered, summary.Service, summary.WorstClass, summary.Overall.FirstP50, summary.Overall.FirstP99, summary.SendLagP99Ms)
+			for kind, n := range summary.Overall.Kinds {
 				fmt.Fprintf(w, "%-10s %d\n", kind, n)
 			}
 			if out != "" {
-				if err := writeJSON(out, sum); err != nil {
+				if err := writeJSON(out, summary); err != nil {
 					return err
 				}
 			}
-			if len(check.Breaks()) > 0 {
-				return fmt.Errorf("%w: %s", errBroken, check.Breaks()[0].Text)
+			if len(checker.Breaks()) > 0 {
+				return fmt.Errorf("%w: %s", errBroken, checker.Breaks()[0].Text)
 			}
 			return nil
 		},
--- a/cmd/ashlab/main.go
+++ b/cmd/ashlab/main.go
@@ -1,5 +1,5 @@
-// Command ashlab is the laboratory: it emulates fleets, plays scenarios against
-// gateways, and compares what came of them.
+// Command ashlab is the laboratory's command line: it emulates fleets, runs scenarios
+// against gateways, and compares their results. The packages under lab/ do the work.
 package main
 
 import (
@@ -24,15 +24,15 @@
 	}
 }
 
-// errBroken is the error of a run in which a rule was broken or a gateway crashed.
+// errBroken is returned by a run in which a rule was broken or a gateway crashed.
 var errBroken = errors.New("a rule was broken or a gateway crashed")
 
-// errApart is the error of two recordings that lie further apart than asked for.
-var errApart = errors.New("the recordings lie further apart than the bound")
+// errDistance is returned if the distance of two recordings exceeds --bound.
+var errDistance = errors.New("the distance of the recordings exceeds the bound")
 
-// exitCode tells a verdict (1) from a run that could not be made (2).
+// exitCode returns 1 for a negative verdict and 2 for a run that could not be made.
 func exitCode(err error) int {
-	if errors.Is(err, errBroken) || errors.Is(err, errApart) {
+	if errors.Is(err, errBroken) || errors.Is(err, errDistance) {
 		return 1
 	}
 	return 2
--- a/cmd/ashlab/main_test.go
+++ b/cmd/ashlab/main_test.go
@@ -23,7 +23,7 @@
 	return out.String(), err
 }
 
-func TestScenariosAreListedAndChecked(t *testing.T) {
+func TestScenarios_ListAndCheck(t *testing.T) {
 	out, err := run("scenarios")
 	if err != nil {
 		t.Fatal(err)
@@ -38,10 +38,10 @@
 		t.Fatal(err)
 	}
 	if _, err := run("scenarios", bad); err == nil || !strings.Contains(err.Error(), "length_s: minimum") {
-		t.Errorf("a faulty file: %v", err)
+		t.Errorf("invalid file: %v", err)
 	}
 	if _, err := run("rehearse", "no-such-day"); !errors.Is(err, scenario.ErrUnknown) || exitCode(err) != 2 {
-		t.Errorf("a name that is none: %v", err)
+		t.Errorf("unknown name: %v", err)
 	}
 	for _, args := range [][]string{{"rehearse", "calm", "--gateways", "99"}, {"rehearse", "calm", "--length", "0"}, {"load", "calm"}, {"compare", "x"}} {
 		if _, err := run(args...); err == nil || exitCode(err) != 2 {
@@ -50,22 +50,22 @@
 	}
 }
 
-// Days of the bench are recorded in the repository; a day is no distance from
-// itself, and two lie apart.
-func TestCompareGivesAVerdict(t *testing.T) {
+// Recordings of benchmark runs are in the repository: the distance of one to itself
+// is 0, that of two exceeds the bound.
+func TestCompare_Verdict(t *testing.T) {
 	const calm, hang = "../../lab/record/days/calm-61.json", "../../lab/record/days/hang-42.json"
 	if out, err := run("compare", calm, calm, "--bound", "0.001"); err != nil || !strings.Contains(out, "within 0.001") {
 		t.Errorf("%s, %v", out, err)
 	}
-	if out, err := run("compare", calm, hang, "--bound", "0.01"); !errors.Is(err, errApart) || exitCode(err) != 1 || !strings.Contains(out, "send-order") {
+	if out, err := run("compare", calm, hang, "--bound", "0.01"); !errors.Is(err, errDistance) || exitCode(err) != 1 || !strings.Contains(out, "send-order") {
 		t.Errorf("%s, %v", out, err)
 	}
 	if _, err := run("compare", calm, "main.go"); !errors.Is(err, record.ErrFormat) {
-		t.Errorf("no recording: %v", err)
+		t.Errorf("a file that is not a recording: %v", err)
 	}
 }
 
-func TestRecordReadsLogs(t *testing.T) {
+func TestRecord_Logs(t *testing.T) {
 	dir := t.TempDir()
 	log, out := filepath.Join(dir, "n0.log"), filepath.Join(dir, "day.json")
 	text := "time=2026-12-01T17:18:05.050Z level=DEBUG msg=answer id=x class=case-chat kind=served ms=50 err=<nil>\n"
@@ -80,11 +80,11 @@
 	}
 }
 
-// A fleet's logs are counted by second and by engine; a folder without any is said to be.
-func TestFleetCountsLogs(t *testing.T) {
+// A fleet's logs are counted by second and by engine; a directory without logs is an error.
+func TestFleet_Logs(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := run("fleet", dir); err == nil || exitCode(err) != 2 || !strings.Contains(err.Error(), "*.log") {
-		t.Errorf("an empty folder: %v", err)
+		t.Errorf("empty directory: %v", err)
 	}
 	line := "time=2026-01-01T00:00:00Z level=DEBUG msg=probe engine=r1 kind=prefill status=1 ms=2\n"
 	if err := os.WriteFile(filepath.Join(dir, "n0.log"), []byte(line), 0o600); err != nil {
--- a/cmd/ashlab/rehearse.go
+++ b/cmd/ashlab/rehearse.go
@@ -41,7 +41,7 @@
 				s.Shorten(length)
 			}
 			if opt.Scenario, opt.Log = s, logger(); opt.Program == "" {
-				if opt.Program, err = beside("ashwood"); err != nil {
+				if opt.Program, err = siblingProgram("ashwood"); err != nil {
 					return err
 				}
 			}
@@ -53,18 +53,18 @@
 				defer os.RemoveAll(dir)
 				opt.Logs = dir
 			}
-			if terminal(os.Stderr) {
+			if isTerminal(os.Stderr) {
 				opt.Progress = func(p rehearse.Progress) {
-					fmt.Fprintf(os.Stderr, "\r%3.0f of %.0f s   %d of %d sent, %d answered   %d rules broken ", p.Seconds, p.Length, p.Sent, p.All, p.Done, p.Breaks)
+					fmt.Fprintf(os.Stderr, "\r%3.0f of %.0f s   %d of %d sent, %d answered   %d rules broken ", p.Seconds, p.Length, p.Sent, p.Total, p.Done, p.Violations)
 				}
 				defer fmt.Fprintln(os.Stderr)
 			}
-			rep, err := rehearse.Run(cmd.Context(), opt)
+			report, err := rehearse.Run(cmd.Context(), opt)
 			if err != nil {
 				return err
 			}
 			if out != "" {
-				if err := writeJSON(out, rep); err != nil {
+				if err := writeJSON(out, report); err != nil {
 					return err
 				}
 			}
@@ -73,14 +73,14 @@
 				if err != nil {
 					return err
 				}
-				if err := recordLogs(logs, rep.Scenario, fmt.Sprintf("a rehearsal, seed %d", rep.Seed), recording); err != nil {
+				if err := recordLogs(logs, report.Scenario, fmt.Sprintf("a rehearsal, seed %d", report.Seed), recording); err != nil {
 					return err
 				}
 			}
-			if err := rep.Print(cmd.OutOrStdout()); err != nil {
+			if err := report.Print(cmd.OutOrStdout()); err != nil {
 				return err
 			}
-			if !rep.OK() {
+			if !report.OK() {
 				return errBroken
 			}
 			return nil
@@ -110,8 +110,8 @@
 	return cmd
 }
 
-// beside finds a program in the folder of this one.
-func beside(name string) (string, error) {
+// siblingProgram returns the path of a program in this program's directory.
+func siblingProgram(name string) (string, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return "", err
@@ -133,7 +133,7 @@
 	return errors.Join(e.Encode(v), f.Close())
 }
 
-func terminal(f *os.File) bool {
+func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
--- a/cmd/ashlab/soak.go
+++ b/cmd/ashlab/soak.go
@@ -28,7 +28,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if opt.Program == "" {
 				var err error
-				if opt.Program, err = beside("ashwood"); err != nil {
+				if opt.Program, err = siblingProgram("ashwood"); err != nil {
 					return err
 				}
 			}
@@ -40,32 +40,32 @@
 			for range max(parallel, 1) {
 				all.Go(func() {
 					for seed := range next {
-						story, one := soak.Generate(seed, length), opt
+						faults, options := soak.Generate(seed, length), opt
 						switch {
 						case silence:
-							story = soak.GenerateSilence(seed, length)
+							faults = soak.GenerateSilence(seed, length)
 						case ending:
-							story = soak.GenerateTermination(seed, length)
+							faults = soak.GenerateTermination(seed, length)
 						}
 						if opt.Logs != "" {
-							one.Logs = filepath.Join(opt.Logs, fmt.Sprint(seed))
+							options.Logs = filepath.Join(opt.Logs, fmt.Sprint(seed))
 						}
-						rep, err := soak.Play(cmd.Context(), story, one)
+						report, err := soak.Play(cmd.Context(), faults, options)
 						mu.Lock()
 						switch {
 						case err != nil:
 							broken++
 							fmt.Fprintf(cmd.OutOrStdout(), "seed %d could not be played: %v\n", seed, err)
-						case !rep.OK():
+						case !report.OK():
 							broken++
-							fmt.Fprint(cmd.OutOrStdout(), rep)
+							fmt.Fprint(cmd.OutOrStdout(), report)
 						case script:
-							fmt.Fprint(cmd.OutOrStdout(), rep)
+							fmt.Fprint(cmd.OutOrStdout(), report)
 						default:
-							fmt.Fprintf(cmd.OutOrStdout(), "seed %d: rules kept; %+v\n", seed, rep.Counts)
+							fmt.Fprintf(cmd.OutOrStdout(), "seed %d: rules kept; %+v\n", seed, report.Counts)
 						}
-						if rep != nil {
-							sum.Add(rep.Counts)
+						if report != nil {
+							sum.Add(report.Counts)
 						}
 						mu.Unlock()
 					}
--- a/contract/contract_test.go
+++ b/contract/contract_test.go
@@ -107,13 +107,13 @@
 func ask(tg *Target, em *emulator.Emulator, plan *scenario.Plan, class int, id string, remaining float64) rules.Answer {
 	c := plan.Load.Classes[class]
 	t := load.Try{
-		Request: &load.Request{Class: class, Session: id, PromptTokens: 200, MaxOut: 30}, ID: id, Class: c, Remaining: remaining, Grace: 10000,
+		Request: &load.Request{Class: class, Session: id, PromptTokens: 200, MaxOutput: 30}, ID: id, Class: c, Remaining: remaining, Grace: 10000,
 	}
 	check := em.Rules()
 	out := tg.Client.Do(context.Background(), t, func() { check.Asked(0, id, c.Name, c.Effect == "side_effect", 0) })
 	check.Answered(out.End, id, out.Answer)
-	if out.Spoilt != "" {
-		check.Spoilt(out.End, id, out.Spoilt)
+	if out.Corrupted != "" {
+		check.Spoilt(out.End, id, out.Corrupted)
 	}
 	if out.Answer == rules.Timeout {
 		return rules.Error
--- a/contract/targets.go
+++ b/contract/targets.go
@@ -171,8 +171,8 @@
 	a, err := d.r.Do(ctx, &router.Request{
 		Method: http.MethodPost, Target: "/v1/chat/completions", Body: d.body.Body(t),
 		RequestInfo: ashwood.RequestInfo{
-			ID: ashwood.RequestID(t.ID), Class: t.Class.Name, Session: gateway.AffinityKey(t.Session), Prefix: gateway.AffinityKey(t.Shared),
-			PromptTokens: float64(t.PromptTokens), PrefixTokens: float64(t.SharedTokens), MaxOutputTokens: float64(t.MaxOut), Remaining: t.Remaining,
+			ID: ashwood.RequestID(t.ID), Class: t.Class.Name, Session: gateway.AffinityKey(t.Session), Prefix: gateway.AffinityKey(t.Prefix),
+			PromptTokens: float64(t.PromptTokens), PrefixTokens: float64(t.PrefixTokens), MaxOutputTokens: float64(t.MaxOutput), Remaining: t.Remaining,
 		},
 	})
 	var refused *router.RefusedError
@@ -194,9 +194,9 @@
 		text.Write(piece)
 	}
 	out.End = d.clock.Now()
-	out.Tokens, out.Spoilt = load.Check(t.ID, text.Bytes())
+	out.Tokens, out.Corrupted = load.CheckAnswer(t.ID, text.Bytes())
 	if out.Answer == rules.Broken {
-		out.Spoilt = ""
+		out.Corrupted = ""
 	}
 	return out
 }
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -142,9 +142,9 @@
 	for g := range cfg.Plan.Gateways {
 		views := make([]*view, 0, len(cfg.Plan.Engine.Boxes))
 		for _, b := range cfg.Plan.Engine.Boxes {
-			v := &view{gateway: g, spec: b, reads: kinds[b.Kind] == engine.Reads, oneWay: cfg.Plan.Network.SameMs}
+			v := &view{gateway: g, spec: b, reads: kinds[b.Kind] == engine.Reads, oneWay: cfg.Plan.Network.SameZoneMs}
 			if b.Zone != cfg.Plan.Zone(g) {
-				v.oneWay = cfg.Plan.Network.CrossMs
+				v.oneWay = cfg.Plan.Network.CrossZoneMs
 			}
 			views = append(views, v)
 			var err error
@@ -204,7 +204,7 @@
 	e.lists.Unlock()
 	e.driver.do(func(f *engine.Fleet) {
 		err = e.begin(f)
-		for _, fault := range e.plan.Boxes {
+		for _, fault := range e.plan.EngineFaults {
 			fault.At += e.began
 			err = errors.Join(err, f.Inject(fault))
 		}
@@ -222,7 +222,7 @@
 	}
 	for _, b := range e.plan.Engine.Boxes {
 		k := kinds[b.Kind]
-		left := k.MemoryTokens * e.plan.Fleet.ReadersBegin
+		left := k.MemoryTokens * e.plan.Fleet.WarmPrefixShare
 		for n, more := 0, k.Role == engine.Reads; more; n++ {
 			more = false
 			for class, c := range e.plan.Load.Classes {
--- a/lab/load/grpc.go
+++ b/lab/load/grpc.go
@@ -19,38 +19,38 @@
 
 // GRPC is a client of the gateway's gRPC front.
 type GRPC struct {
-	cc     *grpc.ClientConn
-	client ashwoodpb.InferenceClient
-	clock  clock.Clock
-	text   []byte
+	conn       *grpc.ClientConn
+	client     ashwoodpb.InferenceClient
+	clock      clock.Clock
+	promptText []byte
 }
 
-// NewGRPC makes a client of the gateway at an address.
+// NewGRPC returns a client of the gateway at an address.
 func NewGRPC(addr string, c clock.Clock) (*GRPC, error) {
-	cc, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry())
+	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry())
 	if err != nil {
 		return nil, fmt.Errorf("load: %s: %w", addr, err)
 	}
-	return &GRPC{cc: cc, client: ashwoodpb.NewInferenceClient(cc), clock: c, text: NewHTTP(addr, 1, c).text}, nil
+	return &GRPC{conn: conn, client: ashwoodpb.NewInferenceClient(conn), clock: c, promptText: NewHTTP(addr, 1, c).promptText}, nil
 }
 
-// Close ends the connection.
-func (g *GRPC) Close() { g.cc.Close() }
+// Close closes the connection.
+func (g *GRPC) Close() { g.conn.Close() }
 
-// Do sends a try.
-func (g *GRPC) Do(ctx context.Context, t Try, asked func()) (out Outcome) {
-	tctx, cancel := context.WithCancelCause(ctx)
+// Do sends a try and reads its answer.
+func (g *GRPC) Do(ctx context.Context, t Try, onSent func()) (out Outcome) {
+	tryCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	stop := g.clock.AfterFunc(t.Remaining+t.Grace, func() { cancel(errTimeout) })
 	defer stop()
-	check := checker{id: t.ID}
-	stream, err := g.client.Generate(tctx, &ashwoodpb.GenerateRequest{
-		RequestId: t.ID, Class: t.Class.Name, Session: t.Session, Prefix: t.Shared, PromptTokens: uint32(t.PromptTokens),
-		PrefixTokens: uint32(t.SharedTokens), MaxTokens: uint32(t.MaxOut), Resent: t.Retry, FirstTokenMs: uint32(t.Remaining),
-		Prompt: g.text[:min(4*t.PromptTokens, maxBody-4096)],
+	check := answerChecker{id: t.ID}
+	stream, err := g.client.Generate(tryCtx, &ashwoodpb.GenerateRequest{
+		RequestId: t.ID, Class: t.Class.Name, Session: t.Session, Prefix: t.Prefix, PromptTokens: uint32(t.PromptTokens),
+		PrefixTokens: uint32(t.PrefixTokens), MaxTokens: uint32(t.MaxOutput), Resent: t.Retry, FirstTokenMs: uint32(t.Remaining),
+		Prompt: g.promptText[:min(4*t.PromptTokens, maxBody-4096)],
 	})
 	if err == nil {
-		asked()
+		onSent()
 		for {
 			var piece *ashwoodpb.Token
 			if piece, err = stream.Recv(); err != nil {
@@ -60,11 +60,11 @@
 				stop()
 				out.First = g.clock.Now()
 			}
-			check.add(piece.GetText())
+			check.addText(piece.GetText())
 		}
 	}
-	out.End, out.Tokens, out.Spoilt = g.clock.Now(), check.tokens, check.spoilt
-	st := status.Convert(err)
+	out.End, out.Tokens, out.Corrupted = g.clock.Now(), check.tokens, check.corrupted
+	grpcStatus := status.Convert(err)
 	switch {
 	case errors.Is(err, io.EOF):
 		out.Answer = rules.Served
@@ -72,10 +72,10 @@
 		out.Answer = rules.Left
 	case out.First > 0:
 		out.Answer = rules.Broken
-	case errors.Is(context.Cause(tctx), errTimeout), st.Code() == codes.DeadlineExceeded:
+	case errors.Is(context.Cause(tryCtx), errTimeout), grpcStatus.Code() == codes.DeadlineExceeded:
 		out.Answer = rules.Timeout
-	case st.Code() == codes.ResourceExhausted, st.Code() == codes.Unavailable:
-		for _, d := range st.Details() {
+	case grpcStatus.Code() == codes.ResourceExhausted, grpcStatus.Code() == codes.Unavailable:
+		for _, d := range grpcStatus.Details() {
 			if info, ok := d.(*errdetails.RetryInfo); ok {
 				out.Answer, out.RetryAfter = rules.Refused, clock.Millis(info.GetRetryDelay().AsDuration())
 			}
--- a/lab/load/http.go
+++ b/lab/load/http.go
@@ -20,47 +20,47 @@
 	"ashwood.example/ashwood/lab/rules"
 )
 
-// silenceMs is how long a client waits for the next piece of a begun answer.
-const silenceMs = 30000.0
+// answerSilenceMs is for how long a client waits for the next part of an answer that has begun.
+const answerSilenceMs = 30000.0
 
 // HTTP is a client of the platform's protocol.
 type HTTP struct {
-	url   string
-	clock clock.Clock
-	http  *http.Transport
-	text  []byte // from which prompts are cut
+	url        string
+	clock      clock.Clock
+	transport  *http.Transport
+	promptText []byte // prompts are prefixes of it
 }
 
-// NewHTTP makes a client of the gateway at an address, with so many connections
-// at most; further tries wait for one.
+// NewHTTP returns a client of the gateway at an address that keeps at most the given
+// number of connections; further tries wait for one.
 func NewHTTP(addr string, connections int, c clock.Clock) *HTTP {
 	return &HTTP{
 		url: "http://" + addr + "/v1/chat/completions", clock: c,
-		http: &http.Transport{
+		transport: &http.Transport{
 			MaxConnsPerHost: connections, MaxIdleConnsPerHost: connections, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
 			DialContext: (&net.Dialer{Timeout: 2 * time.Second}).DialContext,
 		},
-		text: bytes.Repeat([]byte("a prompt's text, four letters a token. "), (maxBody+64)/39),
+		promptText: bytes.Repeat([]byte("a prompt's text, four letters a token. "), (maxBody+64)/39),
 	}
 }
 
-// maxBody is the most that the platform takes.
+// maxBody is the largest request body that the platform accepts, in bytes.
 const maxBody = 256 << 10
 
-// Close ends idle connections.
-func (h *HTTP) Close() { h.http.CloseIdleConnections() }
+// Close closes idle connections.
+func (h *HTTP) Close() { h.transport.CloseIdleConnections() }
 
-// Body is a request's JSON, with four characters for each token of its prompt.
+// Body returns a request's JSON, with four characters for each token of its prompt.
 func (h *HTTP) Body(t Try) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"metadata":{"class":%q,"session":%q,"prefix":%q,"prompt_len":%d,"prefix_len":%d},"model":"chat","stream":true,"max_tokens":%d,"messages":[`,
-		t.Class.Name, t.Session, t.Shared, t.PromptTokens, t.SharedTokens, t.MaxOut)
-	shared := min(4*t.SharedTokens, maxBody/2)
+		t.Class.Name, t.Session, t.Prefix, t.PromptTokens, t.PrefixTokens, t.MaxOutput)
+	shared := min(4*t.PrefixTokens, maxBody/2)
 	if shared > 0 {
-		fmt.Fprintf(&b, `{"role":"system","content":"%s"},`, h.text[:shared])
+		fmt.Fprintf(&b, `{"role":"system","content":"%s"},`, h.promptText[:shared])
 	}
 	b.WriteString(`{"role":"user","content":"`)
-	b.Write(h.text[:min(4*(t.PromptTokens-t.SharedTokens), maxBody/2-1024)])
+	b.Write(h.promptText[:min(4*(t.PromptTokens-t.PrefixTokens), maxBody/2-1024)])
 	b.WriteString(`"}]}`)
 	return b.Bytes()
 }
@@ -70,10 +70,10 @@
 	if err != nil {
 		return nil, err
 	}
-	req.GetBody = nil // nothing is sent again but by Do
-	labels := fmt.Sprintf("prompt_len=%d,prefix_len=%d,max_out=%d", t.PromptTokens, t.SharedTokens, t.MaxOut)
-	if t.Shared != "" {
-		labels = "prefix=" + t.Shared + "," + labels
+	req.GetBody = nil // only Do sends a request again
+	labels := fmt.Sprintf("prompt_len=%d,prefix_len=%d,max_out=%d", t.PromptTokens, t.PrefixTokens, t.MaxOutput)
+	if t.Prefix != "" {
+		labels = "prefix=" + t.Prefix + "," + labels
 	}
 	for name, value := range map[string]string{
 		"Content-Type": "application/json", "X-Txn": t.ID, "X-Lane": t.Class.Name, "X-Entity": t.Session, "X-Labels": labels,
@@ -84,17 +84,18 @@
 	return req, nil
 }
 
-// Do sends a try. A connection that the gateway closed just as the request was
-// written to it is replaced once, as the protocol has clients do.
-func (h *HTTP) Do(ctx context.Context, t Try, asked func()) Outcome {
+// Do sends a try and reads its answer. If the gateway closes an idle connection just
+// as the request is written to it, Do sends the request once more on another one, as
+// the protocol asks of clients.
+func (h *HTTP) Do(ctx context.Context, t Try, onSent func()) Outcome {
 	body := h.Body(t)
-	tctx, cancel := context.WithCancelCause(ctx)
+	tryCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	stop := h.clock.AfterFunc(t.Remaining+t.Grace, func() { cancel(errTimeout) })
-	var told atomic.Bool
-	once := func() {
-		if told.CompareAndSwap(false, true) {
-			asked()
+	var sent atomic.Bool
+	notifySent := func() {
+		if sent.CompareAndSwap(false, true) {
+			onSent()
 		}
 	}
 	var resp *http.Response
@@ -102,16 +103,16 @@
 	for range 2 {
 		reused, wrote := false, false
 		var req *http.Request
-		if req, err = h.request(httptrace.WithClientTrace(tctx, &httptrace.ClientTrace{
+		if req, err = h.request(httptrace.WithClientTrace(tryCtx, &httptrace.ClientTrace{
 			GotConn:      func(i httptrace.GotConnInfo) { reused = i.Reused },
-			WroteRequest: func(i httptrace.WroteRequestInfo) { wrote = i.Err == nil; once() },
+			WroteRequest: func(i httptrace.WroteRequestInfo) { wrote = i.Err == nil; notifySent() },
 		}), t, body); err != nil {
 			break
 		}
-		if resp, err = h.http.RoundTrip(req); err == nil || !reused || tctx.Err() != nil {
-			if err != nil && !wrote && tctx.Err() == nil {
+		if resp, err = h.transport.RoundTrip(req); err == nil || !reused || tryCtx.Err() != nil {
+			if err != nil && !wrote && tryCtx.Err() == nil {
 				stop()
-				return Outcome{End: h.clock.Now()} // no gateway there: it was never asked
+				return Outcome{End: h.clock.Now()} // no gateway at the address: the request was never sent
 			}
 			break
 		}
@@ -120,10 +121,10 @@
 	out := Outcome{End: h.clock.Now()}
 	if err != nil {
 		switch {
-		case !told.Load():
+		case !sent.Load():
 		case ctx.Err() != nil:
 			out.Answer = rules.Left
-		case !inTime || errors.Is(context.Cause(tctx), errTimeout):
+		case !inTime || errors.Is(context.Cause(tryCtx), errTimeout):
 			out.Answer = rules.Timeout
 		default:
 			out.Answer = rules.Dropped
@@ -133,7 +134,7 @@
 	defer resp.Body.Close()
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return h.stream(tctx, cancel, t, resp.Body)
+		return h.stream(tryCtx, cancel, t, resp.Body)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		out.Answer = rules.Refused
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
@@ -142,36 +143,36 @@
 	default:
 		out.Answer = rules.Error
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody)) // for the connection to be used again
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody)) // so that the connection can be reused
 	return out
 }
 
-var errTimeout = errors.New("load: the client's time is up")
+var errTimeout = errors.New("load: the client's timeout has expired")
 
-// stream reads an answer's events to their end.
+// stream reads the events of an answer to its end.
 func (h *HTTP) stream(ctx context.Context, cancel context.CancelCauseFunc, t Try, body io.Reader) (out Outcome) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 4096), 64<<10)
-	check := checker{id: t.ID}
+	check := answerChecker{id: t.ID}
 	for {
-		stop := h.clock.AfterFunc(silenceMs, func() { cancel(errTimeout) })
+		stop := h.clock.AfterFunc(answerSilenceMs, func() { cancel(errTimeout) })
 		more := lines.Scan()
 		stop()
 		if !more {
 			break
 		}
-		check.line(lines.Bytes())
+		check.addLine(lines.Bytes())
 		if out.First == 0 && check.tokens > 0 {
 			out.First = h.clock.Now()
 		}
 	}
-	out.End, out.Tokens, out.Spoilt = h.clock.Now(), check.tokens, check.spoilt
+	out.End, out.Tokens, out.Corrupted = h.clock.Now(), check.tokens, check.corrupted
 	switch err := lines.Err(); {
-	case err == nil && check.whole:
+	case err == nil && check.complete:
 		out.Answer = rules.Served
-	case err == nil: // the last chunk came, and the answer was not whole
+	case err == nil: // the last chunk arrived before the answer's end
 		out.Answer = rules.Served
-		out.Spoilt = "an answer that is not whole ended with the last chunk"
+		out.Corrupted = "an incomplete answer ended with the last chunk"
 	case errors.Is(context.Cause(ctx), context.Canceled):
 		out.Answer = rules.Left
 	default:
@@ -180,56 +181,59 @@
 	return out
 }
 
-// checker compares an answer's tokens with what its engine sent.
-type checker struct {
-	id     string
-	tokens int
-	spoilt string
-	whole  bool // its end has come
+// answerChecker compares an answer's tokens with those that its engine sent, which follow from the request's id.
+type answerChecker struct {
+	id        string
+	tokens    int
+	corrupted string
+	complete  bool // its end has been read
 }
 
-// Check compares a whole answer's text with what its engine sent, and counts its tokens.
-func Check(id string, text []byte) (tokens int, spoilt string) {
-	c := checker{id: id}
+// CheckAnswer compares the text of a whole answer with what its engine sent, and counts its tokens.
+// corrupted describes the first difference; "" = none.
+func CheckAnswer(id string, text []byte) (tokens int, corrupted string) {
+	c := answerChecker{id: id}
 	for line := range bytes.Lines(text) {
-		c.line(bytes.TrimSpace(line))
+		c.addLine(bytes.TrimSpace(line))
 	}
-	if !c.whole && c.spoilt == "" {
-		c.spoilt = "the answer is not whole"
+	if !c.complete && c.corrupted == "" {
+		c.corrupted = "the answer is incomplete"
 	}
-	return c.tokens, c.spoilt
+	return c.tokens, c.corrupted
 }
 
-// line takes in a line of an answer.
-func (c *checker) line(line []byte) {
+// addLine processes a line of an answer.
+func (c *answerChecker) addLine(line []byte) {
 	data, ok := bytes.CutPrefix(line, []byte("data: "))
 	if !ok {
 		return
 	}
 	if string(data) == "[DONE]" {
-		c.whole = true
+		c.complete = true
 		return
 	}
 	if _, rest, ok := bytes.Cut(data, []byte(`"content":"`)); ok {
 		text, _, _ := bytes.Cut(rest, []byte(`"`))
-		c.add(string(text))
+		c.addText(string(text))
 	}
 	if _, rest, ok := bytes.Cut(data, []byte(`"completion_tokens":`)); ok {
 		n, _, _ := bytes.Cut(rest, []byte(","))
-		c.told(string(n))
+		c.checkTokenCount(string(n))
 	}
 }
 
-func (c *checker) add(text string) {
+// addText compares the next tokens with those that the engine sent.
+func (c *answerChecker) addText(text string) {
 	n := len(text) / 4
-	if want := engine.Text(c.id, c.tokens, n); text != want && c.spoilt == "" {
-		c.spoilt = fmt.Sprintf("tokens from %d on are %.24q, the engine sent %.24q", c.tokens, text, want)
+	if want := engine.Text(c.id, c.tokens, n); text != want && c.corrupted == "" {
+		c.corrupted = fmt.Sprintf("tokens from %d on are %.24q, the engine sent %.24q", c.tokens, text, want)
 	}
 	c.tokens += n
 }
 
-func (c *checker) told(n string) {
-	if n = strings.TrimSpace(n); n != strconv.Itoa(c.tokens) && c.spoilt == "" {
-		c.spoilt = fmt.Sprintf("%d tokens came, the engine tells of %s", c.tokens, n)
+// checkTokenCount compares the engine's token count with the tokens received.
+func (c *answerChecker) checkTokenCount(n string) {
+	if n = strings.TrimSpace(n); n != strconv.Itoa(c.tokens) && c.corrupted == "" {
+		c.corrupted = fmt.Sprintf("%d tokens received, the engine reports %s", c.tokens, n)
 	}
 }
--- a/lab/load/plan.go
+++ b/lab/load/plan.go
@@ -1,6 +1,7 @@
-// Package load asks gateways for what a scenario's clients would. It is open
-// loop: all first tries are drawn ahead, a late answer never makes the next one
-// later, and latency counts from the time that was drawn.
+// Package load sends the requests of a scenario's clients to gateways and scores
+// the answers. It is open loop: all first tries are drawn in advance, a late answer
+// never delays the next request, and latency counts from the drawn time. It starts
+// no gateways and doesn't check the engines' side.
 package load
 
 import (
@@ -14,31 +15,31 @@
 	"ashwood.example/ashwood/lab/scenario"
 )
 
-// Request is a first try as it was drawn.
+// Request is a drawn request, before any retry.
 type Request struct {
-	At           float64 // ms from the begin
+	At           float64 // ms since the start of the run
 	Class        int     // index into the scenario's classes
 	Session      string
-	Shared       string // the beginning shared with other sessions, "" = none
+	Prefix       string // name of the prefix shared with other sessions, "" = none
 	PromptTokens int
-	SharedTokens int
-	OutTokens    int // the true length of its answer
-	MaxOut       int
-	Estimate     float64 // a rough guess of the answer's time in ms
+	PrefixTokens int
+	OutputTokens int // actual length of its answer
+	MaxOutput    int
+	Estimate     float64 // rough estimate of the answer's duration in ms
 	Zone         int
 	Worth        float64
 }
 
-// Limits of what is drawn.
+// Bounds of what is drawn.
 const (
-	maxContext = 32000
-	warmUpMs   = 120e3 // before the begin, from when on sessions are drawn
-	paceMs     = 25.0  // a token's time, for when a session's next turn comes
+	maxContext     = 32000
+	warmUpMs       = 120e3 // sessions are drawn from this long before the start on
+	assumedTokenMs = 25.0  // assumed time of a token, to place a session's next turn
 )
 
-// Draw gives all first tries of a scenario in order of their times.
+// Draw returns all requests of a scenario, ordered by time.
 func Draw(p *scenario.Plan) []Request {
-	d := drawer{p: p, r: rand.New(rand.NewPCG(p.Seed, 0x10ad))}
+	d := drawer{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0x10ad))}
 	length := p.LengthS * 1000
 	for i, c := range p.Load.Classes {
 		perMs := p.Load.RatePerS * c.Share / d.shares() / 1000
@@ -49,38 +50,39 @@
 			}
 		}
 	}
-	d.list = slices.DeleteFunc(d.list, func(r Request) bool { return r.At < 0 || r.At >= length })
-	slices.SortStableFunc(d.list, func(a, b Request) int { return cmp.Compare(a.At, b.At) })
-	return d.list
+	d.requests = slices.DeleteFunc(d.requests, func(r Request) bool { return r.At < 0 || r.At >= length })
+	slices.SortStableFunc(d.requests, func(a, b Request) int { return cmp.Compare(a.At, b.At) })
+	return d.requests
 }
 
+// drawer draws the requests of a plan. The order of its draws is fixed by the seed.
 type drawer struct {
-	p    *scenario.Plan
-	r    *rand.Rand
-	n    int
-	list []Request
-	rate map[int]float64 // of a second, against the mean
+	plan         *scenario.Plan
+	rng          *rand.Rand
+	sessionCount int
+	requests     []Request
+	secondRates  map[int]float64 // rate of each second relative to the mean
 }
 
 func (d *drawer) shares() (sum float64) {
-	for _, c := range d.p.Load.Classes {
+	for _, c := range d.plan.Load.Classes {
 		sum += c.Share
 	}
 	return sum
 }
 
-// second is how busy a second is against the mean, alike for all classes.
-func (d *drawer) second(at float64) float64 {
-	if d.rate == nil {
-		d.rate = map[int]float64{}
-		r := rand.New(rand.NewPCG(d.p.Seed, 0x5ec))
-		cv := d.p.Load.BurstCV
+// secondRate returns the rate of the second at a time relative to the mean, the same for all classes.
+func (d *drawer) secondRate(at float64) float64 {
+	if d.secondRates == nil {
+		d.secondRates = map[int]float64{}
+		r := rand.New(rand.NewPCG(d.plan.Seed, 0x5ec))
+		cv := d.plan.Load.BurstCV
 		sigma := math.Sqrt(math.Log(1 + cv*cv))
-		for s := -int(warmUpMs / 1000); s <= int(d.p.LengthS); s++ {
-			d.rate[s] = math.Exp(sigma*r.NormFloat64() - sigma*sigma/2)
+		for s := -int(warmUpMs / 1000); s <= int(d.plan.LengthS); s++ {
+			d.secondRates[s] = math.Exp(sigma*r.NormFloat64() - sigma*sigma/2)
 		}
 	}
-	if v, ok := d.rate[int(math.Floor(at/1000))]; ok {
+	if v, ok := d.secondRates[int(math.Floor(at/1000))]; ok {
 		return v
 	}
 	return 1
@@ -88,82 +90,82 @@
 
 // sessions draws a class's sessions and their turns.
 func (d *drawer) sessions(class int, perMs, from, to float64) {
-	const most = 6.0 // times the mean rate, above which a second is cut off
+	const maxRate = 6.0 // highest rate of a second, relative to the mean; higher ones are capped
 	for at := from; ; {
-		at += d.r.ExpFloat64() / (perMs * most)
+		at += d.rng.ExpFloat64() / (perMs * maxRate)
 		if at >= to {
 			return
 		}
-		if d.r.Float64()*most > d.second(at) {
+		if d.rng.Float64()*maxRate > d.secondRate(at) {
 			continue
 		}
 		turns := 1
-		for d.r.Float64() < 1-1/d.p.Load.Classes[class].Turns {
+		for d.rng.Float64() < 1-1/d.plan.Load.Classes[class].Turns {
 			turns++
 		}
 		d.session(class, at, turns, turns)
 	}
 }
 
-// burst draws what comes beyond the usual: requests of sessions that began before.
+// burst draws the additional requests of a burst: single turns of sessions that began before.
 func (d *drawer) burst(class int, perMs float64, w scenario.Window) {
 	for at := w.From; ; {
-		at += d.r.ExpFloat64() / perMs
+		at += d.rng.ExpFloat64() / perMs
 		if at >= w.To {
 			return
 		}
 		turns := 1
-		for d.r.Float64() < 1-1/d.p.Load.Classes[class].Turns {
+		for d.rng.Float64() < 1-1/d.plan.Load.Classes[class].Turns {
 			turns++
 		}
-		d.session(class, at, 1+d.r.IntN(turns), 1)
+		d.session(class, at, 1+d.rng.IntN(turns), 1)
 	}
 }
 
-// session draws turns, of which the last so many are asked for; the last of
-// them at a time, where one alone is.
-func (d *drawer) session(class int, at float64, turns, asked int) {
-	c := d.p.Load.Classes[class]
-	d.n++
-	s := Request{Class: class, Session: fmt.Sprintf("%08x%08x", d.p.Seed&0xffffffff, d.n), MaxOut: c.MaxOut, Zone: d.zone()}
-	if c.Prefixes > 0 && d.r.Float64() < c.PrefixShare {
-		k := zipf(d.r, c.Prefixes, c.PrefixZipf)
-		s.Shared, s.SharedTokens = d.p.Prefix(class, k)
+// session draws a session's turns and adds the last sent of them as requests. The
+// first request that is added comes at the given time.
+func (d *drawer) session(class int, at float64, turns, sent int) {
+	c := d.plan.Load.Classes[class]
+	d.sessionCount++
+	session := Request{Class: class, Session: fmt.Sprintf("%08x%08x", d.plan.Seed&0xffffffff, d.sessionCount), MaxOutput: c.MaxOutput, Zone: d.zone()}
+	if c.Prefixes > 0 && d.rng.Float64() < c.PrefixShare {
+		k := zipf(d.rng, c.Prefixes, c.PrefixZipf)
+		session.Prefix, session.PrefixTokens = d.plan.Prefix(class, k)
 	}
-	model := d.p.Engine.Classes[class]
-	text := s.SharedTokens
+	model := d.plan.Engine.Classes[class]
+	promptTokens := session.PrefixTokens
 	for turn := range turns {
-		text += d.tokens(c.NewTokens, c.NewSigma)
-		if text > maxContext {
+		promptTokens += d.tokens(c.NewTokens, c.NewSigma)
+		if promptTokens > maxContext {
 			return
 		}
-		r := s
-		r.At, r.PromptTokens = at, text
-		r.OutTokens = engine.AnswerTokens(d.p.Engine.Seed, model, r.Session, text, c.MaxOut)
-		r.Estimate = float64(r.OutTokens) * c.TokenMs * math.Exp(0.5*d.r.NormFloat64())
-		mean := c.PrefixTokens*c.PrefixShare + (c.NewTokens+c.OutTokens)*(c.Turns+1)/2
-		r.Worth = c.Worth * (float64(text)/max(1, mean) + float64(r.OutTokens)/max(1, c.OutTokens)) / 2
-		if turn >= turns-asked {
-			d.list = append(d.list, r)
-			at += 300 + float64(r.OutTokens)*paceMs + d.r.ExpFloat64()*c.ThinkMs
+		request := session
+		request.At, request.PromptTokens = at, promptTokens
+		request.OutputTokens = engine.AnswerTokens(d.plan.Engine.Seed, model, request.Session, promptTokens, c.MaxOutput)
+		request.Estimate = float64(request.OutputTokens) * c.TokenMs * math.Exp(0.5*d.rng.NormFloat64())
+		mean := c.PrefixTokens*c.PrefixShare + (c.NewTokens+c.OutputTokens)*(c.Turns+1)/2
+		request.Worth = c.Worth * (float64(promptTokens)/max(1, mean) + float64(request.OutputTokens)/max(1, c.OutputTokens)) / 2
+		if turn >= turns-sent {
+			d.requests = append(d.requests, request)
+			at += 300 + float64(request.OutputTokens)*assumedTokenMs + d.rng.ExpFloat64()*c.ThinkMs
 		}
-		text += r.OutTokens
+		promptTokens += request.OutputTokens
 	}
 }
 
 func (d *drawer) tokens(mean, sigma float64) int {
-	return max(1, int(math.Round(mean*math.Exp(sigma*d.r.NormFloat64()-sigma*sigma/2))))
+	return max(1, int(math.Round(mean*math.Exp(sigma*d.rng.NormFloat64()-sigma*sigma/2))))
 }
 
 func (d *drawer) zone() int {
-	at := d.r.Float64()
-	for i, share := range d.p.Load.ZoneShares {
-		if at < share {
+	draw := d.rng.Float64()
+	for i, share := range d.plan.Load.ZoneShares {
+		if draw < share {
 			return i
 		}
-		at -= share
+		draw -= share
 	}
-	return len(d.p.Load.ZoneShares) - 1
+	return len(d.plan.Load.ZoneShares) - 1
 }
 
 // zipf draws an index below n with weights falling as 1/(i+1)^s.
@@ -181,13 +183,13 @@
 	return n - 1
 }
 
-// Deadline is how long in ms a client waits for the first token, over all its
-// tries; it grows with the prompt, twice as much as the aim.
+// Deadline returns for how long in ms a client waits for the first token, over all
+// its tries; it grows with the prompt, at twice the rate of the aim.
 func Deadline(c scenario.Class, r Request) float64 {
-	return c.DeadlineMs + 2*c.AimMsPerK*float64(r.PromptTokens)/1000
+	return c.DeadlineMs + 2*c.AimMsPerKTokens*float64(r.PromptTokens)/1000
 }
 
-// Aim is the time in ms within which the first token earns the whole worth.
+// Aim returns the time in ms within which the first token earns the full worth.
 func Aim(c scenario.Class, r Request) float64 {
-	return c.AimMs + c.AimMsPerK*float64(r.PromptTokens)/1000
+	return c.AimMs + c.AimMsPerKTokens*float64(r.PromptTokens)/1000
 }
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -14,68 +14,68 @@
 	"ashwood.example/ashwood/lab/scenario"
 )
 
-// Try is one sending of a request to a gateway.
+// Try is one sending of a request to a gateway: the first or a retry.
 type Try struct {
 	*Request
 	ID        string
 	Class     scenario.Class
-	Remaining float64 // ms that the client says it will wait for the first token
-	Grace     float64 // and for how much longer it does
+	Remaining float64 // ms that the client announces to wait for the first token
+	Grace     float64 // ms that it waits beyond that
 	Retry     bool
 }
 
-// Outcome is what a client saw of a try.
+// Outcome is what a client observed of a try.
 type Outcome struct {
 	Answer     rules.Answer
 	First      float64 // time of the first token on the clock; 0 = none
 	End        float64
 	Tokens     int
 	RetryAfter float64 // ms, with a refusal
-	Spoilt     string  // what came that no engine sent
+	Corrupted  string  // how the answer differs from what the engine sent; "" = it doesn't
 }
 
 // Client sends tries to one gateway and reads their answers.
 type Client interface {
-	// Do sends a try. Asked is called once it is written whole. Canceling ctx is
-	// the client's leaving.
-	Do(ctx context.Context, t Try, asked func()) Outcome
+	// Do sends a try and reads its answer. It calls onSent once the try is written
+	// whole. Canceling ctx simulates a client that closes its connection.
+	Do(ctx context.Context, t Try, onSent func()) Outcome
 	Close()
 }
 
-// Watch is told of each try; rules.Checker is one.
+// Watch is notified of each try and its outcome; rules.Checker implements it.
 type Watch interface {
 	Asked(at float64, id, class string, sideEffect bool, gateway int)
 	Answered(at float64, id string, a rules.Answer)
 	Spoilt(at float64, id, what string)
 }
 
-// Runner sends a plan's load.
+// Runner sends the load of a plan.
 type Runner struct {
 	Plan     *scenario.Plan
 	Clients  []Client // by gateway
 	Clock    clock.Clock
 	Watch    Watch
-	Progress func(sent, done int) // called now and then; may be nil
+	Progress func(sent, done int) // called after each request; may be nil
 }
 
 // Run sends all requests at their times, counted from begin on the clock, and
-// waits for their answers. When ctx ends, nothing more is sent and what is out
-// is given up.
-func (r *Runner) Run(ctx context.Context, begin float64, list []Request) ([]Result, *Summary) {
-	results := make([]Result, len(list))
-	var all sync.WaitGroup
+// waits for their answers. When ctx ends, no more requests are sent and those in
+// flight are canceled.
+func (r *Runner) Run(ctx context.Context, begin float64, requests []Request) ([]Result, *Summary) {
+	results := make([]Result, len(requests))
+	var running sync.WaitGroup
 	var mu sync.Mutex
 	done := 0
-	lag := hdrhistogram.New(1, int64(maxUs), 3)
+	lag := hdrhistogram.New(1, int64(maxLatencyUs), 3)
 	sent := 0
-	for i := range list {
-		if wait(ctx, r.Clock, begin+list[i].At) != nil {
+	for i := range requests {
+		if waitUntil(ctx, r.Clock, begin+requests[i].At) != nil {
 			break
 		}
-		record(lag, r.Clock.Now()-begin-list[i].At)
+		recordMs(lag, r.Clock.Now()-begin-requests[i].At)
 		sent++
-		all.Go(func() {
-			results[i] = r.request(ctx, begin, &list[i], i)
+		running.Go(func() {
+			results[i] = r.runRequest(ctx, begin, &requests[i], i)
 			mu.Lock()
 			done++
 			n := done
@@ -85,106 +85,106 @@
 			}
 		})
 	}
-	all.Wait()
+	running.Wait()
 	results = results[:sent]
-	s := Summarize(r.Plan, results)
-	s.IntendedLag = float64(lag.ValueAtQuantile(99)) / 1000
-	return results, s
+	summary := Summarize(r.Plan, results)
+	summary.SendLagP99Ms = float64(lag.ValueAtQuantile(99)) / 1000
+	return results, summary
 }
 
-// request takes a first try and its retries to their end.
-func (r *Runner) request(ctx context.Context, begin float64, req *Request, n int) Result {
-	rng := rand.New(rand.NewPCG(r.Plan.Seed, uint64(n)|1<<40))
-	class, l := r.Plan.Load.Classes[req.Class], r.Plan.Load
-	due := begin + req.At
-	deadline := due + Deadline(class, *req)
-	res := Result{Request: *req, Kind: Failed}
-	gateway := r.gateway(req.Zone, n)
-	backoff := l.BackoffMs
-	for res.Tries <= l.Retries {
+// runRequest sends a request and its retries and returns the result.
+func (r *Runner) runRequest(ctx context.Context, begin float64, request *Request, index int) Result {
+	rng := rand.New(rand.NewPCG(r.Plan.Seed, uint64(index)|1<<40))
+	class, load := r.Plan.Load.Classes[request.Class], r.Plan.Load
+	scheduled := begin + request.At
+	deadline := scheduled + Deadline(class, *request)
+	result := Result{Request: *request, Kind: Failed}
+	gateway := r.pickGateway(request.Zone, index)
+	backoff := load.BackoffMs
+	for result.Tries <= load.Retries {
 		now := r.Clock.Now()
-		left := min(l.TryShare*Deadline(class, *req), deadline-now)
-		if left <= 0 || ctx.Err() != nil {
+		remaining := min(load.TryShare*Deadline(class, *request), deadline-now)
+		if remaining <= 0 || ctx.Err() != nil {
 			break
 		}
-		t := Try{Request: req, ID: fmt.Sprintf("%016x", rng.Uint64()), Class: class, Remaining: left, Retry: res.Tries > 0}
-		res.Tries++
-		tctx, cancel := context.WithCancel(ctx)
+		t := Try{Request: request, ID: fmt.Sprintf("%016x", rng.Uint64()), Class: class, Remaining: remaining, Retry: result.Tries > 0}
+		result.Tries++
+		tryCtx, cancel := context.WithCancel(ctx)
 		stop := func() bool { return false }
-		if rng.Float64() < l.Impatient {
-			stop = r.Clock.AfterFunc(left*rng.Float64(), cancel)
+		if rng.Float64() < load.EarlyCloseShare {
+			stop = r.Clock.AfterFunc(remaining*rng.Float64(), cancel)
 		}
-		out := r.Clients[gateway].Do(tctx, t, func() {
+		outcome := r.Clients[gateway].Do(tryCtx, t, func() {
 			r.Watch.Asked(r.Clock.Now(), t.ID, class.Name, class.Effect == "side_effect", gateway)
 		})
 		stop()
 		cancel()
-		if out.Answer != "" {
-			r.Watch.Answered(out.End, t.ID, out.Answer)
+		if outcome.Answer != "" {
+			r.Watch.Answered(outcome.End, t.ID, outcome.Answer)
 		}
-		if out.Spoilt != "" {
-			r.Watch.Spoilt(out.End, t.ID, out.Spoilt)
+		if outcome.Corrupted != "" {
+			r.Watch.Spoilt(outcome.End, t.ID, outcome.Corrupted)
 		}
-		res.Tokens, res.Total = out.Tokens, out.End-due
-		if out.First > 0 {
-			res.First = max(out.First-due, math.SmallestNonzeroFloat64)
+		result.Tokens, result.Total = outcome.Tokens, outcome.End-scheduled
+		if outcome.First > 0 {
+			result.First = max(outcome.First-scheduled, math.SmallestNonzeroFloat64)
 		}
-		again := false
-		switch out.Answer {
+		retry := false
+		switch outcome.Answer {
 		case rules.Served:
-			judge(class, &res)
+			scoreAnswer(class, &result)
 		case rules.Refused:
-			res.Kind, again = Refused, true
+			result.Kind, retry = Refused, true
 		case rules.Timeout:
-			res.Kind, again = Timeout, class.Effect != "side_effect"
+			result.Kind, retry = Timeout, class.Effect != "side_effect"
 		case rules.Broken:
-			res.Kind = Broken
+			result.Kind = Broken
 		case rules.Left:
-			res.Kind = Left
-		default: // failed, dropped, or no gateway there
-			res.Kind, again = Failed, out.Answer == "" || class.Effect != "side_effect"
+			result.Kind = Left
+		default: // failed, dropped, or no gateway at the address
+			result.Kind, retry = Failed, outcome.Answer == "" || class.Effect != "side_effect"
 		}
-		if !again {
+		if !retry {
 			break
 		}
 		pause := backoff * (0.5 + rng.Float64())
 		backoff *= 2
-		if out.RetryAfter > 0 && rng.Float64() < l.Honour {
-			pause = out.RetryAfter
+		if outcome.RetryAfter > 0 && rng.Float64() < load.HonourShare {
+			pause = outcome.RetryAfter
 		}
-		if wait(ctx, r.Clock, r.Clock.Now()+pause) != nil {
+		if waitUntil(ctx, r.Clock, r.Clock.Now()+pause) != nil {
 			break
 		}
-		gateway = r.gateway(req.Zone, n+res.Tries)
+		gateway = r.pickGateway(request.Zone, index+result.Tries)
 	}
-	return res
+	return result
 }
 
-// gateway deals requests out over the gateways of a zone, or over all where the
-// zone has none.
-func (r *Runner) gateway(zone, n int) int {
-	var here []int
+// pickGateway distributes requests in turn over the gateways of a zone, or over all
+// gateways if the zone has none.
+func (r *Runner) pickGateway(zone, n int) int {
+	var inZone []int
 	for g := range r.Clients {
 		if g%len(r.Plan.Fleet.Zones) == zone {
-			here = append(here, g)
+			inZone = append(inZone, g)
 		}
 	}
-	if len(here) == 0 {
+	if len(inZone) == 0 {
 		return n % len(r.Clients)
 	}
-	return here[n%len(here)]
+	return inZone[n%len(inZone)]
 }
 
-// wait sleeps until a time on the clock.
-func wait(ctx context.Context, c clock.Clock, at float64) error {
-	left := at - c.Now()
-	if left <= 0 {
+// waitUntil sleeps until a time on the clock.
+func waitUntil(ctx context.Context, c clock.Clock, at float64) error {
+	remaining := at - c.Now()
+	if remaining <= 0 {
 		return ctx.Err()
 	}
-	due := make(chan struct{})
-	stop := c.AfterFunc(left, func() { close(due) })
+	reached := make(chan struct{})
+	stop := c.AfterFunc(remaining, func() { close(reached) })
 	select {
-	case <-due:
+	case <-reached:
 		return nil
 	case <-ctx.Done():
 		stop()
--- a/lab/news/news.go
+++ b/lab/news/news.go
@@ -68,7 +68,7 @@
 // New makes discovery with agents that know all boxes as up.
 func New(p *scenario.Plan, begin float64) *Lists {
 	l := &Lists{
-		cfg: p.Discovery, windows: p.Lists, begin: begin, rng: rand.New(rand.NewPCG(p.Seed, 0x11575)), version: 1,
+		cfg: p.Discovery, windows: p.DiscoveryFaults, begin: begin, rng: rand.New(rand.NewPCG(p.Seed, 0x11575)), version: 1,
 		known: map[string]Entry{}, index: map[string]int{}, lied: map[int]bool{},
 	}
 	for i, b := range p.Engine.Boxes {
@@ -88,12 +88,12 @@
 // Box tells that a box's condition has changed. The list learns of it late.
 func (l *Lists) Box(now float64, box engine.BoxSpec, c engine.Condition, started float64) {
 	e := Entry{Box: box, Lifecycle: Up, Started: max(started, 0)}
-	delay := l.draw(l.cfg.AddMs)
+	delay := l.draw(l.cfg.ChangeNoticeMs)
 	switch {
 	case c.State == engine.Silent:
-		e.Lifecycle, delay = Removed, l.draw(l.cfg.SilentNoticeMs)
+		e.Lifecycle, delay = Removed, l.draw(l.cfg.SilenceNoticeMs)
 	case c.State == engine.Down:
-		e.Lifecycle, delay = Removed, l.draw(l.cfg.NoticeMs)
+		e.Lifecycle, delay = Removed, l.draw(l.cfg.CrashNoticeMs)
 	case c.Draining:
 		e.Lifecycle = Draining
 	}
@@ -124,7 +124,7 @@
 		at, ok = l.due[0].at, true
 	}
 	for i, w := range l.windows {
-		if w.Kind != scenario.ListContradicts || l.lied[i] {
+		if w.Kind != scenario.DiscoveryContradicts || l.lied[i] {
 			continue
 		}
 		if from := l.begin + w.From; !ok || from < at {
@@ -144,7 +144,7 @@
 // Advance carries the news that is due, and gives what agents got by it.
 func (l *Lists) Advance(now float64) (got []Told) {
 	for i, w := range l.windows {
-		if w.Kind == scenario.ListContradicts && !l.lied[i] && now >= l.begin+w.From {
+		if w.Kind == scenario.DiscoveryContradicts && !l.lied[i] && now >= l.begin+w.From {
 			l.lied[i] = true
 			l.lie(w)
 		}
@@ -182,7 +182,7 @@
 	for i := range l.agents {
 		at := p.at + l.rng.Float64()*l.cfg.SpreadMs
 		for _, w := range l.windows {
-			if w.Kind == scenario.ListLate && l.hits(w, i) && w.On(p.at-l.begin) {
+			if w.Kind == scenario.DiscoveryLate && l.hits(w, i) && w.Contains(p.at-l.begin) {
 				at += w.Factor
 			}
 		}
@@ -222,7 +222,7 @@
 // Silent tells whether an agent does not answer at a time.
 func (l *Lists) Silent(now float64, agent int) bool {
 	for _, w := range l.windows {
-		if w.Kind == scenario.ListSilent && l.hits(w, agent) && w.On(now-l.begin) {
+		if w.Kind == scenario.DiscoverySilent && l.hits(w, agent) && w.Contains(now-l.begin) {
 			return true
 		}
 	}
--- a/lab/rehearse/build.go
+++ b/lab/rehearse/build.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 )
 
-// WithDaemon builds the daemon into a folder of its own, calls use with the
-// program's path, and removes it. It is for tests that start the daemon.
+// WithDaemon builds the gateway's binary into a temporary directory, calls use with
+// its path, and removes it. It is for tests that start gateways.
 func WithDaemon(use func(program string) int) (code int, err error) {
 	dir, err := os.MkdirTemp("", "ashwood")
 	if err != nil {
--- a/lab/rehearse/gateways.go
+++ b/lab/rehearse/gateways.go
@@ -1,5 +1,6 @@
-// Package rehearse plays a scenario: it starts an emulator, gateways as they run
-// in service, and a load, and reports how they served and which rules broke.
+// Package rehearse runs a scenario: it starts an emulator, real gateway processes and
+// a load, and reports how requests were served and which rules were broken. Scenarios,
+// the emulator, the load and the rules are packages of their own.
 package rehearse
 
 import (
@@ -25,50 +26,50 @@
 	"ashwood.example/ashwood/lab/scenario"
 )
 
-// gateway is a running process of the daemon.
+// gateway is a running gateway process.
 type gateway struct {
-	cmd    *exec.Cmd
-	listen string // its address for HTTP/1.1
-	grpc   string // and for gRPC, "" without
-	waited chan struct{}
-	err    error // of its end
-	closed func() error
+	cmd      *exec.Cmd
+	listen   string // address of its HTTP/1.1 front
+	grpc     string // address of its gRPC front, "" = none
+	exited   chan struct{}
+	exitErr  error // of its exit; valid once exited is closed
+	closeLog func() error
 }
 
-// serving is what the daemon logs once it listens.
-var serving = regexp.MustCompile(`msg=serving\b`)
+// servingLine matches the line that a gateway logs once it listens.
+var servingLine = regexp.MustCompile(`msg=serving\b`)
 
-var addresses = regexp.MustCompile(`\b(grpc|listen)=(\S+)`)
+var listenAddresses = regexp.MustCompile(`\b(grpc|listen)=(\S+)`)
 
-// launch is all that starting a gateway needs.
-type launch struct {
-	program string
-	dir     string // for its configuration
-	logs    string // folder for its log, "" = none
-	plan    *scenario.Plan
-	em      *emulator.Emulator
-	grpc    bool
-	limits  Limits
+// launcher holds everything needed to start gateways.
+type launcher struct {
+	program  string
+	dir      string // for configurations
+	logs     string // directory for logs, "" = none
+	plan     *scenario.Plan
+	emulator *emulator.Emulator
+	grpc     bool
+	limits   Limits
 }
 
-// Limits are what a gateway's machine allows it.
+// Limits are the resource limits in a gateway's configuration.
 type Limits struct {
 	Cores    float64
 	MemoryMB float64
 	Sockets  int
 }
 
-// start runs one gateway until it serves.
-func (l launch) start(ctx context.Context, n int) (*gateway, error) {
+// start starts one gateway and waits until it serves.
+func (l launcher) start(ctx context.Context, n int) (*gateway, error) {
 	name := fmt.Sprintf("n%d", n)
-	config, err := l.configure(n, name)
+	config, err := l.writeConfig(n, name)
 	if err != nil {
 		return nil, err
 	}
-	g := &gateway{cmd: exec.Command(l.program), waited: make(chan struct{}), closed: func() error { return nil }}
+	g := &gateway{cmd: exec.Command(l.program), exited: make(chan struct{}), closeLog: func() error { return nil }}
 	g.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config)
 	if l.grpc {
-		operator, err := l.operator(n, name)
+		operator, err := l.writeOperatorFile(n, name)
 		if err != nil {
 			return nil, err
 		}
@@ -80,7 +81,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("rehearse: %w", err)
 		}
-		log, g.closed = f, f.Close
+		log, g.closeLog = f, f.Close
 		g.cmd.Env = append(g.cmd.Env, "ASHWOOD_LOG=debug")
 	}
 	out, err := g.cmd.StderrPipe()
@@ -91,11 +92,11 @@
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
 	served := make(chan struct{})
-	go g.follow(out, log, served)
+	go g.copyLog(out, log, served)
 	select {
 	case <-served:
-	case <-g.waited:
-		return nil, fmt.Errorf("rehearse: %s ended before it served: %w", name, errors.Join(g.err, errEnded))
+	case <-g.exited:
+		return nil, fmt.Errorf("rehearse: %s exited before it served: %w", name, errors.Join(g.exitErr, errExited))
 	case <-ctx.Done():
 		g.kill()
 		return nil, fmt.Errorf("rehearse: %s: %w", name, context.Cause(ctx))
@@ -109,16 +110,16 @@
 	return g, nil
 }
 
-var errEnded = errors.New("the process has ended")
+var errExited = errors.New("the process has exited")
 
-// follow copies a gateway's log, and waits for the process behind its end.
-func (g *gateway) follow(out io.Reader, log io.Writer, served chan struct{}) {
+// copyLog copies a gateway's log, finds its addresses in it, and waits for the process to exit.
+func (g *gateway) copyLog(out io.Reader, log io.Writer, served chan struct{}) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(make([]byte, 0, 64<<10), 1<<20)
 	for lines.Scan() {
 		fmt.Fprintln(log, lines.Text())
-		if g.listen == "" && serving.Match(lines.Bytes()) {
-			for _, m := range addresses.FindAllStringSubmatch(lines.Text(), -1) {
+		if g.listen == "" && servingLine.Match(lines.Bytes()) {
+			for _, m := range listenAddresses.FindAllStringSubmatch(lines.Text(), -1) {
 				if m[1] == "grpc" {
 					g.grpc = m[2]
 				} else {
@@ -128,22 +129,22 @@
 			close(served)
 		}
 	}
-	_, _ = io.Copy(log, out) // what a line too long has left
-	g.err = errors.Join(g.cmd.Wait(), g.closed())
-	close(g.waited)
+	_, _ = io.Copy(log, out) // the remainder if the scanner stopped at a line that is too long
+	g.exitErr = errors.Join(g.cmd.Wait(), g.closeLog())
+	close(g.exited)
 }
 
-// configure writes a gateway's configuration in the platform's form.
-func (l launch) configure(n int, name string) (path string, err error) {
+// writeConfig writes a gateway's configuration in the platform's format.
+func (l launcher) writeConfig(n int, name string) (path string, err error) {
 	type object = map[string]any
 	var known []object
-	for _, b := range l.em.Boxes(n) {
+	for _, b := range l.emulator.Boxes(n) {
 		known = append(known, object{
 			"instanceId": b.ID, "hostPort": b.HTTP, "zone": b.Zone, "machineType": b.Kind, "cell": b.Cell, "lifecycle": "up", "weight": 1, "startedAtMs": 0,
 		})
 	}
 	raw, err := json.Marshal(object{
-		"name": name, "listen": "127.0.0.1:0", "discovery": l.em.Discovery(n), "seed": strconv.FormatUint(l.plan.Seed+uint64(n), 16),
+		"name": name, "listen": "127.0.0.1:0", "discovery": l.emulator.Discovery(n), "seed": strconv.FormatUint(l.plan.Seed+uint64(n), 16),
 		"limits":   object{"cores": l.limits.Cores, "memory_mb": l.limits.MemoryMB, "sockets": l.limits.Sockets},
 		"known":    object{"generation": 1, "reset": true, "instances": known},
 		"settings": l.plan.Settings(n),
@@ -158,28 +159,28 @@
 	return path, nil
 }
 
-// operator writes the operator's file that sets up a gateway's gRPC front.
-func (l launch) operator(n int, name string) (path string, err error) {
-	var boxes []map[string]any
-	for _, b := range l.em.Boxes(n) {
-		boxes = append(boxes, map[string]any{"id": b.ID, "address": b.GRPC, "kind": b.Kind, "zone": b.Zone, "cell": b.Cell})
+// writeOperatorFile writes the operator's file, which configures a gateway's gRPC front.
+func (l launcher) writeOperatorFile(n int, name string) (path string, err error) {
+	var engines []map[string]any
+	for _, b := range l.emulator.Boxes(n) {
+		engines = append(engines, map[string]any{"id": b.ID, "address": b.GRPC, "kind": b.Kind, "zone": b.Zone, "cell": b.Cell})
 	}
 	path = filepath.Join(l.dir, name+".toml")
 	f, err := os.Create(path)
 	if err != nil {
 		return "", fmt.Errorf("rehearse: %w", err)
 	}
-	err = toml.NewEncoder(f).Encode(map[string]any{"grpc": map[string]any{"listen": "127.0.0.1:0", "boxes": boxes}})
+	err = toml.NewEncoder(f).Encode(map[string]any{"grpc": map[string]any{"listen": "127.0.0.1:0", "boxes": engines}})
 	if err := errors.Join(err, f.Close()); err != nil {
 		return "", fmt.Errorf("rehearse: %w", err)
 	}
 	return path, nil
 }
 
-// ended tells whether the process has ended by itself.
-func (g *gateway) ended() bool {
+// hasExited reports whether the process has exited.
+func (g *gateway) hasExited() bool {
 	select {
-	case <-g.waited:
+	case <-g.exited:
 		return true
 	default:
 		return false
@@ -187,39 +188,39 @@
 }
 
 func (g *gateway) kill() {
-	_ = g.cmd.Process.Kill() // it may have ended
-	<-g.waited
+	_ = g.cmd.Process.Kill() // the process may have exited
+	<-g.exited
 }
 
-// stopWait is how long a gateway may take to end after SIGTERM.
-const stopWait = 30 * time.Second
+// stopTimeout is how long a gateway may take to exit after SIGTERM.
+const stopTimeout = 30 * time.Second
 
-// stop ends gateways as a planned restart does, and gives the errors of those
-// that crashed before, or did not end in order.
-func stop(list []*gateway) (errs []string) {
+// stopAll stops gateways as a planned restart does, and describes those that had
+// crashed before or did not exit cleanly.
+func stopAll(gateways []*gateway) (errs []string) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	for i, g := range list {
+	for i, g := range gateways {
 		all.Go(func() {
-			text := ""
-			if g.ended() {
-				text = fmt.Sprintf("gateway %d crashed: %v", i, g.err)
+			problem := ""
+			if g.hasExited() {
+				problem = fmt.Sprintf("gateway %d crashed: %v", i, g.exitErr)
 			} else {
-				_ = g.cmd.Process.Signal(syscall.SIGTERM) // if it has just ended, its error tells
+				_ = g.cmd.Process.Signal(syscall.SIGTERM) // if it has just exited, exitErr says so
 				select {
-				case <-g.waited:
-					if g.err != nil {
-						text = fmt.Sprintf("gateway %d ended with %v", i, g.err)
+				case <-g.exited:
+					if g.exitErr != nil {
+						problem = fmt.Sprintf("gateway %d exited with %v", i, g.exitErr)
 					}
-				case <-time.After(stopWait):
+				case <-time.After(stopTimeout):
 					g.kill()
-					text = fmt.Sprintf("gateway %d did not end within %s of SIGTERM", i, stopWait)
+					problem = fmt.Sprintf("gateway %d did not exit within %s of SIGTERM", i, stopTimeout)
 				}
 			}
-			if text != "" {
+			if problem != "" {
 				mu.Lock()
 				defer mu.Unlock()
-				errs = append(errs, text)
+				errs = append(errs, problem)
 			}
 		})
 	}
--- a/lab/rehearse/rehearse.go
+++ b/lab/rehearse/rehearse.go
@@ -15,60 +15,60 @@
 	"ashwood.example/ashwood/lab/scenario"
 )
 
-// Options say how a scenario is played.
+// Options configure a rehearsal.
 type Options struct {
 	Scenario *scenario.Scenario
-	Gateways int          // 0 = as the scenario says
-	Program  string       // the built daemon
-	GRPC     bool         // clients and boxes speak gRPC, not HTTP/1.1; the boxes' list is static
-	Logs     string       // folder for the gateways' debug logs, "" = none
+	Gateways int          // 0 = the scenario's number
+	Program  string       // path of the gateway's binary
+	GRPC     bool         // clients and engines speak gRPC instead of HTTP/1.1; the membership is static
+	Logs     string       // directory for the gateways' debug logs, "" = none
 	Limits   Limits       // zero = the platform's largest
 	Rules    rules.Limits // zero = the platform's
 	Log      *slog.Logger
 	Progress func(Progress) // called about once a second; may be nil
 }
 
-// Progress tells how far a rehearsal is.
+// Progress is the progress of a rehearsal.
 type Progress struct {
-	Seconds, Length float64
-	Sent, Done, All int
-	Breaks          int
+	Seconds, Length   float64
+	Sent, Done, Total int
+	Violations        int
 }
 
-// Report is all that a rehearsal found.
+// Report is the result of a rehearsal.
 type Report struct {
-	Scenario string         `json:"scenario"`
-	Seed     uint64         `json:"seed"`
-	Gateways int            `json:"gateways"`
-	Boxes    int            `json:"boxes"`
-	Wire     string         `json:"wire"`
-	LengthS  float64        `json:"length_s"`
-	Summary  *load.Summary  `json:"summary"`
-	Counts   rules.Counts   `json:"counts"`
-	Breaks   []rules.Break  `json:"breaks"`
-	Crashes  []string       `json:"crashes"`
-	Held     int            `json:"held_at_end"`
-	Emulator emulator.Stats `json:"emulator"`
-	Usage    []Usage        `json:"gateways_used"`
-	Own      Usage          `json:"lab_used"` // by the emulator and the load
-	begun    float64
+	Scenario     string         `json:"scenario"`
+	Seed         uint64         `json:"seed"`
+	Gateways     int            `json:"gateways"`
+	Engines      int            `json:"boxes"`
+	Wire         string         `json:"wire"`
+	LengthS      float64        `json:"length_s"`
+	Summary      *load.Summary  `json:"summary"`
+	Counts       rules.Counts   `json:"counts"`
+	Violations   []rules.Break  `json:"breaks"`
+	Crashes      []string       `json:"crashes"`
+	HoldsAtEnd   int            `json:"held_at_end"`
+	Emulator     emulator.Stats `json:"emulator"`
+	GatewayUsage []Usage        `json:"gateways_used"`
+	LabUsage     Usage          `json:"lab_used"` // this process: the emulator and the load
+	startMs      float64
 }
 
-// Usage is what a gateway's process has used.
+// Usage is the CPU time and memory that a process has used.
 type Usage struct {
 	CPUSeconds float64 `json:"cpu_s"`
 	MaxRSSMB   float64 `json:"max_rss_mb"`
 }
 
-// OK tells whether every rule was kept and every gateway lived.
-func (r *Report) OK() bool { return len(r.Breaks) == 0 && len(r.Crashes) == 0 && r.Held == 0 }
+// OK reports whether no rule was broken, no gateway crashed and nothing was held at the end.
+func (r *Report) OK() bool { return len(r.Violations) == 0 && len(r.Crashes) == 0 && r.HoldsAtEnd == 0 }
 
-// settleWait bounds the wait for what is still held after the load; the rule's
-// own time is shorter.
-const settleWait = 3 * time.Second
+// releaseTimeout bounds the wait for remaining KV state and reservations after the
+// load; the rule allows less time.
+const releaseTimeout = 3 * time.Second
 
-// Run plays a scenario to its end.
-func Run(ctx context.Context, opt Options) (rep *Report, err error) {
+// Run runs a scenario to its end.
+func Run(ctx context.Context, opt Options) (report *Report, err error) {
 	s := *opt.Scenario
 	if opt.Gateways > 0 {
 		s.Gateways = opt.Gateways
@@ -99,100 +99,100 @@
 			return nil, fmt.Errorf("rehearse: %w", err)
 		}
 	}
-	l := launch{program: opt.Program, dir: dir, logs: opt.Logs, plan: plan, em: em, grpc: opt.GRPC, limits: opt.Limits}
-	gateways, err := startAll(ctx, l, s.Gateways)
+	launcher := launcher{program: opt.Program, dir: dir, logs: opt.Logs, plan: plan, emulator: em, grpc: opt.GRPC, limits: opt.Limits}
+	gateways, err := startAll(ctx, launcher, s.Gateways)
 	if err != nil {
 		return nil, err
 	}
 	clients, err := connect(gateways, plan, opt.GRPC, c)
 	if err != nil {
-		stop(gateways)
+		stopAll(gateways)
 		return nil, err
 	}
-	list := load.Draw(plan)
-	rep = &Report{Scenario: s.Name, Seed: s.Seed, Gateways: s.Gateways, Boxes: len(plan.Engine.Boxes), Wire: "http/1.1", LengthS: s.LengthS}
+	requests := load.Draw(plan)
+	report = &Report{Scenario: s.Name, Seed: s.Seed, Gateways: s.Gateways, Engines: len(plan.Engine.Boxes), Wire: "http/1.1", LengthS: s.LengthS}
 	if opt.GRPC {
-		rep.Wire = "grpc"
+		report.Wire = "grpc"
 	}
 	if err := em.Begin(); err != nil {
-		stop(gateways)
+		stopAll(gateways)
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
-	rep.begun = em.Began()
-	runner := load.Runner{Plan: plan, Clients: clients, Clock: c, Watch: em.Rules(), Progress: progress(opt, em, c, len(list), s.LengthS)}
-	_, rep.Summary = runner.Run(ctx, em.Began(), list)
+	report.startMs = em.Began()
+	runner := load.Runner{Plan: plan, Clients: clients, Clock: c, Watch: em.Rules(), Progress: progress(opt, em, c, len(requests), s.LengthS)}
+	_, report.Summary = runner.Run(ctx, em.Began(), requests)
 	for _, client := range clients {
 		client.Close()
 	}
-	waitIdle(em)
-	rep.Crashes = stop(gateways)
-	rep.Held = em.Held()
-	rep.Counts, rep.Breaks, rep.Emulator = em.Rules().Counts(), em.Rules().Breaks(), em.Stats()
-	for _, m := range rep.Emulator.Malformed {
-		rep.Breaks = append(rep.Breaks, rules.Break{Rule: rules.Unchanged, Text: "a box could not read a request: " + m})
+	waitForReleases(em)
+	report.Crashes = stopAll(gateways)
+	report.HoldsAtEnd = em.Held()
+	report.Counts, report.Violations, report.Emulator = em.Rules().Counts(), em.Rules().Breaks(), em.Stats()
+	for _, m := range report.Emulator.Malformed {
+		report.Violations = append(report.Violations, rules.Break{Rule: rules.Unchanged, Text: "an engine could not parse a request: " + m})
 	}
-	rep.Own = ownUsage()
+	report.LabUsage = ownUsage()
 	for _, g := range gateways {
 		if st := g.cmd.ProcessState; st != nil {
-			rep.Usage = append(rep.Usage, usage(st))
+			report.GatewayUsage = append(report.GatewayUsage, processUsage(st))
 		}
 	}
-	return rep, ctx.Err()
+	return report, ctx.Err()
 }
 
-func startAll(ctx context.Context, l launch, n int) (list []*gateway, err error) {
+func startAll(ctx context.Context, l launcher, n int) (gateways []*gateway, err error) {
 	for i := range n {
 		g, err := l.start(ctx, i)
 		if err != nil {
-			stop(list)
+			stopAll(gateways)
 			return nil, err
 		}
-		list = append(list, g)
+		gateways = append(gateways, g)
 	}
-	return list, nil
+	return gateways, nil
 }
 
-func connect(gateways []*gateway, plan *scenario.Plan, grpc bool, c clock.Clock) (list []load.Client, err error) {
+func connect(gateways []*gateway, plan *scenario.Plan, grpc bool, c clock.Clock) (clients []load.Client, err error) {
 	for _, g := range gateways {
 		if !grpc {
-			list = append(list, load.NewHTTP(g.listen, plan.Load.Connections, c))
+			clients = append(clients, load.NewHTTP(g.listen, plan.Load.MaxConnections, c))
 			continue
 		}
 		client, err := load.NewGRPC(g.grpc, c)
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, client)
+		clients = append(clients, client)
 	}
-	return list, nil
+	return clients, nil
 }
 
-// progress tells about once a second how far things are.
-func progress(opt Options, em *emulator.Emulator, c clock.Clock, all int, length float64) func(sent, done int) {
+// progress returns a function that reports the progress about once a second, or nil.
+func progress(opt Options, em *emulator.Emulator, c clock.Clock, total int, length float64) func(sent, done int) {
 	if opt.Progress == nil {
 		return nil
 	}
 	var last float64
-	told := make(chan struct{}, 1)
+	reporting := make(chan struct{}, 1)
 	return func(sent, done int) {
 		select {
-		case told <- struct{}{}:
-			defer func() { <-told }()
+		case reporting <- struct{}{}:
+			defer func() { <-reporting }()
 		default:
 			return
 		}
 		if now := c.Now(); now-last >= 1000 {
 			last = now
 			opt.Progress(Progress{
-				Seconds: (now - em.Began()) / 1000, Length: length, Sent: sent, Done: done, All: all, Breaks: len(em.Rules().Breaks()),
+				Seconds: (now - em.Began()) / 1000, Length: length, Sent: sent, Done: done, Total: total, Violations: len(em.Rules().Breaks()),
 			})
 		}
 	}
 }
 
-// waitIdle gives the gateways time to let go of what they hold.
-func waitIdle(em *emulator.Emulator) {
-	for until := time.Now().Add(settleWait); em.Held() > 0 && time.Now().Before(until); {
+// waitForReleases gives the gateways time to release KV state and reservations.
+func waitForReleases(em *emulator.Emulator) {
+	for deadline := time.Now().Add(releaseTimeout); em.Held() > 0 && time.Now().Before(deadline); {
 		time.Sleep(20 * time.Millisecond)
 	}
 }
--- a/lab/rehearse/rehearse_test.go
+++ b/lab/rehearse/rehearse_test.go
@@ -14,7 +14,7 @@
 
 var program string
 
-// TestMain builds the daemon, which the tests rehearse with.
+// TestMain builds the gateway's binary for the rehearsals of the tests.
 func TestMain(m *testing.M) {
 	code, err := WithDaemon(func(path string) int {
 		program = path
@@ -26,9 +26,9 @@
 	os.Exit(code)
 }
 
-// A rehearsal with a crash, a hang and a drain keeps every rule, over both wires;
-// its verdict does not depend on how fast the machine is.
-func TestRehearsalKeepsTheRules(t *testing.T) {
+// A rehearsal with a crash, a hang and a drain keeps every rule, over HTTP/1.1 and
+// gRPC. The relaxed limits make the result independent of the machine's speed.
+func TestRun_RulesKept(t *testing.T) {
 	for _, grpc := range []bool{false, true} {
 		if grpc && testing.Short() {
 			continue
@@ -37,28 +37,28 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rep, err := Run(context.Background(), Options{Scenario: s, Program: program, GRPC: grpc, Rules: rules.Patient()})
+		report, err := Run(context.Background(), Options{Scenario: s, Program: program, GRPC: grpc, Rules: rules.Patient()})
 		if err != nil {
 			t.Fatal(err)
 		}
 		var text bytes.Buffer
-		if err := rep.Print(&text); err != nil {
+		if err := report.Print(&text); err != nil {
 			t.Fatal(err)
 		}
-		if !rep.OK() {
-			t.Errorf("%s: %s", rep.Wire, text.String())
+		if !report.OK() {
+			t.Errorf("%s: %s", report.Wire, text.String())
 		}
-		c := rep.Counts
+		c := report.Counts
 		answers := 0
 		for _, n := range c.Answers {
 			answers += n
 		}
 		if c.Requests < 50 || answers != c.Requests || c.Doubles != 0 {
-			t.Errorf("%s: %d requests, %d answers, %d doubles", rep.Wire, c.Requests, answers, c.Doubles)
+			t.Errorf("%s: %d requests, %d answers, %d doubles", report.Wire, c.Requests, answers, c.Doubles)
 		}
-		// Every box is up most of the time: a gateway that serves nothing is broken.
+		// Every engine is up most of the time, so most requests must be served.
 		if c.Answers[rules.Served]*2 < c.Requests {
-			t.Errorf("%s: %v of %d", rep.Wire, c.Answers, c.Requests)
+			t.Errorf("%s: %v of %d", report.Wire, c.Answers, c.Requests)
 		}
 		if !strings.Contains(text.String(), "send-order") || !strings.HasSuffix(text.String(), "rules kept\n") {
 			t.Errorf("%s", text.String())
@@ -66,13 +66,13 @@
 	}
 }
 
-// A program that does not serve is told of, and leaves nothing running.
-func TestProgramThatEnds(t *testing.T) {
+// A program that exits before it serves is reported as such.
+func TestRun_ProgramExits(t *testing.T) {
 	s, err := scenario.Open("ci")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Run(context.Background(), Options{Scenario: s, Program: "/bin/true"}); err == nil || !strings.Contains(err.Error(), "n0 ended before it served") {
+	if _, err := Run(context.Background(), Options{Scenario: s, Program: "/bin/true"}); err == nil || !strings.Contains(err.Error(), "n0 exited before it served") {
 		t.Errorf("%v", err)
 	}
 }
--- a/lab/rehearse/usage.go
+++ b/lab/rehearse/usage.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// usage reads what an ended process has used.
-func usage(st *os.ProcessState) Usage {
+// processUsage returns the usage of a process that has exited.
+func processUsage(st *os.ProcessState) Usage {
 	u := Usage{CPUSeconds: (st.UserTime() + st.SystemTime()).Seconds()}
 	if r, ok := st.SysUsage().(*syscall.Rusage); ok {
 		u.MaxRSSMB = float64(r.Maxrss) / 1024
@@ -14,7 +14,7 @@
 	return u
 }
 
-// ownUsage reads what the emulator and the load, this process, have used.
+// ownUsage returns the usage of this process, which runs the emulator and the load.
 func ownUsage() (u Usage) {
 	var r syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &r) == nil {
--- a/lab/scenario/compile.go
+++ b/lab/scenario/compile.go
@@ -8,25 +8,25 @@
 	"ashwood.example/ashwood/lab/engine"
 )
 
-// The kinds of faults that are not the model's.
+// Kinds of faults that the engine model doesn't handle: those of the load and of discovery.
 const (
-	Burst           = "burst"            // the load grows by Factor
-	ListLate        = "list-late"        // news comes Factor ms later
-	ListSilent      = "list-silent"      // the agent does not answer
-	ListContradicts = "list-contradicts" // boxes that drain or are gone are told as up again, until the end
+	Burst                = "burst"            // multiplies the load by Factor
+	DiscoveryLate        = "list-late"        // membership changes are reported Factor ms later
+	DiscoverySilent      = "list-silent"      // the discovery agent does not answer
+	DiscoveryContradicts = "list-contradicts" // engines that drain or are gone are reported as up until the fault ends
 )
 
-// Plan is a scenario with all that chance settles, but the load, drawn from its
-// seed. Times are ms from the begin.
+// Plan is a scenario with everything random, except the load, drawn from its seed.
+// Times are in ms since the start.
 type Plan struct {
 	*Scenario
-	Engine engine.Config
-	Boxes  []engine.Fault // faults of boxes
-	Lists  []Window
-	Bursts []Window
+	Engine          engine.Config
+	EngineFaults    []engine.Fault // faults of engines
+	DiscoveryFaults []Window
+	Bursts          []Window
 }
 
-// Window is a stretch of time with a factor. Gateway is -1 for all.
+// Window is a time span in which a fault of the load or of discovery is active. Gateway is -1 for all.
 type Window struct {
 	Kind     string
 	From, To float64
@@ -34,17 +34,17 @@
 	Gateway  int
 }
 
-// On tells whether a time lies in the window.
-func (w Window) On(at float64) bool { return at >= w.From && at < w.To }
+// Contains reports whether a time lies in the window.
+func (w Window) Contains(at float64) bool { return at >= w.From && at < w.To }
 
-// Compile draws boxes and faults. Two calls give the same.
+// Compile draws engines and faults. Every call gives the same plan.
 func (s *Scenario) Compile() (*Plan, error) {
 	p := &Plan{Scenario: s, Engine: engine.DefaultConfig()}
 	p.Engine.Seed = s.Seed
 	p.Engine.Classes = nil
 	for _, c := range s.Load.Classes {
 		p.Engine.Classes = append(p.Engine.Classes, engine.Class{
-			Name: c.Name, ReadTokens: c.NewTokens + 0.15*c.PrefixTokens, OutTokens: c.OutTokens, OutSigma: c.OutSigma,
+			Name: c.Name, ReadTokens: c.NewTokens + 0.15*c.PrefixTokens, OutTokens: c.OutputTokens, OutSigma: c.OutputSigma,
 		})
 	}
 	known := map[string]engine.Kind{}
@@ -53,69 +53,69 @@
 	}
 	p.Engine.Kinds = nil
 	for i, k := range s.Fleet.Kinds {
-		kind, err := k.figures(known)
+		kind, err := k.engineKind(known)
 		if err != nil {
 			return nil, fmt.Errorf("fleet.kind[%d].%w", i, err)
 		}
 		p.Engine.Kinds = append(p.Engine.Kinds, kind)
 	}
-	p.place()
+	p.placeEngines()
 	if err := p.Engine.Validate(); err != nil {
 		return nil, err
 	}
 	r := rand.New(rand.NewPCG(s.Seed, 0xfa017))
 	for i, f := range s.Faults {
-		if err := p.fault(f, r); err != nil {
+		if err := p.addFault(f, r); err != nil {
 			return nil, fmt.Errorf("fault[%d].%w", i, err)
 		}
 	}
 	return p, nil
 }
 
-// figures gives a kind its defaults and what the file says instead.
-func (k Kind) figures(known map[string]engine.Kind) (engine.Kind, error) {
-	out, ok := known[k.Name]
+// engineKind returns the kind's defaults with the values that the file sets.
+func (k Kind) engineKind(known map[string]engine.Kind) (engine.Kind, error) {
+	kind, ok := known[k.Name]
 	if !ok {
 		switch k.Role {
 		case "":
-			return out, fmt.Errorf("role: it is missing, and %q is no kind with defaults", k.Name)
+			return kind, fmt.Errorf("role: missing, and %q is not a kind with defaults", k.Name)
 		case string(engine.Reads):
-			out = known["prefill"]
+			kind = known["prefill"]
 		default:
-			out = known["decode-a"]
+			kind = known["decode-a"]
 		}
-		out.Name = k.Name
-	} else if k.Role != "" && engine.Role(k.Role) != out.Role {
-		return out, fmt.Errorf("role: %q has another role", k.Name)
-	}
-	set(&out.Slots, k.Slots)
-	set(&out.Queue, k.Queue)
-	set(&out.MemoryTokens, k.MemoryTokens)
-	set(&out.ReadPerS, k.ReadPerS)
-	set(&out.StepMs, k.StepMs)
-	set(&out.PerSeqMs, k.PerSeqMs)
-	set(&out.Speed, k.Speed)
-	set(&out.SpeedCV, k.SpeedCV)
-	set(&out.ColdFrom, k.ColdFrom)
-	set(&out.ColdMs, k.ColdMs)
-	set(&out.Conns, k.Conns)
-	set(&out.DropExpired, k.DropExpired)
-	set(&out.ErrorRate, k.ErrorRate)
+		kind.Name = k.Name
+	} else if k.Role != "" && engine.Role(k.Role) != kind.Role {
+		return kind, fmt.Errorf("role: %q has another role", k.Name)
+	}
+	override(&kind.Slots, k.Slots)
+	override(&kind.Queue, k.MaxQueue)
+	override(&kind.MemoryTokens, k.MemoryTokens)
+	override(&kind.ReadPerS, k.PrefillPerS)
+	override(&kind.StepMs, k.StepMs)
+	override(&kind.PerSeqMs, k.PerSeqMs)
+	override(&kind.Speed, k.Speed)
+	override(&kind.SpeedCV, k.SpeedCV)
+	override(&kind.ColdFrom, k.ColdCapacity)
+	override(&kind.ColdMs, k.WarmUpMs)
+	override(&kind.Conns, k.MaxConns)
+	override(&kind.DropExpired, k.DropExpired)
+	override(&kind.ErrorRate, k.ErrorRate)
 	if k.Cancel != nil {
-		out.Cancel = engine.CancelMode(*k.Cancel)
+		kind.Cancel = engine.CancelMode(*k.Cancel)
 	}
-	return out, nil
+	return kind, nil
 }
 
-func set[T any](to *T, v *T) {
+func override[T any](to *T, v *T) {
 	if v != nil {
 		*to = *v
 	}
 }
 
-// place deals the boxes out over cells, so that each cell has about the same mix.
-// Cells lie in the zones in turn.
-func (p *Plan) place() {
+// placeEngines distributes the engines over cells so that each cell has about the same
+// mix of kinds. Cells are assigned to the zones in turn.
+func (p *Plan) placeEngines() {
 	total := 0
 	for _, k := range p.Fleet.Kinds {
 		total += k.Count
@@ -133,9 +133,9 @@
 	}
 }
 
-// fault draws the boxes that a fault hits.
-func (p *Plan) fault(f Fault, r *rand.Rand) error {
-	w := Window{Kind: f.Kind, From: f.AtS * 1000, To: (f.AtS + f.LenS) * 1000, Factor: f.Factor, Gateway: -1}
+// addFault adds a fault to the plan and draws the engines that it hits.
+func (p *Plan) addFault(f Fault, r *rand.Rand) error {
+	w := Window{Kind: f.Kind, From: f.StartS * 1000, To: (f.StartS + f.DurationS) * 1000, Factor: f.Factor, Gateway: -1}
 	if f.Gateway != nil {
 		w.Gateway = *f.Gateway
 	}
@@ -143,39 +143,39 @@
 	case Burst:
 		p.Bursts = append(p.Bursts, w)
 		return nil
-	case ListLate, ListSilent, ListContradicts:
-		p.Lists = append(p.Lists, w)
+	case DiscoveryLate, DiscoverySilent, DiscoveryContradicts:
+		p.DiscoveryFaults = append(p.DiscoveryFaults, w)
 		return nil
 	}
-	boxes := f.Boxes
-	if len(boxes) == 0 {
+	engines := f.Engines
+	if len(engines) == 0 {
 		for _, b := range p.Engine.Boxes {
 			if (f.OfKind == "" || b.Kind == f.OfKind) && (f.OfZone == "" || b.Zone == f.OfZone) && (f.OfCell == nil || b.Cell == *f.OfCell) {
-				boxes = append(boxes, b.ID)
+				engines = append(engines, b.ID)
 			}
 		}
-		if len(boxes) == 0 {
-			return fmt.Errorf("of_kind, of_zone, of_cell: no box matches")
+		if len(engines) == 0 {
+			return fmt.Errorf("of_kind, of_zone, of_cell: no engine matches")
 		}
 		share := f.Share
 		if share == 0 {
-			return fmt.Errorf("share: it is missing, and no boxes are named")
+			return fmt.Errorf("share: missing, and boxes names no engines")
 		}
-		r.Shuffle(len(boxes), func(i, j int) { boxes[i], boxes[j] = boxes[j], boxes[i] })
-		boxes = boxes[:min(len(boxes), max(1, int(math.Round(share*float64(len(boxes))))))]
+		r.Shuffle(len(engines), func(i, j int) { engines[i], engines[j] = engines[j], engines[i] })
+		engines = engines[:min(len(engines), max(1, int(math.Round(share*float64(len(engines))))))]
 	}
-	for i, id := range boxes {
-		if !p.has(id) {
-			return fmt.Errorf("boxes[%d]: there is no box %q", i, id)
+	for i, id := range engines {
+		if !p.hasEngine(id) {
+			return fmt.Errorf("boxes[%d]: there is no engine %q", i, id)
 		}
 	}
-	p.Boxes = append(p.Boxes, engine.Fault{
-		Kind: engine.FaultKind(f.Kind), Boxes: boxes, At: w.From, Len: w.To - w.From, Factor: f.Factor,
+	p.EngineFaults = append(p.EngineFaults, engine.Fault{
+		Kind: engine.FaultKind(f.Kind), Boxes: engines, At: w.From, Len: w.To - w.From, Factor: f.Factor,
 	})
 	return nil
 }
 
-func (p *Plan) has(id string) bool {
+func (p *Plan) hasEngine(id string) bool {
 	for _, b := range p.Engine.Boxes {
 		if b.ID == id {
 			return true
@@ -184,8 +184,8 @@
 	return false
 }
 
-// Settings is the settings object of a gateway's configuration on this plan, in
-// the platform's form.
+// Settings returns the settings object of a gateway's configuration for this plan, in
+// the platform's format.
 func (p *Plan) Settings(gateway int) map[string]any {
 	var kinds, roles []string
 	var tokens []float64
@@ -199,7 +199,7 @@
 			"name": c.Name, "aim": c.AimMs, "deadline": c.DeadlineMs, "worth": c.Worth, "late_share": c.LateWorth,
 			"effect": c.Effect, "group": "all", "memory_span": 5000, "stream": true,
 		})
-		aims, paces = append(aims, c.AimMsPerK*1000), append(paces, c.TokenMs)
+		aims, paces = append(aims, c.AimMsPerKTokens*1000), append(paces, c.TokenMs)
 	}
 	coldest, longest := 1.0, 0.0
 	for _, k := range p.Engine.Kinds {
@@ -225,12 +225,12 @@
 	}
 }
 
-// Prefix names one of the beginnings that a class's sessions share, and gives its
-// length in tokens; 0 is the one most used. Both belong to the scenario's seed.
+// Prefix returns the name and the length in tokens of one of the prefixes that a
+// class's sessions share; index 0 is the most used one. Only the length depends on the seed.
 func (p *Plan) Prefix(class, k int) (name string, tokens int) {
 	r := rand.New(rand.NewPCG(p.Seed, uint64(class)<<32|uint64(k)))
 	return fmt.Sprintf("%04x%012x", class+1, k+1), max(1, int(p.Load.Classes[class].PrefixTokens*(0.6+0.8*r.Float64())))
 }
 
-// Zone is where a gateway stands.
+// Zone returns the zone of a gateway.
 func (p *Plan) Zone(gateway int) string { return p.Fleet.Zones[gateway%len(p.Fleet.Zones)] }
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -12,7 +12,7 @@
 	"ashwood.example/ashwood/lab/engine"
 )
 
-func TestShippedScenariosCompile(t *testing.T) {
+func TestCompile_ShippedScenarios(t *testing.T) {
 	names := Names()
 	for _, want := range []string{"calm", "payday", "crash-and-cold-return", "cold-herd", "black-hole", "silent-rack", "reader-loss", "drain-in-retry"} {
 		if !slices.Contains(names, want) {
@@ -32,14 +32,14 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		b, _ := s.Compile()
-		if diff := cmp.Diff(a.Boxes, b.Boxes); diff != "" {
-			t.Errorf("%s: two draws differ: %s", name, diff)
+		if diff := cmp.Diff(a.EngineFaults, b.EngineFaults); diff != "" {
+			t.Errorf("%s: two compilations differ: %s", name, diff)
 		}
 		f, err := engine.New(a.Engine, 0)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		for _, fault := range a.Boxes {
+		for _, fault := range a.EngineFaults {
 			if err := f.Inject(fault); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestFaultyScenariosNameTheKey(t *testing.T) {
+func TestParse_ErrorsNameKey(t *testing.T) {
 	const good = "name = \"x\"\nlength_s = 10\n"
 	for _, c := range []struct{ text, want string }{
 		{"length_s = 10\n", "the file: missing property 'name'"},
@@ -65,11 +65,11 @@
 		{good + "[[fault]]\nkind = \"crash\"\nat_s = 1\nlen_s = 1\nshare = 2\n", "fault[0].share: maximum: got 2, want 1"},
 		{good + "[[fault]]\nkind = \"fire\"\nat_s = 1\nlen_s = 1\n", "fault[0].kind: value must be one of"},
 		{good + "[[fault]]\nkind = \"errors\"\nat_s = 1\nlen_s = 1\nshare = 1\n", "fault[0]: missing property 'factor'"},
-		{good + "[[fault]]\nkind = \"crash\"\nat_s = 11\nlen_s = 1\nshare = 1\n", "fault[0].at_s: 11 s lies behind the end at 10 s"},
-		{good + "[[fault]]\nkind = \"crash\"\nat_s = 1\nlen_s = 1\n", "fault[0].share: it is missing, and no boxes are named"},
-		{good + "[[fault]]\nkind = \"crash\"\nat_s = 1\nlen_s = 1\nboxes = [\"none\"]\n", `fault[0].boxes[0]: there is no box "none"`},
+		{good + "[[fault]]\nkind = \"crash\"\nat_s = 11\nlen_s = 1\nshare = 1\n", "fault[0].at_s: 11 s is after the end at 10 s"},
+		{good + "[[fault]]\nkind = \"crash\"\nat_s = 1\nlen_s = 1\n", "fault[0].share: missing, and boxes names no engines"},
+		{good + "[[fault]]\nkind = \"crash\"\nat_s = 1\nlen_s = 1\nboxes = [\"none\"]\n", `fault[0].boxes[0]: there is no engine "none"`},
 		{good + "[[fault]]\nkind = \"crash\"\nat_s = 1\nlen_s = 1\nshare = 1\nof_zone = \"none\"\n", `fault[0].of_zone: unknown zone "none"`},
-		{good + "[[fleet.kind]]\nname = \"own\"\ncount = 1\n", `fleet.kind[0].role: it is missing, and "own" is no kind with defaults`},
+		{good + "[[fleet.kind]]\nname = \"own\"\ncount = 1\n", `fleet.kind[0].role: missing, and "own" is not a kind with defaults`},
 		{good + "[discovery]\nnotice_ms = [5, 1]\n", "discovery.notice_ms: 5 is above 1"},
 		{good + "[load]\nzone_shares = [1.0]\n", "load.zone_shares: 1 shares for 3 zones"},
 		{"name = ", "toml: line 1"},
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestKindsBeginWithTheirDefaults(t *testing.T) {
+func TestCompile_KindDefaults(t *testing.T) {
 	s, err := Parse([]byte("name = \"x\"\nlength_s = 10\n[[fleet.kind]]\nname = \"prefill\"\ncount = 2\nslots = 3\n[[fleet.kind]]\nname = \"own\"\nrole = \"write\"\ncount = 4\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -105,6 +105,6 @@
 		zones[b.Zone]++
 	}
 	if len(p.Engine.Boxes) != 6 || len(zones) != 3 {
-		t.Errorf("boxes %v", p.Engine.Boxes)
+		t.Errorf("engines %v", p.Engine.Boxes)
 	}
 }
