--- a/lab/soak/checker.go
+++ b/lab/soak/checker.go
@@ -49,9 +49,9 @@
 }
 
 // String formats the violation and its history.
-func (b Violation) String() string {
-	text := fmt.Sprintf("%7.3fs rule broken: %s: %s %s\n", b.At.Seconds(), b.Rule, b.ID, b.Text)
-	for _, line := range b.History {
+func (v Violation) String() string {
+	text := fmt.Sprintf("%7.3fs rule broken: %s: %s %s\n", v.At.Seconds(), v.Rule, v.ID, v.Text)
+	for _, line := range v.History {
 		text += "    " + line + "\n"
 	}
 	return text
@@ -160,24 +160,27 @@
 	c.start = at
 }
 
+// maxHistory limits the lines of a request's history.
 const maxHistory = 60
 
+// addHistory adds a line to a request's history. The caller holds the lock.
 func (c *checker) addHistory(r *request, format string, args ...any) {
 	if len(r.history) < maxHistory {
 		r.history = append(r.history, fmt.Sprintf("%8.3f ", time.Since(c.start).Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
+// addViolation records a broken rule, once for each request and rule. The caller holds the lock.
 func (c *checker) addViolation(rule Rule, r *request, format string, args ...any) {
-	b := Violation{Rule: rule, At: time.Since(c.start), Text: fmt.Sprintf(format, args...)}
+	violation := Violation{Rule: rule, At: time.Since(c.start), Text: fmt.Sprintf(format, args...)}
 	if r != nil {
 		if r.reported[rule] {
 			return
 		}
 		r.reported[rule] = true
-		b.ID, b.History = r.id, append(slices.Clone(r.history), c.describeLateness(r.sentAt, time.Now())...)
+		violation.ID, violation.History = r.id, append(slices.Clone(r.history), c.describeLateness(r.sentAt, time.Now())...)
 	}
-	c.violations = append(c.violations, b)
+	c.violations = append(c.violations, violation)
 }
 
 // requestBegun records that a client begins to write a request. requestWritten records that it is written whole, on a connection of
--- a/lab/soak/checker_holds.go
+++ b/lab/soak/checker_holds.go
@@ -130,13 +130,14 @@
 	}
 }
 
-// gatewayPaused records that a gateway's process is stopped; gatewayResumed records the end of that pause.
+// gatewayPaused records that a gateway's process is stopped.
 func (c *checker) gatewayPaused(gateway int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pauses[gateway] = append(c.pauses[gateway], interval{from: time.Now()})
 }
 
+// gatewayResumed records that a gateway's process runs again.
 func (c *checker) gatewayResumed(gateway int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,11 +198,11 @@
 // watchLag records when timers of this machine fire late, until ctx ends: its processors are busy
 // then, and a gateway that is late at that time is not at fault.
 func (c *checker) watchLag(ctx context.Context) {
-	for begun := time.Now(); sleep(ctx, lagInterval); begun = time.Now() {
-		if now := time.Now(); now.Sub(begun) > lagInterval+minLag {
+	for start := time.Now(); sleep(ctx, lagInterval); start = time.Now() {
+		if now := time.Now(); now.Sub(start) > lagInterval+minLag {
 			c.mu.Lock()
-			c.machineLags = append(c.machineLags, interval{begun.Add(lagInterval), now})
-			c.recordLatenessLocked(lateTimer, begun.Add(lagInterval), now.Sub(begun)-lagInterval)
+			c.machineLags = append(c.machineLags, interval{start.Add(lagInterval), now})
+			c.recordLatenessLocked(lateTimer, start.Add(lagInterval), now.Sub(start)-lagInterval)
 			c.mu.Unlock()
 		}
 	}
@@ -267,17 +268,17 @@
 	if r.lastAttemptEnd.After(from) {
 		from = r.lastAttemptEnd
 	}
-	var open time.Time
+	var reachableSince time.Time
 	for e := range c.scenario.Engines {
 		if (c.scenario.LocalReleases || h.callerGone) && e != engine {
 			continue
 		}
-		if at, ok := c.reachableSince[[2]int{r.gateway, e}]; ok && (!counts || at.Before(open)) {
-			open, counts = at, true
+		if at, ok := c.reachableSince[[2]int{r.gateway, e}]; ok && (!counts || at.Before(reachableSince)) {
+			reachableSince, counts = at, true
 		}
 	}
-	if open.After(from) {
-		from = open
+	if reachableSince.After(from) {
+		from = reachableSince
 	}
 	return from, counts
 }
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -24,7 +24,7 @@
 	answerFailed  = "failed"
 	answerExempt  = "lost with its process, which the rules allow"
 	answerUnread  = "closed unread"
-	answerNoCase  = "on a new connection that the protocol has no more, to a process that could not run"
+	answerNoCase  = "on a connection opened later than the protocol allows, to a process that could not run"
 )
 
 // client sends one request at a time and keeps its connection open between requests.
@@ -45,7 +45,7 @@
 // Behaviour of clients.
 const (
 	earlyCloseShare     = 0.5 // share of requests that a client of kind ClientClosesEarly abandons
-	maxStay             = 1200 * time.Millisecond
+	maxTimeToClose      = 1200 * time.Millisecond
 	partialRequestShare = 0.3
 	minThinkTime        = 10 * time.Millisecond
 	maxThinkTime        = 300 * time.Millisecond
@@ -188,7 +188,7 @@
 	conn := c.conn
 	leave := make(chan struct{})
 	if c.kind == ClientClosesEarly && c.rng.Float64() < earlyCloseShare {
-		defer c.closeAfter(c.durationBetween(0, maxStay), id, leave)()
+		defer c.closeAfter(c.durationBetween(0, maxTimeToClose), id, leave)()
 	}
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
@@ -251,6 +251,7 @@
 	}
 }
 
+// pauseLookBack is how far before an answer's deadline pauses of its gateway are considered.
 const pauseLookBack = 30 * time.Second
 
 // classifyUnanswered returns the outcome of a request whose connection ended, or whose deadline passed, without an answer.
--- a/lab/soak/engine.go
+++ b/lab/soak/engine.go
@@ -300,7 +300,7 @@
 	if c.engine.spec.Role == Mixed {
 		return true
 	}
-	for until := time.Now().Add(kvStateWait); time.Now().Before(until); {
+	for deadline := time.Now().Add(kvStateWait); time.Now().Before(deadline); {
 		holder, ok := c.engine.testbed.checker.kvStateHolder(c.id)
 		if !ok {
 			return false
--- a/lab/soak/engine_test.go
+++ b/lab/soak/engine_test.go
@@ -28,10 +28,10 @@
 	defer e.close()
 	tb.checker.requestBegun("q", Class{Effect: Pure}, 0)
 	for range rounds {
-		taken := tb.checker.attemptCount("q")
+		before := tb.checker.attemptCount("q")
 		answered := make(chan error, 1)
 		go func() { answered <- sendAttempt(e.links[0].addr, "q") }()
-		for tb.checker.attemptCount("q") == taken {
+		for tb.checker.attemptCount("q") == before {
 			runtime.Gosched()
 		}
 		if err := e.links[0].beginSilence(false); err != nil {
--- a/lab/soak/generate.go
+++ b/lab/soak/generate.go
@@ -176,7 +176,7 @@
 		EngineHangs, EngineRefuses, EngineResetsAttempts, EngineResetsConnections,
 		EngineLosesAnswers, EngineAnswersLate, EngineDrains, EngineCrashes, DiscoverySilent,
 	}
-	died := map[int]bool{} // an engine crashes at most once
+	crashed := map[int]bool{} // an engine crashes at most once
 	for range g.intBetween(1, maxFaults) {
 		e := Event{
 			Kind: kinds[g.rng.IntN(len(kinds))], At: g.durationBetween(quietPeriod, s.Length*4/5),
@@ -188,9 +188,9 @@
 		case NetworkCut:
 			e.Engines, e.Gateways = g.engineSubset(), g.gatewaySubset()
 		case EngineCrashes:
-			e.Engines = slices.DeleteFunc(g.engineSubset(), func(i int) bool { return died[i] })
+			e.Engines = slices.DeleteFunc(g.engineSubset(), func(i int) bool { return crashed[i] })
 			for _, i := range e.Engines {
-				died[i] = true
+				crashed[i] = true
 			}
 		case EngineAnswersLate:
 			e.Engines, e.Delay = g.engineSubset(), g.durationBetween(minAnswerDelay, maxAnswerDelay)
--- a/lab/soak/link.go
+++ b/lab/soak/link.go
@@ -139,9 +139,9 @@
 func (k *link) awaitOpen() {
 	for {
 		k.mu.Lock()
-		running, frozen := k.resumed, k.silences > 0
+		running, silent := k.resumed, k.silences > 0
 		k.mu.Unlock()
-		if !frozen {
+		if !silent {
 			return
 		}
 		select {
--- a/lab/soak/starvation.go
+++ b/lab/soak/starvation.go
@@ -74,8 +74,8 @@
 
 // watchStarvation records the times for which gateways waited for a processor, until ctx ends.
 func (tb *testbed) watchStarvation(ctx context.Context) {
-	last, stolen := make([]runDelays, len(tb.gateways)), readStealTime()
-	for begun := time.Now(); sleep(ctx, starvationInterval); {
+	last, lastSteal := make([]runDelays, len(tb.gateways)), readStealTime()
+	for start := time.Now(); sleep(ctx, starvationInterval); {
 		now := time.Now()
 		for i, g := range tb.gateways {
 			g.mu.Lock()
@@ -83,12 +83,12 @@
 			g.mu.Unlock()
 			delays := readRunDelays(pid)
 			if last[i] != nil {
-				tb.checker.recordLateness(lateKind(fmt.Sprintf("gateway %d got a processor", i)), begun, delays.maxIncrease(last[i]))
+				tb.checker.recordLateness(lateKind(fmt.Sprintf("gateway %d got a processor", i)), start, delays.maxIncrease(last[i]))
 			}
 			last[i] = delays
 		}
 		steal := readStealTime()
-		tb.checker.recordLateness(lateHost, begun, steal-stolen)
-		begun, stolen = now, steal
+		tb.checker.recordLateness(lateHost, start, steal-lastSteal)
+		start, lastSteal = now, steal
 	}
 }
