--- a/lab/soak/events.go
+++ b/lab/soak/events.go
@@ -145,6 +145,7 @@
 	}
 }
 
+// startTime returns the start of an engine's process as membership reports it, in ms since 1970.
 func (tb *testbed) startTime(engine int) float64 {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -174,6 +175,7 @@
 	tb.updateMembership(e.index, lifecycleUp, float64(time.Now().UnixMilli()))
 }
 
+// withLock calls f with the engine's lock held.
 func (e *engine) withLock(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/lab/soak/process_test.go
+++ b/lab/soak/process_test.go
@@ -46,8 +46,9 @@
 	}
 }
 
-// The longest delay is that of one thread since an earlier reading; new threads count from 0, exited ones not at all.
-func TestRunDelays_Longest(t *testing.T) {
+// A process that is runnable and gets no processor shows in the delays of its threads: the largest increase of one thread counts, a new
+// thread from 0, an exited one not at all.
+func TestRunDelays_MaxIncrease(t *testing.T) {
 	before := runDelays{"a": time.Second, "b": 5 * time.Second}
 	now := runDelays{"a": time.Second, "b": 5*time.Second + 30*time.Millisecond, "new": 10 * time.Millisecond}
 	if got := now.maxIncrease(before); got != 30*time.Millisecond {
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -159,6 +159,7 @@
 	watchers.Wait()
 }
 
+// close kills the gateways and closes agents and engines.
 func (tb *testbed) close() {
 	for _, g := range tb.gateways {
 		g.mu.Lock()
@@ -204,6 +205,7 @@
 	}
 }
 
+// saveLogs writes the gateways' logs to a directory.
 func (tb *testbed) saveLogs(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("soak: %w", err)
