--- a/cmd/ashlab/emulate.go
+++ b/cmd/ashlab/emulate.go
@@ -72,23 +72,23 @@
 	out := json.NewEncoder(cmd.OutOrStdout())
 	for g := range plan.Gateways {
 		var engines []engineAddress
-		for _, b := range em.Boxes(g) {
+		for _, b := range em.Engines(g) {
 			engines = append(engines, engineAddress{b.ID, b.Kind, b.Zone, b.Cell, b.HTTP, b.GRPC})
 		}
-		if err := out.Encode(map[string]any{"gateway": g, "discovery": em.Discovery(g), "boxes": engines, "settings": plan.Settings(g)}); err != nil {
+		if err := out.Encode(map[string]any{"gateway": g, "discovery": em.DiscoveryAddr(g), "boxes": engines, "settings": plan.Settings(g)}); err != nil {
 			return err
 		}
 	}
 	if !sleep(cmd.Context(), delay) {
 		return nil
 	}
-	if err := em.Begin(); err != nil {
+	if err := em.Start(); err != nil {
 		return err
 	}
 	sleep(cmd.Context(), time.Duration(plan.LengthS*float64(time.Second)))
-	violations := em.Rules().Breaks()
+	violations := em.Rules().Violations()
 	for _, b := range violations {
-		fmt.Fprintf(cmd.ErrOrStderr(), "BROKEN RULE %s, request %s, box %s: %s\n", b.Rule, b.Request, b.Box, b.Text)
+		fmt.Fprintf(cmd.ErrOrStderr(), "BROKEN RULE %s, request %s, box %s: %s\n", b.Rule, b.Request, b.Engine, b.Text)
 	}
 	if st := em.Stats(); st.Late() {
 		fmt.Fprintf(cmd.ErrOrStderr(), "LATE: the emulator was %.1f ms late at p99\n", st.LateP99)
@@ -139,7 +139,7 @@
 				}
 				clients = append(clients, client)
 			}
-			checker := rules.New(rules.Platform())
+			checker := rules.New(rules.PlatformLimits())
 			runner := load.Runner{Plan: plan, Clients: clients, Clock: c, Watch: checker}
 			_, summary := runner.Run(cmd.Context(), c.Now(), load.Draw(plan))
 			for _, client := range clients {
@@ -156,8 +156,8 @@
 					return err
 				}
 			}
-			if len(checker.Breaks()) > 0 {
-				return fmt.Errorf("%w: %s", errBroken, checker.Breaks()[0].Text)
+			if len(checker.Violations()) > 0 {
+				return fmt.Errorf("%w: %s", errBroken, checker.Violations()[0].Text)
 			}
 			return nil
 		},
--- a/cmd/ashlab/rehearse.go
+++ b/cmd/ashlab/rehearse.go
@@ -173,6 +173,6 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	_, err = fmt.Fprintf(w, "%-24s %3.0f s, %d boxes, %.0f requests a second: %s\n", s.Name, s.LengthS, len(p.Engine.Boxes), s.Load.RatePerS, s.About)
+	_, err = fmt.Fprintf(w, "%-24s %3.0f s, %d boxes, %.0f requests a second: %s\n", s.Name, s.LengthS, len(p.Engine.Engines), s.Load.RatePerS, s.About)
 	return err
 }
--- a/cmd/ashwood/daemon.go
+++ b/cmd/ashwood/daemon.go
@@ -158,7 +158,7 @@
 	d.phase.set(stopping)
 	noticed := d.clock.Now()
 	life := d.told.lifetime(d.cfg.Settings)
-	d.log.Info("shutdown: told to end", "take_ms", life.TakeUntil-d.clock.Now(), "answer_ms", life.AnswerBy-d.clock.Now())
+	d.log.Info("shutdown: told to end", "take_ms", life.AdmitUntil-d.clock.Now(), "answer_ms", life.AnswerBy-d.clock.Now())
 	d.others.tell(handover.Leaving)
 	for _, f := range d.fronts {
 		f.drain()
@@ -169,7 +169,7 @@
 	for _, f := range d.fronts {
 		go f.stopAccepting()
 	}
-	d.reloadUntil(d.at(life.TakeUntil))
+	d.reloadUntil(d.at(life.AdmitUntil))
 	d.log.Info("shutdown: the drain time is over")
 
 	errs := make([]error, len(d.fronts))
--- a/cmd/ashwood/fronts.go
+++ b/cmd/ashwood/fronts.go
@@ -46,13 +46,13 @@
 	sockets := float64(cfg.Limits.Sockets)
 	opts := []router.Option{router.WithClock(c), router.WithLogger(log)}
 	d := router.NewPlatform(cfg.Discovery, opts...)
-	d.Fleet(cfg.Settings, cfg.Seed)
+	d.Configure(cfg.Settings, cfg.Seed)
 	known := cfg.Known.Engines
 	if len(known) > 0 {
-		d.Known(cfg.Known.Generation)
+		d.ResumeFrom(cfg.Known.Generation)
 	}
 	source := &heard{Source: d, first: make(chan struct{})}
-	r, err := router.New(router.Config{Settings: cfg.Settings, Seed: cfg.Seed, Known: known, Limits: limit},
+	r, err := router.New(router.Config{Settings: cfg.Settings, Seed: cfg.Seed, LastKnownEngines: known, Limits: limit},
 		append(opts, router.WithSource(source), router.WithTransport(router.HTTPEngines(int(sockets*engineShare))))...)
 	if err != nil {
 		return front{}, err
@@ -80,15 +80,15 @@
 			err := s.Shutdown(context.Background())
 			return errors.Join(err, r.Shutdown(context.Background()))
 		},
-		reload: func(cfg config.Config) { d.Move(cfg.Discovery) }, vars: r.Vars,
+		reload: func(cfg config.Config) { d.SetAddress(cfg.Discovery) }, vars: r.WriteMetrics,
 		share: func(processes int) {
-			r.Share(processes)
-			s.Share(processes)
-			d.Share(processes)
+			r.SetProcesses(processes)
+			s.SetProcesses(processes)
+			d.SetProcesses(processes)
 		},
 		yield: s.DisableKeepAlives, give: s.SetHandover, take: s.Adopt,
 		endBy: func(l lifecycle.Lifetime) {
-			r.EndBy(l)
+			r.SetLifetime(l)
 			s.ExpireReadsAfter(clock.Duration(l.AnswerBy - c.Now()))
 		},
 	}, nil
@@ -123,7 +123,7 @@
 			return r.Shutdown(context.Background())
 		},
 		reload: func(config.Config) {}, // its boxes have a list of their own
-		vars:   r.Vars, share: r.Share, yield: func(bool) {}, give: func(platform.HandoverFunc) {},
-		endBy: r.EndBy,
+		vars:   r.WriteMetrics, share: r.SetProcesses, yield: func(bool) {}, give: func(platform.HandoverFunc) {},
+		endBy: r.SetLifetime,
 	}, nil
 }
--- a/cmd/ashwood/notice.go
+++ b/cmd/ashwood/notice.go
@@ -158,7 +158,7 @@
 	for _, class := range set.Classes {
 		longest = max(longest, clock.Millis(class.Deadline))
 	}
-	return lifecycle.Told(n.told, longest)
+	return lifecycle.AfterSignal(n.told, longest)
 }
 
 func (n *notice) close() {
--- a/cmd/ashwood/notice_test.go
+++ b/cmd/ashwood/notice_test.go
@@ -29,7 +29,7 @@
 	} {
 		c := clock.NewManual(10000)
 		n := newNotice(context.Background(), c)
-		if l := n.lifetime(set); !l.Takes(1e12) {
+		if l := n.lifetime(set); !l.Admits(1e12) {
 			t.Errorf("%s: not told, it is %+v", tt.name, l)
 		}
 		n.stop() // of a process that does not run, no timer does
--- a/cmd/ashwood/versions.go
+++ b/cmd/ashwood/versions.go
@@ -66,7 +66,7 @@
 	}
 	begun := v.clock.Now()
 	for ctx.Err() == nil && v.clock.Now()-begun < noteWait {
-		if members, _ := v.group.Members(); handover.Noted(v.group.Self().Name, members) {
+		if members, _ := v.group.Members(); handover.NotedByAll(v.group.Self().Name, members) {
 			break
 		}
 		clock.Wait(ctx, v.clock, lookEvery/10)
@@ -105,12 +105,12 @@
 		v.log.Warn("upgrade: the others can't be seen", "err", err)
 		return
 	}
-	if plan := handover.Decide(v.group.Self().Name, members); plan != v.plan {
+	if plan := handover.MakePlan(v.group.Self().Name, members); plan != v.plan {
 		v.plan = plan
 		v.share()
-		v.log.Info("upgrade: processes of this gateway", "count", plan.Processes, "newer_one_serves", plan.Yield)
+		v.log.Info("upgrade: processes of this gateway", "count", plan.Processes, "newer_one_serves", plan.Superseded)
 	}
-	if err := v.group.Note(members); err != nil {
+	if err := v.group.NoteMembers(members); err != nil {
 		v.log.Warn("upgrade: the others can't be told", "err", err)
 	}
 }
@@ -120,7 +120,7 @@
 	debug.SetMemoryLimit(v.memory / int64(v.plan.Processes))
 	for _, f := range v.fronts {
 		f.share(v.plan.Processes)
-		f.yield(v.plan.Yield)
+		f.yield(v.plan.Superseded)
 	}
 }
 
@@ -129,7 +129,7 @@
 	if v.group == nil {
 		return
 	}
-	if err := v.group.Tell(s); err != nil {
+	if err := v.group.SetState(s); err != nil {
 		v.log.Warn("upgrade: the others can't be told", "err", err)
 	}
 }
@@ -162,7 +162,7 @@
 	if err != nil {
 		v.log.Warn("upgrade: the others can't be seen", "err", err)
 	}
-	heir, ok := handover.Heir(v.group.Self().Name, members)
+	heir, ok := handover.Successor(v.group.Self().Name, members)
 	if !ok {
 		return
 	}
--- a/contract/contract_test.go
+++ b/contract/contract_test.go
@@ -69,7 +69,7 @@
 
 func open(t *testing.T, name, text string) (*Target, *emulator.Emulator, *scenario.Plan) {
 	t.Helper()
-	return openThrough(t, name, text, rules.Patient(), func(_, addr string) string { return addr })
+	return openThrough(t, name, text, rules.RelaxedLimits(), func(_, addr string) string { return addr })
 }
 
 // openThrough opens a target that reaches its engines at the addresses that via gives.
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	em, err := emulator.New(emulator.Config{Plan: plan, GRPC: name == "grpc", Unlisted: true, Rules: limits})
+	em, err := emulator.New(emulator.Config{Plan: plan, GRPC: name == "grpc", StaticMembership: true, Rules: limits})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := em.Begin(); err != nil {
+	if err := em.Start(); err != nil {
 		t.Fatal(err)
 	}
 	return tg, em, plan
@@ -110,13 +110,13 @@
 		Request: &load.Request{Class: class, Session: id, PromptTokens: 200, MaxOutput: 30}, ID: id, Class: c, Remaining: remaining, Grace: 10000,
 	}
 	check := em.Rules()
-	out := tg.Client.Do(context.Background(), t, func() { check.Asked(0, id, c.Name, c.Effect == "side_effect", 0) })
-	check.Answered(out.End, id, out.Answer)
+	out := tg.Client.Do(context.Background(), t, func() { check.RequestSent(0, id, c.Name, c.Effect == "side_effect", 0) })
+	check.RequestAnswered(out.End, id, out.Answer)
 	if out.Corrupted != "" {
-		check.Spoilt(out.End, id, out.Corrupted)
+		check.AnswerCorrupted(out.End, id, out.Corrupted)
 	}
 	if out.Answer == rules.Timeout {
-		return rules.Error
+		return rules.Failure
 	}
 	return out.Answer
 }
@@ -135,13 +135,13 @@
 	{"writers turn all away", fault("turned-away", "decode-a", 1), rules.Refused, rules.Refused, 1500},
 	{"readers turn all away", fault("turned-away", "prefill", 1), rules.Refused, rules.Refused, 1500},
 	{"writers drain", fault("drain", "decode-a", 1), rules.Refused, rules.Refused, 1500},
-	{"writers fail", fault("errors", "decode-a", 1), rules.Refused, rules.Error, 20000},
+	{"writers fail", fault("errors", "decode-a", 1), rules.Refused, rules.Failure, 20000},
 	{"answers break after the first token", fault("break", "decode-a", 1), rules.Broken, rules.Broken, 20000},
-	{"answers begin with noise", fault("spoil-head", "decode-a", 1), rules.Refused, rules.Error, 20000},
+	{"answers begin with noise", fault("spoil-head", "decode-a", 1), rules.Refused, rules.Failure, 20000},
 	{"answers go on with noise", fault("spoil-chunk", "decode-a", 1), rules.Broken, rules.Broken, 20000},
 	{"readers are dead", fault("crash", "prefill", 1), rules.Refused, rules.Refused, 1500},
 	{"writers are dead", fault("crash", "decode-a", 1), rules.Refused, rules.Refused, 1500},
-	{"writers take work and never answer", fault("hang", "decode-a", 1), rules.Refused, rules.Error, 700},
+	{"writers take work and never answer", fault("hang", "decode-a", 1), rules.Refused, rules.Failure, 700},
 }
 
 // The same stories, the same answers, whichever way ashwood is used; and no order
@@ -178,10 +178,10 @@
 				if n := em.Rules().Counts().Doubles; n != 0 {
 					t.Errorf("%d orders ran twice", n)
 				}
-				for _, b := range em.Rules().Breaks() {
+				for _, b := range em.Rules().Violations() {
 					t.Errorf("rule %s: %s %v", b.Rule, b.Text, b.History)
 				}
-				if n := em.Held(); n != 0 && s.fault == "" {
+				if n := em.HoldCount(); n != 0 && s.fault == "" {
 					t.Errorf("%d are held", n)
 				}
 			})
@@ -224,11 +224,11 @@
 			if got[rules.Served]+got[rules.Refused] != n || got[rules.Served] < n/2 {
 				t.Errorf("%v", got)
 			}
-			for _, b := range em.Rules().Breaks() {
+			for _, b := range em.Rules().Violations() {
 				t.Errorf("rule %s: %s %v", b.Rule, b.Text, b.History)
 			}
-			if em.Held() != 0 {
-				t.Errorf("%d are held", em.Held())
+			if em.HoldCount() != 0 {
+				t.Errorf("%d are held", em.HoldCount())
 			}
 		})
 	}
--- a/contract/silent_test.go
+++ b/contract/silent_test.go
@@ -106,15 +106,15 @@
 // openHolding opens a target behind engines that can be stalled, where a state may be held for so many ms.
 func openHolding(t *testing.T, name string, held float64, decode *stallers) (*Target, *emulator.Emulator, *scenario.Plan) {
 	t.Helper()
-	limits := rules.Patient()
-	limits.Release = held
+	limits := rules.RelaxedLimits()
+	limits.ReleaseWithin = held
 	return openThrough(t, name, fleet, limits, decode.via)
 }
 
 // closeKept ends a target, of which no rule may have been broken.
 func closeKept(t *testing.T, tg *Target, em *emulator.Emulator) {
 	t.Helper()
-	for _, b := range em.Rules().Breaks() {
+	for _, b := range em.Rules().Violations() {
 		t.Errorf("rule %s: %s %v", b.Rule, b.Text, b.History)
 	}
 	tg.Client.Close()
@@ -171,7 +171,7 @@
 			}
 			decode.stall()
 			begun := time.Now()
-			if got := ask(tg, em, plan, order, "0000000000000002", patience); got != rules.Error {
+			if got := ask(tg, em, plan, order, "0000000000000002", patience); got != rules.Failure {
 				t.Errorf("an order at a stalled engine: %s", got)
 			}
 			if waited := time.Since(begun); waited < held*time.Millisecond {
--- a/contract/targets.go
+++ b/contract/targets.go
@@ -79,7 +79,7 @@
 
 // list is the emulator's boxes as the router wants them.
 func list(em *emulator.Emulator, grpc bool, via func(kind, addr string) string) (out router.Static) {
-	for _, b := range em.Boxes(0) {
+	for _, b := range em.Engines(0) {
 		addr := b.HTTP
 		if grpc {
 			addr = b.GRPC
@@ -180,9 +180,9 @@
 	case errors.As(err, &refused):
 		return load.Outcome{Answer: rules.Refused, End: d.clock.Now(), RetryAfter: refused.RetryAfter}
 	case errors.Is(err, router.ErrClientGone):
-		return load.Outcome{Answer: rules.Left, End: d.clock.Now()}
+		return load.Outcome{Answer: rules.ClientLeft, End: d.clock.Now()}
 	case err != nil:
-		return load.Outcome{Answer: rules.Error, End: d.clock.Now()}
+		return load.Outcome{Answer: rules.Failure, End: d.clock.Now()}
 	}
 	out = load.Outcome{Answer: rules.Served, First: d.clock.Now()}
 	var text bytes.Buffer
@@ -210,13 +210,13 @@
 		return nil, err
 	}
 	var known []map[string]any
-	for _, b := range em.Boxes(0) {
+	for _, b := range em.Engines(0) {
 		known = append(known, map[string]any{
 			"instanceId": b.ID, "hostPort": b.HTTP, "zone": b.Zone, "machineType": b.Kind, "cell": b.Cell, "lifecycle": "up", "weight": 1, "startedAtMs": 0,
 		})
 	}
 	raw, err := json.Marshal(map[string]any{
-		"name": "n0", "listen": "127.0.0.1:0", "discovery": em.Discovery(0), "seed": "1", "settings": plan.Settings(0),
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": em.DiscoveryAddr(0), "seed": "1", "settings": plan.Settings(0),
 		"known": map[string]any{"generation": 1, "reset": true, "instances": known},
 	})
 	if err != nil {
--- a/facade.go
+++ b/facade.go
@@ -134,7 +134,7 @@
 
 // Share sets how many processes, including this one, count as one node. Each of them uses
 // its part of the node's slow-start budget only.
-func (r *Router) Share(processes int) {
+func (r *Router) SetProcesses(processes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.scheduler.processes = float64(max(processes, 1))
--- a/gateway/fallback.go
+++ b/gateway/fallback.go
@@ -26,14 +26,14 @@
 	if r.fallback.Len() == 0 {
 		r.gateway.log.Info("no holder takes the release; trying all engines in turn", "id", id, "engines", len(r.listed))
 	}
-	r.fallback.Wait(r.gateway.clock.Now(), id, unanswered)
+	r.fallback.Add(r.gateway.clock.Now(), id, unanswered)
 }
 
 // moveRepeatsToFallback has other engines take the repeats that their own engines could not take, since a release
 // at any engine has all engines drop their holds. The caller holds the lock.
 func (r *releaser) moveRepeatsToFallback() {
-	for _, repeat := range r.ledger.Repeats() {
-		if r.fallback.Waits(repeat.Request) {
+	for _, repeat := range r.ledger.TakeRepeats() {
+		if r.fallback.Waiting(repeat.Request) {
 			continue
 		}
 		r.enqueueFallback(repeat.Request, nil)
@@ -57,7 +57,7 @@
 // startFallbackCalls starts the fallback calls that are due and returns the ms until the next check. The caller
 // holds the lock.
 func (r *releaser) startFallbackCalls() (next float64) {
-	calls, next := r.fallback.Due(r.gateway.clock.Now(), r.candidates)
+	calls, next := r.fallback.NextCalls(r.gateway.clock.Now(), r.candidates)
 	for _, call := range calls {
 		ctx, cancel := context.WithCancelCause(context.Background())
 		r.fallbackCalls[call] = cancel
@@ -85,7 +85,7 @@
 	err := r.callRelease(ctx, cancel, call.Engine, call.Request, 1, holderTimeout)
 	r.mu.Lock()
 	delete(r.fallbackCalls, call)
-	outcome := release.CallMade
+	outcome := release.CallAnswered
 	switch {
 	case err == nil:
 		r.dropFallback(call.Request)
@@ -145,7 +145,7 @@
 		return
 	}
 	for _, engine := range unconfirmed {
-		r.ledger.Resumed(r.gateway.clock.Now(), release.Key{Engine: engine.ID, Request: id})
+		r.ledger.RequestArrived(r.gateway.clock.Now(), release.Key{Engine: engine.ID, Request: id})
 	}
 	r.dispatchAndUnlock()
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -41,7 +41,7 @@
 	releaser       *releaser      // makes all release calls
 	liveness       *liveness
 	holdLog        *holdLog
-	metrics        *metrics.Set
+	metrics        *metrics.Counters
 	answerDeadline atomic.Uint64   // ms of the clock (bits of a float64) by which all requests are answered because the process ends; 0 = not set
 	progress       progressTracker // of engines with open answers
 }
@@ -104,7 +104,7 @@
 
 // Metrics returns this gateway's counters. The gateway counts attempts, and its callers, which
 // give the answers, count how requests end.
-func (g *Gateway) Metrics() *metrics.Set { return g.metrics }
+func (g *Gateway) Metrics() *metrics.Counters { return g.metrics }
 
 // Holds returns the number of holds that engines may have for requests, and the age of the oldest in ms.
 func (g *Gateway) Holds() (open int, oldest float64) { return g.holdLog.gauges() }
@@ -113,7 +113,7 @@
 func (g *Gateway) Engines() (listed, avoided int) { return g.router.CountEngines() }
 
 // Share sets how many processes count as this one gateway; see ashwood.Router.
-func (g *Gateway) Share(processes int) { g.router.Share(processes) }
+func (g *Gateway) SetProcesses(processes int) { g.router.SetProcesses(processes) }
 
 // SetAnswerDeadline sets the time, in ms of the clock, by which each request must have its answer
 // because the process ends; see ashwood.Router.
@@ -125,7 +125,7 @@
 // TurnAway counts a request that a front itself refuses because it has no capacity left, and returns
 // the time after which its client may retry, as RetryAfter does.
 func (g *Gateway) TurnAway(class string) float64 {
-	g.metrics.Ended(class, metrics.Throttled)
+	g.metrics.RequestEnded(class, metrics.Throttled)
 	return g.RetryAfter()
 }
 
@@ -211,7 +211,7 @@
 		OnSent: func() {
 			g.logRequestState(request, step, reqlog.Sent, "")
 			holds.attemptSent(step.Engine, step.Prefill)
-			g.metrics.Relayed(request.Class)
+			g.metrics.AttemptRelayed(request.Class)
 			if step.ReserveAt.ID != "" {
 				g.runInBackground(func() { g.reserve(attemptCtx, step, holds) })
 			}
@@ -254,7 +254,7 @@
 // logRequestState logs the state of a request's attempt, with the remaining time that the engine is given.
 func (g *Gateway) logRequestState(request *Request, step ashwood.Step, state reqlog.State, reason string) {
 	reqlog.Write(g.log, reqlog.Change{
-		ID: string(request.ID), Class: request.Class, State: state, Attempt: step.Attempt, Engine: string(step.Engine.ID), Left: step.Timeout, Reason: reason,
+		ID: string(request.ID), Class: request.Class, State: state, Attempt: step.Attempt, Engine: string(step.Engine.ID), Remaining: step.Timeout, Reason: reason,
 	})
 }
 
--- a/gateway/holdlog.go
+++ b/gateway/holdlog.go
@@ -26,7 +26,7 @@
 type holdLog struct {
 	log     *slog.Logger
 	clock   Clock
-	metrics *metrics.Set
+	metrics *metrics.Counters
 
 	mu            sync.Mutex
 	open          map[release.Key]openHold
@@ -40,7 +40,7 @@
 	reason holdReason
 }
 
-func newHoldLog(log *slog.Logger, clock Clock, counts *metrics.Set) *holdLog {
+func newHoldLog(log *slog.Logger, clock Clock, counts *metrics.Counters) *holdLog {
 	return &holdLog{log: log, clock: clock, metrics: counts, open: map[release.Key]openHold{}}
 }
 
@@ -75,7 +75,7 @@
 // flight and its engine has given no sign of it yet. Log lines are rate-limited and report the count
 // since the last one.
 func (l *holdLog) releasedWithAttemptInFlight(attempt release.Key, holds int) {
-	l.metrics.ReleasedBeside(holds)
+	l.metrics.HoldsReleasedUnanswered(holds)
 	now := l.clock.Now()
 	l.mu.Lock()
 	l.unloggedCount += holds
--- a/gateway/liveness_test.go
+++ b/gateway/liveness_test.go
@@ -80,7 +80,7 @@
 		t.Errorf("%d holds, the oldest for %v ms", open, oldest)
 	}
 	var text strings.Builder
-	if err := counts.Statsd(&text, "app", metrics.Gauges{Holds: 1, OldestHold: 2.4}); err != nil {
+	if err := counts.WriteStatsd(&text, "app", metrics.Gauges{OpenHolds: 1, OldestHoldAge: 2.4}); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"app.holds_ended.taken:1|c", "app.holds_ended.released:0|c", "app.holds_open:1|g", "app.holds_oldest_ms:2|g"} {
--- a/gateway/others.go
+++ b/gateway/others.go
@@ -25,13 +25,13 @@
 // what all engines hold: if none of these could be reached in time, substitutes are tried, and
 // the releases at the engines themselves stay pending.
 func (r *releaser) startRelease(id ashwood.RequestID, engines []ashwood.Server, uncertain bool) (wait func()) {
-	ends, timedOut := make(chan release.End, len(engines)), make(chan struct{})
+	ends, timedOut := make(chan release.EndReason, len(engines)), make(chan struct{})
 	timeout := float64(holderTimeout)
 	if r.allFailing(engines) {
 		timeout = 0
 	}
 	stop := r.gateway.clock.AfterFunc(timeout, func() { close(timedOut) })
-	r.enqueue(id, engines, uncertain, func(end release.End) { ends <- end })
+	r.enqueue(id, engines, uncertain, func(end release.EndReason) { ends <- end })
 	return func() {
 		defer stop()
 		r.awaitReleases(id, engines, ends, timedOut)
@@ -39,7 +39,7 @@
 }
 
 // awaitReleases waits for releases and, if they time out, releases at substitutes.
-func (r *releaser) awaitReleases(id ashwood.RequestID, engines []ashwood.Server, ends <-chan release.End, timedOut <-chan struct{}) {
+func (r *releaser) awaitReleases(id ashwood.RequestID, engines []ashwood.Server, ends <-chan release.EndReason, timedOut <-chan struct{}) {
 	delivered, pending := false, len(engines)
 	for waiting := true; waiting && pending > 0; {
 		select {
@@ -58,7 +58,9 @@
 		return
 	}
 	r.mu.Lock()
-	if !anyConclusive(ends) && slices.ContainsFunc(engines, func(engine ashwood.Server) bool { return r.ledger.Unmade(release.Key{Engine: engine.ID, Request: id}) }) {
+	if !anyConclusive(ends) && slices.ContainsFunc(engines, func(engine ashwood.Server) bool {
+		return r.ledger.Undelivered(release.Key{Engine: engine.ID, Request: id})
+	}) {
 		r.enqueueFallback(id, unanswered)
 	}
 	r.dispatchAndUnlock()
@@ -66,10 +68,12 @@
 
 // isConclusive reports whether after such an end nothing is left to release at any engine. The end of an engine that
 // restarted is not conclusive: it holds nothing itself, but others may.
-func isConclusive(end release.End) bool { return end == release.Made || end == release.Withdrawn }
+func isConclusive(end release.EndReason) bool {
+	return end == release.Delivered || end == release.Withdrawn
+}
 
 // anyConclusive reports whether one of the releases that have ended so far is conclusive.
-func anyConclusive(ends <-chan release.End) bool {
+func anyConclusive(ends <-chan release.EndReason) bool {
 	for {
 		select {
 		case end := <-ends:
@@ -85,7 +89,7 @@
 // releaseAtSubstitutes releases at a few substitutes and reports whether any engine, a holder included, has taken the
 // release. If none has, it returns the substitutes to which the call was written without an answer. While a search for any
 // answering engine is under way, it leaves the request to that search.
-func (r *releaser) releaseAtSubstitutes(id ashwood.RequestID, engines []ashwood.Server, ends <-chan release.End) (delivered bool, unanswered []ashwood.ServerID) {
+func (r *releaser) releaseAtSubstitutes(id ashwood.RequestID, engines []ashwood.Server, ends <-chan release.EndReason) (delivered bool, unanswered []ashwood.ServerID) {
 	excluded, silentZones := map[ashwood.ServerID]bool{}, map[string]bool{}
 	targets := engines
 	for round := 0; round < substituteRounds && !r.searching(); round++ {
--- a/gateway/owner.go
+++ b/gateway/owner.go
@@ -46,11 +46,11 @@
 	// fallback holds the releases that no engine has taken, and fallbackCalls their calls in flight.
 	fallback         *release.Fallback
 	fallbackCalls    map[release.FallbackCall]context.CancelCauseFunc
-	onEnd            map[release.Key][]func(release.End)     // callbacks for the end of a release
-	holderCalls      map[release.Key]context.CancelCauseFunc // calls in flight that the ledger asked for
-	recentlyAnswered []ashwood.Server                        // engines that have answered and not failed since, the latest first
-	listed           map[ashwood.ServerID]ashwood.Server     // engines that accept new work by the last membership update
-	zone             string                                  // zone of this gateway
+	onEnd            map[release.Key][]func(release.EndReason) // callbacks for the end of a release
+	holderCalls      map[release.Key]context.CancelCauseFunc   // calls in flight that the ledger asked for
+	recentlyAnswered []ashwood.Server                          // engines that have answered and not failed since, the latest first
+	listed           map[ashwood.ServerID]ashwood.Server       // engines that accept new work by the last membership update
+	zone             string                                    // zone of this gateway
 	rand             *rand.Rand
 	stopTimer        func() bool   // stops the timer of the next dispatch
 	idle             chan struct{} // closed when the gateway stops and no release is pending
@@ -60,26 +60,26 @@
 	random := rand.New(rand.NewSource(seed))
 	backoffForFleet := releaseBackoffPerNode * float64(settings.Nodes)
 	ledger := release.New(release.Config{
-		First: releaseBackoffMin, Last: max(releaseBackoffMax, backoffForFleet), MaxAge: releaseMaxAge, Most: maxPendingReleases,
-		Again: []float64{firstRepeatDelay, secondRepeatDelay}, Rand: random,
+		MinBackoff: releaseBackoffMin, MaxBackoff: max(releaseBackoffMax, backoffForFleet), MaxAge: releaseMaxAge, MaxPending: maxPendingReleases,
+		RepeatDelays: []float64{firstRepeatDelay, secondRepeatDelay}, Rand: random,
 	})
 	return &releaser{
-		gateway: g, zone: settings.Zone, rand: random, listed: map[ashwood.ServerID]ashwood.Server{}, onEnd: map[release.Key][]func(release.End){},
+		gateway: g, zone: settings.Zone, rand: random, listed: map[ashwood.ServerID]ashwood.Server{}, onEnd: map[release.Key][]func(release.EndReason){},
 		holderCalls: map[release.Key]context.CancelCauseFunc{}, fallbackCalls: map[release.FallbackCall]context.CancelCauseFunc{}, stopTimer: func() bool { return true },
 		ledger: ledger,
 		fallback: release.NewFallback(release.FallbackConfig{
-			AtOnce: searchConcurrency, Every: max(searchInterval, backoffForFleet), MaxAge: releaseMaxAge, Most: maxPendingReleases, Rand: random, Called: ledger.Owes, Owed: ledger.Unmade,
+			MaxSearchCalls: searchConcurrency, PassInterval: max(searchInterval, backoffForFleet), MaxAge: releaseMaxAge, MaxWaiting: maxPendingReleases, Rand: random, CalledElsewhere: ledger.HasPending, PendingAt: ledger.Undelivered,
 		}),
 	}
 }
 
 // enqueue makes a release pending at each of the engines until it has ended. It then calls onEnd
 // without holding a lock. For uncertain, see package release.
-func (r *releaser) enqueue(id ashwood.RequestID, engines []ashwood.Server, uncertain bool, onEnd func(release.End)) {
+func (r *releaser) enqueue(id ashwood.RequestID, engines []ashwood.Server, uncertain bool, onEnd func(release.EndReason)) {
 	r.mu.Lock()
 	for _, engine := range engines {
 		key := release.Key{Engine: engine.ID, Request: id}
-		r.ledger.Owe(r.gateway.clock.Now(), engine, id, uncertain)
+		r.ledger.Add(r.gateway.clock.Now(), engine, id, uncertain)
 		r.onEnd[key] = append(r.onEnd[key], onEnd)
 	}
 	r.dispatchAndUnlock()
@@ -114,7 +114,7 @@
 			continue
 		}
 		pending = true
-		if cancel := r.holderCalls[key]; paused && cancel != nil && !r.ledger.Unmade(key) {
+		if cancel := r.holderCalls[key]; paused && cancel != nil && !r.ledger.Undelivered(key) {
 			cancel(errWithdrawn)
 		}
 	}
@@ -133,12 +133,12 @@
 		clear(r.listed)
 	}
 	for _, engine := range engines {
-		r.ledger.Started(now, engine.ID, clock.Millis(engine.Started))
+		r.ledger.EngineRestarted(now, engine.ID, clock.Millis(engine.Started))
 		if delete(r.listed, engine.ID); engine.State == ashwood.StateActive {
 			r.listed[engine.ID] = engine
 		}
 		if engine.State == ashwood.StateRemoved {
-			r.ledger.Left(engine.ID)
+			r.ledger.EngineRemoved(engine.ID)
 			r.fallback.Unreachable(engine.ID)
 			r.gateway.liveness.forget(engine.ID)
 		}
@@ -148,8 +148,8 @@
 		for _, engine := range engines {
 			listed[engine.ID] = true
 		}
-		r.ledger.Missing(listed)
-		r.fallback.Keep(listed)
+		r.ledger.MarkAbsent(listed)
+		r.fallback.RetainOnly(listed)
 	}
 	r.dispatchAndUnlock()
 }
@@ -157,15 +157,15 @@
 // dispatchAndUnlock starts the calls that are due and runs the callbacks of releases that have ended. The caller holds
 // the lock, which it releases.
 func (r *releaser) dispatchAndUnlock() {
-	calls, next := r.ledger.Due(r.gateway.clock.Now())
-	ended := r.ledger.Ended()
+	calls, next := r.ledger.NextCalls(r.gateway.clock.Now())
+	ended := r.ledger.TakeEnded()
 	var callbacks []func()
 	for _, end := range ended {
 		for _, onEnd := range r.onEnd[end.Key] {
-			callbacks = append(callbacks, func() { onEnd(end.End) })
+			callbacks = append(callbacks, func() { onEnd(end.Reason) })
 		}
 		delete(r.onEnd, end.Key)
-		if end.End == release.Made { // this releases the holds at all engines
+		if end.Reason == release.Delivered { // this releases the holds at all engines
 			r.dropFallback(end.Request)
 		}
 	}
@@ -198,9 +198,9 @@
 }
 
 // holdEndOf translates the end of a release into the end of the hold.
-func holdEndOf(end release.End) metrics.HoldEnd {
+func holdEndOf(end release.EndReason) metrics.HoldEnd {
 	switch end {
-	case release.Made:
+	case release.Delivered:
 		return metrics.HoldReleased
 	case release.Withdrawn:
 		return metrics.HoldResent
@@ -211,14 +211,14 @@
 }
 
 // recordEnd logs how a release has ended, as a warning if it was given up.
-func (r *releaser) recordEnd(ended release.Ended) {
-	r.gateway.holdLog.ended(ended.Key, holdEndOf(ended.End))
-	switch ended.End {
-	case release.TooOld, release.Crowded:
+func (r *releaser) recordEnd(ended release.EndedRelease) {
+	r.gateway.holdLog.ended(ended.Key, holdEndOf(ended.Reason))
+	switch ended.Reason {
+	case release.Expired, release.Evicted:
 		r.gateway.log.Warn("release given up", // the engine may continue to hold something
-			"id", ended.Request, "engine", ended.Engine, "why", ended.End.String(), "ms", ended.Age)
+			"id", ended.Request, "engine", ended.Engine, "why", ended.Reason.String(), "ms", ended.Age)
 	default:
-		r.gateway.log.Debug("released", "id", ended.Request, "engine", ended.Engine, "end", ended.End.String(), "ms", ended.Age)
+		r.gateway.log.Debug("released", "id", ended.Request, "engine", ended.Engine, "end", ended.Reason.String(), "ms", ended.Age)
 	}
 }
 
@@ -228,11 +228,11 @@
 	r.mu.Lock()
 	delete(r.holderCalls, call.Key)
 	if err != nil && context.Cause(ctx) == errWithdrawn {
-		r.ledger.Void(call)
+		r.ledger.Discard(call)
 	} else {
 		r.ledger.Done(r.gateway.clock.Now(), call, err == nil)
 	}
-	if err == nil && !r.ledger.Unmade(call.Key) { // this releases the holds at all engines
+	if err == nil && !r.ledger.Undelivered(call.Key) { // this releases the holds at all engines
 		r.dropFallback(call.Request)
 	}
 	r.dispatchAndUnlock()
@@ -299,7 +299,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, engine := range engines {
-		if r.ledger.Unmade(release.Key{Engine: engine.ID, Request: id}) {
+		if r.ledger.Undelivered(release.Key{Engine: engine.ID, Request: id}) {
 			undelivered = append(undelivered, engine)
 		}
 	}
--- a/internal/grpcfront/boxes.go
+++ b/internal/grpcfront/boxes.go
@@ -42,7 +42,7 @@
 
 // Boxes is the transport to model boxes: one connection to each carries all
 // its calls.
-type Boxes struct {
+type Engines struct {
 	clock   clock.Clock
 	creds   credentials.TransportCredentials
 	connect float64
@@ -79,17 +79,17 @@
 }
 
 // NewBoxes makes a transport.
-func NewBoxes(set ashwood.Settings, creds credentials.TransportCredentials, c clock.Clock) *Boxes {
+func NewEngines(set ashwood.Settings, creds credentials.TransportCredentials, c clock.Clock) *Engines {
 	connect := clock.Millis(set.Limits.ConnectTimeout)
 	if connect <= 0 {
 		connect = defaultConnect
 	}
-	return &Boxes{clock: c, creds: creds, connect: connect, conns: map[string]*boxConn{}}
+	return &Engines{clock: c, creds: creds, connect: connect, conns: map[string]*boxConn{}}
 }
 
 // Keep forgets the boxes that a whole list no longer names. Their connections
 // are closed only after a while, since answers may still come over them.
-func (b *Boxes) Keep(list []ashwood.Server) {
+func (b *Engines) RetainOnly(list []ashwood.Server) {
 	named := map[string]bool{}
 	for _, v := range list {
 		named[v.Address] = true
@@ -100,13 +100,13 @@
 }
 
 // Close closes all connections.
-func (b *Boxes) Close() {
+func (b *Engines) Close() {
 	for _, cc := range b.forget(func(string) bool { return true }) {
 		cc.Close()
 	}
 }
 
-func (b *Boxes) forget(which func(addr string) bool) (list []*boxConn) {
+func (b *Engines) forget(which func(addr string) bool) (list []*boxConn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for addr, cc := range b.conns {
@@ -120,7 +120,7 @@
 
 // conn gives a box's connection once it is up. An error proves that nothing
 // was sent.
-func (b *Boxes) conn(ctx context.Context, addr string) (*grpc.ClientConn, error) {
+func (b *Engines) conn(ctx context.Context, addr string) (*grpc.ClientConn, error) {
 	cc, err := b.client(addr)
 	if err != nil {
 		return nil, err
@@ -129,7 +129,7 @@
 }
 
 // connected gives a connection once it is up.
-func (b *Boxes) connected(ctx context.Context, cc *boxConn, addr string) (*grpc.ClientConn, error) {
+func (b *Engines) connected(ctx context.Context, cc *boxConn, addr string) (*grpc.ClientConn, error) {
 	if cc.GetState() == connectivity.Ready {
 		return cc.ClientConn, nil
 	}
@@ -162,7 +162,7 @@
 	}
 }
 
-func (b *Boxes) client(addr string) (*boxConn, error) {
+func (b *Engines) client(addr string) (*boxConn, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if cc := b.conns[addr]; cc != nil {
@@ -177,7 +177,7 @@
 }
 
 // newClient gives a connection of its own to an address, which is not up yet.
-func (b *Boxes) newClient(addr string) (*boxConn, error) {
+func (b *Engines) newClient(addr string) (*boxConn, error) {
 	// The library may send a call again only where the box has not taken it up;
 	// retries by policy are off.
 	c := &boxConn{failed: make(chan struct{})}
@@ -220,7 +220,7 @@
 // open writes a call whole. An error proves that it did not reach the box:
 // grpc hands the message over whole or not at all. What headers gives goes with it, worked out
 // once the connection is up.
-func (b *Boxes) open(
+func (b *Engines) open(
 	ctx context.Context, box ashwood.Server, method string, msg any, ready func() bool, headers ...func() (name, value string),
 ) (*call, error) {
 	cc, err := b.conn(ctx, box.Address)
@@ -261,7 +261,7 @@
 func always() bool { return true }
 
 // Send carries out an attempt.
-func (b *Boxes) Send(ctx context.Context, a gateway.Attempt) gateway.AttemptResult {
+func (b *Engines) Send(ctx context.Context, a gateway.Attempt) gateway.AttemptResult {
 	method := ashwoodpb.Box_Write_FullMethodName
 	if a.Prefill {
 		method = ashwoodpb.Box_Read_FullMethodName
@@ -293,7 +293,7 @@
 }
 
 // Reserve asks a writer to hold a place.
-func (b *Boxes) Reserve(ctx context.Context, box ashwood.Server, id ashwood.RequestID, ready func() bool) gateway.ReserveResult {
+func (b *Engines) Reserve(ctx context.Context, box ashwood.Server, id ashwood.RequestID, ready func() bool) gateway.ReserveResult {
 	c, err := b.open(ctx, box, ashwoodpb.Box_Reserve_FullMethodName, &ashwoodpb.RoomRequest{RequestId: string(id)}, ready)
 	if err != nil {
 		return gateway.ReserveNotSent
@@ -310,7 +310,7 @@
 
 // Release lets go of what a box holds for a request. After a try without an answer it goes on a connection of its own:
 // the box's may have gone silent alone, which the library's pings tell much later.
-func (b *Boxes) Release(ctx context.Context, box ashwood.Server, id ashwood.RequestID, fresh bool) error {
+func (b *Engines) Release(ctx context.Context, box ashwood.Server, id ashwood.RequestID, fresh bool) error {
 	connect := b.client
 	if fresh {
 		connect = b.newClient
@@ -342,7 +342,7 @@
 }
 
 // Probe asks a box for its load.
-func (b *Boxes) Probe(ctx context.Context, box ashwood.Server) (ashwood.Status, ashwood.Report) {
+func (b *Engines) Probe(ctx context.Context, box ashwood.Server) (ashwood.Status, ashwood.Report) {
 	c, err := b.open(ctx, box, ashwoodpb.Box_Load_FullMethodName, &ashwoodpb.LoadRequest{}, always)
 	if err != nil {
 		return ashwood.StatusConnectFailed, nil
--- a/internal/grpcfront/harness_test.go
+++ b/internal/grpcfront/harness_test.go
@@ -39,7 +39,7 @@
 	waiting  chan string         // requests that a box keeps without an answer
 	last     *ashwoodpb.GenerateRequest
 	freed    chan struct{} // gets a value with each release
-	boxes    *Boxes        // the gateway's transport to them
+	boxes    *Engines      // the gateway's transport to them
 	list     []ashwood.Server
 	front    *Server
 	second   chan struct{} // a value lets an answer go on after its first token
@@ -111,7 +111,7 @@
 		case in.Session == "error after first":
 			return status.Error(codes.DataLoss, "broke in the middle")
 		case in.Session == "removed" && i == 0:
-			b.boxes.Keep(nil)
+			b.boxes.RetainOnly(nil)
 		case in.Session == "halved" && i == 0:
 			<-b.second
 		case in.Session == "endless":
@@ -192,7 +192,7 @@
 		f.list = append(f.list, ashwood.Server{ID: ashwood.ServerID(name), Kind: kind, State: ashwood.StateActive, Address: l.Addr().String()})
 	}
 	log := slog.New(slog.DiscardHandler)
-	f.boxes = NewBoxes(settings(), insecure.NewCredentials(), c)
+	f.boxes = NewEngines(settings(), insecure.NewCredentials(), c)
 	t.Cleanup(f.boxes.Close)
 	gw, err := gateway.New(settings(), 1, f.boxes, c, log)
 	if err != nil {
--- a/internal/grpcfront/release_test.go
+++ b/internal/grpcfront/release_test.go
@@ -29,19 +29,19 @@
 }
 
 // openReleaser starts a box and a transport to it.
-func openReleaser(t *testing.T, l net.Listener, answer func(context.Context) error) *Boxes {
+func openReleaser(t *testing.T, l net.Listener, answer func(context.Context) error) *Engines {
 	t.Helper()
 	s := grpc.NewServer()
 	ashwoodpb.RegisterBoxServer(s, &releaser{answer: answer})
 	go s.Serve(l)
 	t.Cleanup(s.Stop)
-	boxes := NewBoxes(settings(), insecure.NewCredentials(), clock.System())
+	boxes := NewEngines(settings(), insecure.NewCredentials(), clock.System())
 	t.Cleanup(boxes.Close)
 	return boxes
 }
 
 // release makes one call as the gateway does, bounded in time.
-func release(t *testing.T, boxes *Boxes, address string, fresh bool, within time.Duration) error {
+func release(t *testing.T, boxes *Engines, address string, fresh bool, within time.Duration) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), within)
 	defer cancel()
--- a/internal/grpcfront/remaining_test.go
+++ b/internal/grpcfront/remaining_test.go
@@ -46,7 +46,7 @@
 	ashwoodpb.RegisterBoxServer(s, box)
 	go s.Serve(l)
 	t.Cleanup(s.Stop)
-	boxes := NewBoxes(settings(), insecure.NewCredentials(), slowly{clock.NewManual(0)})
+	boxes := NewEngines(settings(), insecure.NewCredentials(), slowly{clock.NewManual(0)})
 	t.Cleanup(boxes.Close)
 	answer := boxes.Send(t.Context(), gateway.Attempt{
 		Request: &gateway.Request{RequestInfo: ashwood.RequestInfo{ID: "q", Class: "case-chat"}},
--- a/internal/grpcfront/server.go
+++ b/internal/grpcfront/server.go
@@ -126,7 +126,7 @@
 	if err != nil {
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
-	reqlog.Write(s.log, reqlog.Change{ID: string(req.ID), Class: req.Class, State: reqlog.Read, Left: req.Remaining})
+	reqlog.Write(s.log, reqlog.Change{ID: string(req.ID), Class: req.Class, State: reqlog.Read, Remaining: req.Remaining})
 	reply, err := s.gw.Serve(ss.Context(), req)
 	switch {
 	case errors.Is(err, ashwood.ErrDuplicate):
--- a/internal/handover/group.go
+++ b/internal/handover/group.go
@@ -33,11 +33,11 @@
 
 // Member is a living process of the gateway.
 type Member struct {
-	Name  string  `json:"name"`
-	Since float64 `json:"since"` // ms of its start, by the machine's clock
-	State State   `json:"state"`
+	Name      string  `json:"name"`
+	StartedAt float64 `json:"since"` // ms of its start, by the machine's clock
+	State     State   `json:"state"`
 	// Sees are the members that it had taken note of, itself among them.
-	Sees []string `json:"sees"`
+	Noted []string `json:"sees"`
 }
 
 const (
@@ -61,7 +61,7 @@
 func Join(dir, address, name string, since float64) (*Group, error) {
 	h := fnv.New64a()
 	h.Write([]byte(address))
-	g := &Group{dir: filepath.Join(dir, fmt.Sprintf("ashwood-%016x", h.Sum64())), self: Member{Name: name, Since: since, State: Starting}}
+	g := &Group{dir: filepath.Join(dir, fmt.Sprintf("ashwood-%016x", h.Sum64())), self: Member{Name: name, StartedAt: since, State: Starting}}
 	if err := os.MkdirAll(g.dir, 0o700); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
@@ -94,7 +94,7 @@
 }
 
 // Tell says how far this process has come.
-func (g *Group) Tell(s State) error {
+func (g *Group) SetState(s State) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.self.State = s
@@ -109,17 +109,17 @@
 }
 
 // Note says which members this process has taken note of, once it acts on it.
-func (g *Group) Note(members []Member) error {
+func (g *Group) NoteMembers(members []Member) error {
 	sees := make([]string, len(members))
 	for i, m := range members {
 		sees[i] = m.Name
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if slices.Equal(sees, g.self.Sees) {
+	if slices.Equal(sees, g.self.Noted) {
 		return nil
 	}
-	g.self.Sees = sees
+	g.self.Noted = sees
 	return g.write()
 }
 
@@ -130,7 +130,7 @@
 		return fmt.Errorf("handover: %w", err)
 	}
 	if len(raw) > fileBytes {
-		return fmt.Errorf("handover: %d members are too many to tell of", len(g.self.Sees))
+		return fmt.Errorf("handover: %d members are too many to tell of", len(g.self.Noted))
 	}
 	text := append(raw, strings.Repeat(" ", fileBytes-len(raw))...)
 	if _, err := g.file.WriteAt(text, 0); err != nil {
@@ -158,7 +158,7 @@
 		}
 	}
 	slices.SortFunc(members, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(a.Name, b.Name))
 	})
 	return members, nil
 }
--- a/internal/handover/group_test.go
+++ b/internal/handover/group_test.go
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	defer other.Leave()
-	if err := b.Tell(Serving); err != nil {
+	if err := b.SetState(Serving); err != nil {
 		t.Fatal(err)
 	}
 	for name, text := range map[string]string{"stale.member": `{"name":"stale","state":"serving"}`, "new-123": "", "x": "y"} {
@@ -79,10 +79,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := g.Note(members); err != nil {
+		if err := g.NoteMembers(members); err != nil {
 			t.Fatal(err)
 		}
-		return Decide(g.Self().Name, members)
+		return MakePlan(g.Self().Name, members)
 	}
 	want := func(g *Group, p Plan) {
 		t.Helper()
@@ -91,33 +91,33 @@
 		}
 	}
 	members, _ := fresh.Members()
-	if Noted("new", members) {
+	if NotedByAll("new", members) {
 		t.Error("noted before the other has looked")
 	}
-	old.Tell(Serving)
+	old.SetState(Serving)
 	want(old, Plan{Processes: 2})
-	if members, _ = fresh.Members(); !Noted("new", members) {
+	if members, _ = fresh.Members(); !NotedByAll("new", members) {
 		t.Error("the other has looked, and it is not noted")
 	}
 	want(fresh, Plan{Processes: 2})
-	fresh.Tell(Serving)
-	want(old, Plan{Processes: 2, Yield: true})
+	fresh.SetState(Serving)
+	want(old, Plan{Processes: 2, Superseded: true})
 	want(fresh, Plan{Processes: 2}) // an older one that serves is nobody to yield to
 	third := join(t, dir, "third", 3)
 	want(fresh, Plan{Processes: 3})
-	third.Tell(Serving)
-	want(fresh, Plan{Processes: 3, Yield: true})
+	third.SetState(Serving)
+	want(fresh, Plan{Processes: 3, Superseded: true})
 	members, _ = old.Members()
-	if heir, ok := Heir("old", members); heir != "third" || !ok {
+	if heir, ok := Successor("old", members); heir != "third" || !ok {
 		t.Errorf("the oldest's heir is %q, %v", heir, ok)
 	}
-	if heir, ok := Heir("third", members); ok {
+	if heir, ok := Successor("third", members); ok {
 		t.Errorf("the newest's heir is %q", heir)
 	}
 	if err := third.Leave(); err != nil {
 		t.Fatal(err)
 	}
-	fresh.Tell(Leaving)
+	fresh.SetState(Leaving)
 	want(old, Plan{Processes: 2})
 	fresh.file.Close()
 	want(old, Plan{Processes: 1})
--- a/internal/handover/plan.go
+++ b/internal/handover/plan.go
@@ -4,24 +4,24 @@
 
 // Plan is what a process does by the members that live.
 type Plan struct {
-	Processes int  // that share the gateway's part, this one among them
-	Yield     bool // a newer one takes clients: this one sends its own there
+	Processes  int  // that share the gateway's part, this one among them
+	Superseded bool // a newer one takes clients: this one sends its own there
 }
 
 // Decide gives a process's plan. Members are as Group.Members gives them, oldest first. A
 // process that starts counts from its first sign, before it takes any client, and one that
 // leaves until it is gone.
-func Decide(self string, members []Member) Plan {
+func MakePlan(self string, members []Member) Plan {
 	p := Plan{Processes: max(len(members), 1)}
 	at := slices.IndexFunc(members, func(m Member) bool { return m.Name == self })
 	for _, m := range members[at+1:] {
-		p.Yield = p.Yield || m.State == Serving
+		p.Superseded = p.Superseded || m.State == Serving
 	}
 	return p
 }
 
 // Heir is the newest process that serves, if one newer than this does.
-func Heir(self string, members []Member) (name string, ok bool) {
+func Successor(self string, members []Member) (name string, ok bool) {
 	at := slices.IndexFunc(members, func(m Member) bool { return m.Name == self })
 	for _, m := range members[at+1:] {
 		if m.State == Serving {
@@ -32,8 +32,8 @@
 }
 
 // Noted tells whether all others have taken note of a process.
-func Noted(self string, members []Member) bool {
+func NotedByAll(self string, members []Member) bool {
 	return !slices.ContainsFunc(members, func(m Member) bool {
-		return m.Name != self && !slices.Contains(m.Sees, self)
+		return m.Name != self && !slices.Contains(m.Noted, self)
 	})
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -9,13 +9,13 @@
 )
 
 // End is how a request ended.
-type End int
+type RequestEnd int
 
 // The ends. A request whose client has left first has none of them.
 const (
-	Fulfilled End = iota // served: the answer has been passed on to its end
-	Throttled            // refused, by the module, a limit, a stop, or a front that has no room
-	Faulted              // failed: answered so, or its answer broke after it had begun
+	Fulfilled RequestEnd = iota // served: the answer has been passed on to its end
+	Throttled                   // refused, by the module, a limit, a stop, or a front that has no room
+	Faulted                     // failed: answered so, or its answer broke after it had begun
 	ends
 )
 
@@ -40,7 +40,7 @@
 // Set holds the counts of one router since its start, by class of requests. What is of no
 // known class is counted nowhere, nor is what never became a request (a framing or a field
 // that can't be read): it has no class that could be believed.
-type Set struct {
+type Counters struct {
 	names    []string
 	classes  map[string]*class
 	holdEnds [holdEnds]atomic.Uint64
@@ -53,8 +53,8 @@
 }
 
 // New makes a set of counts, all zero, for these classes, which are shown in this order.
-func New(classes []string) *Set {
-	s := &Set{names: classes, classes: map[string]*class{}}
+func New(classes []string) *Counters {
+	s := &Counters{names: classes, classes: map[string]*class{}}
 	for _, name := range classes {
 		s.classes[name] = &class{}
 	}
@@ -63,7 +63,7 @@
 
 // Ended counts a request's one final answer, at the moment when it is given or, where
 // that is a stream, over.
-func (s *Set) Ended(name string, how End) {
+func (s *Counters) RequestEnded(name string, how RequestEnd) {
 	if c := s.classes[name]; c != nil && how >= 0 && how < ends {
 		c.ended[how].Add(1)
 	}
@@ -71,34 +71,34 @@
 
 // Relayed counts an attempt whose last byte has been written to an engine, whatever
 // comes of it. Probes, places and releases are none.
-func (s *Set) Relayed(name string) {
+func (s *Counters) AttemptRelayed(name string) {
 	if c := s.classes[name]; c != nil {
 		c.relayed.Add(1)
 	}
 }
 
 // HoldEnded counts the end of a hold.
-func (s *Set) HoldEnded(how HoldEnd) {
+func (s *Counters) HoldEnded(how HoldEnd) {
 	if how >= 0 && how < holdEnds {
 		s.holdEnds[how].Add(1)
 	}
 }
 
 // ReleasedBeside counts holds released while an attempt for their request was out and unanswered.
-func (s *Set) ReleasedBeside(holds int) { s.released.Add(uint64(holds)) }
+func (s *Counters) HoldsReleasedUnanswered(holds int) { s.released.Add(uint64(holds)) }
 
 // Gauges are the values of this moment.
 type Gauges struct {
-	Open       int     // requests taken and not ended
-	Listed     int     // engines in the list
-	Avoided    int     // of them, those that the decisions avoid now
-	Holds      int     // what engines may hold for requests, as far as this process knows
-	OldestHold float64 // ms for which the oldest of them has stood
+	OpenRequests   int     // requests taken and not ended
+	Engines        int     // engines in the list
+	EnginesAvoided int     // of them, those that the decisions avoid now
+	OpenHolds      int     // what engines may hold for requests, as far as this process knows
+	OldestHoldAge  float64 // ms for which the oldest of them has stood
 }
 
 // Statsd writes all metrics in the form name:value|kind, one a line, names behind
 // prefix. Counts may be of slightly different moments; each only grows.
-func (s *Set) Statsd(w io.Writer, prefix string, g Gauges) error {
+func (s *Counters) WriteStatsd(w io.Writer, prefix string, g Gauges) error {
 	for _, name := range s.names {
 		c := s.classes[name]
 		for _, f := range []struct {
@@ -114,7 +114,7 @@
 		}
 	}
 	_, err := fmt.Fprintf(w, "%s.open_requests:%d|g\n%s.registry_entries:%d|g\n%s.out_of_rotation:%d|g\n",
-		prefix, g.Open, prefix, g.Listed, prefix, g.Avoided)
+		prefix, g.OpenRequests, prefix, g.Engines, prefix, g.EnginesAvoided)
 	if err != nil {
 		return fmt.Errorf("metrics: %w", err)
 	}
@@ -122,14 +122,14 @@
 }
 
 // holds writes the figures of held state.
-func (s *Set) holds(w io.Writer, prefix string, g Gauges) error {
+func (s *Counters) holds(w io.Writer, prefix string, g Gauges) error {
 	for how := range holdEnds {
 		if _, err := fmt.Fprintf(w, "%s.holds_ended.%s:%d|c\n", prefix, how, s.holdEnds[how].Load()); err != nil {
 			return fmt.Errorf("metrics: %w", err)
 		}
 	}
 	_, err := fmt.Fprintf(w, "%s.holds_released_unanswered:%d|c\n%s.holds_open:%d|g\n%s.holds_oldest_ms:%.0f|g\n",
-		prefix, s.released.Load(), prefix, g.Holds, prefix, g.OldestHold)
+		prefix, s.released.Load(), prefix, g.OpenHolds, prefix, g.OldestHoldAge)
 	if err != nil {
 		return fmt.Errorf("metrics: %w", err)
 	}
--- a/internal/pacing/reopen.go
+++ b/internal/pacing/reopen.go
@@ -47,13 +47,13 @@
 	if maxDelayMs > 0 {
 		s.maxDelay = min(s.maxDelay, maxDelayMs)
 	}
-	s.Share(1)
+	s.SetProcesses(1)
 	return s
 }
 
 // Share sets how many processes make calls on behalf of one gateway. With a shared discovery
 // service each makes its part of the calls, as far as the longest permitted delay allows.
-func (s *WatchSchedule) Share(processes int) {
+func (s *WatchSchedule) SetProcesses(processes int) {
 	if !s.shared {
 		return
 	}
--- a/internal/pacing/reopen_test.go
+++ b/internal/pacing/reopen_test.go
@@ -53,7 +53,7 @@
 						to := from + 1000 + 19000*r.Float64()
 						changed := from + (to+3000-from)*r.Float64()
 						schedule := NewWatchSchedule(gateways, shared, 10000, r)
-						schedule.Share(1 + int(seed)%2)
+						schedule.SetProcesses(1 + int(seed)%2)
 						received, silent := simulateOutage(schedule, from, to, changed, fails)
 						// From the earliest time at which the update can be received to the time by which it counts as received.
 						deadline := max(changed, to)
@@ -85,7 +85,7 @@
 	for _, gateways := range []int{4, 80, 300} {
 		for _, processes := range []int{1, 2, 3} {
 			schedule, sum := NewWatchSchedule(gateways, true, 10000, rand.New(rand.NewSource(7))), 0.0
-			schedule.Share(processes)
+			schedule.SetProcesses(processes)
 			const calls = 50
 			for range calls {
 				sum += schedule.Failed(false)
@@ -100,7 +100,7 @@
 		}
 	}
 	agent := NewWatchSchedule(300, false, 10000, rand.New(rand.NewSource(7)))
-	agent.Share(2)
+	agent.SetProcesses(2)
 	for call := range 2 {
 		if wait := agent.Failed(true); wait > agentMaxDelay {
 			t.Errorf("failed call %d: delay %v ms with an agent of the gateway's own", call, wait)
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -52,7 +52,7 @@
 }
 
 // Share sets how many processes, including this one, poll on behalf of one gateway.
-func (d *Discovery) Share(processes int) { d.processes.Store(int32(processes)) }
+func (d *Discovery) SetProcesses(processes int) { d.processes.Store(int32(processes)) }
 
 // ResumeFrom sets the version of the membership that the gateway already has, so that Run
 // watches for changes from there.
@@ -110,7 +110,7 @@
 		start := d.clock.Now()
 		wait, timeout := d.schedule.NextTimeouts()
 		targets, err := fetchMembership(client, generation, hasMembership, wait, timeout)
-		d.log.Debug("list", "from", generation, "watch", hasMembership, "generation", targets.Generation, "whole", targets.Whole, "entries", len(targets.Engines),
+		d.log.Debug("list", "from", generation, "watch", hasMembership, "generation", targets.Generation, "whole", targets.Snapshot, "entries", len(targets.Engines),
 			"ms", d.clock.Now()-start, "err", err)
 		if ctx.Err() != nil {
 			return
@@ -119,7 +119,7 @@
 			if failures++; failures == 1 {
 				d.log.Warn("discovery: call failed, keeping the current membership", "err", err)
 			}
-			d.schedule.Share(max(int(d.processes.Load()), 1))
+			d.schedule.SetProcesses(max(int(d.processes.Load()), 1))
 			clock.Wait(ctx, d.clock, d.schedule.Failed(isTimeout(err)))
 			continue
 		}
@@ -129,7 +129,7 @@
 		}
 		d.schedule.Succeeded()
 		switch {
-		case targets.Whole:
+		case targets.Snapshot:
 			d.update(ashwood.MembershipSnapshot, targets.Engines)
 		case len(targets.Engines) > 0:
 			d.update(ashwood.MembershipDelta, targets.Engines)
@@ -188,7 +188,7 @@
 func checkUnique(targets wire.Targets) error {
 	seen := map[ashwood.ServerID]bool{}
 	for _, engine := range targets.Engines {
-		if targets.Whole && seen[engine.ID] {
+		if targets.Snapshot && seen[engine.ID] {
 			return fmt.Errorf("platform: discovery: the snapshot contains engine %q twice", engine.ID)
 		}
 		seen[engine.ID] = true
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -182,7 +182,7 @@
 			d := NewDiscovery(peer.Address, c, slog.New(slog.DiscardHandler))
 			d.ResumeFrom(7)
 			d.Configure(ashwood.Settings{Nodes: tt.nodes, Subscribe: !tt.agent}, seed)
-			d.Share(tt.processes)
+			d.SetProcesses(tt.processes)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			go d.Run(ctx, func(ashwood.MembershipForm, []ashwood.Server) {})
--- a/internal/platform/engines.go
+++ b/internal/platform/engines.go
@@ -79,7 +79,7 @@
 func (e *Engines) Log(log *slog.Logger) { e.pool.log = log }
 
 // Share sets the number of processes among which the connection limit is divided.
-func (e *Engines) Share(processes int) { e.pool.setProcesses(processes) }
+func (e *Engines) SetProcesses(processes int) { e.pool.setProcesses(processes) }
 
 // sweep closes connections past the idle timeout and schedules the next sweep.
 func (e *Engines) sweep() {
@@ -93,7 +93,7 @@
 
 // Keep does nothing: connections to engines that have left the membership end
 // by the idle timeout.
-func (e *Engines) Keep([]ashwood.Server) {}
+func (e *Engines) RetainOnly([]ashwood.Server) {}
 
 // Close closes all idle connections, and the others when they are returned to the pool.
 func (e *Engines) Close() {
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -89,7 +89,7 @@
 func (s *Server) DisableKeepAlives(disabled bool) { s.keepAlivesDisabled.Store(disabled) }
 
 // Share sets how many processes share the connections that the limit allows.
-func (s *Server) Share(processes int) { s.listener.share(processes) }
+func (s *Server) SetProcesses(processes int) { s.listener.share(processes) }
 
 // ExpireReadsAfter limits how long requests may still be read, because the process ends. Requests that
 // have been read in part by then get the error of a request that is not complete in time.
@@ -245,7 +245,7 @@
 	if conn == nil {
 		return // a host's own listener: there is no log
 	}
-	reqlog.Write(conn.listener.log, reqlog.Change{ID: string(req.ID), Class: req.Class, State: reqlog.Read, Left: req.Remaining},
+	reqlog.Write(conn.listener.log, reqlog.Change{ID: string(req.ID), Class: req.Class, State: reqlog.Read, Remaining: req.Remaining},
 		slog.Int64("connection_ms", time.Since(conn.acceptedAt).Milliseconds()), slog.Uint64("of_connection", ctx.ConnRequestNum()))
 }
 
--- a/internal/release/fallback.go
+++ b/internal/release/fallback.go
@@ -11,13 +11,13 @@
 
 // FallbackConfig bounds the search for an engine that takes releases.
 type FallbackConfig struct {
-	AtOnce int                         // calls out at engines that may not answer
-	Every  float64                     // ms from the begin of one pass over the engines to the next; half of it is drawn
-	MaxAge float64                     // ms after which a release is given up
-	Most   int                         // releases that wait; for one more, the oldest is given up
-	Rand   *rand.Rand                  // of the order of engines, and of the waits
-	Called func(ashwood.ServerID) bool // whether an engine is called for other reasons, and need not be asked
-	Owed   func(Key) bool              // whether a release is owed to the engine itself, which is called for it
+	MaxSearchCalls  int                         // calls out at engines that may not answer
+	PassInterval    float64                     // ms from the begin of one pass over the engines to the next; half of it is drawn
+	MaxAge          float64                     // ms after which a release is given up
+	MaxWaiting      int                         // releases that wait; for one more, the oldest is given up
+	Rand            *rand.Rand                  // of the order of engines, and of the waits
+	CalledElsewhere func(ashwood.ServerID) bool // whether an engine is called for other reasons, and need not be asked
+	PendingAt       func(Key) bool              // whether a release is owed to the engine itself, which is called for it
 }
 
 // Fallback holds the requests whose release no engine has taken: neither one that may hold something nor
@@ -60,13 +60,13 @@
 const muteAtOnce = 2
 
 // CallEnd is what came of a call.
-type CallEnd int
+type CallResult int
 
 // The ends of calls.
 const (
-	CallMade       CallEnd = iota + 1 // the engine has answered
-	CallUnanswered                    // it was written, and is not known to have arrived
-	CallFailed                        // it was not written
+	CallAnswered   CallResult = iota + 1 // the engine has answered
+	CallUnanswered                       // it was written, and is not known to have arrived
+	CallFailed                           // it was not written
 )
 
 // FallbackCall is a release to be made now at an engine that need not hold anything for the request.
@@ -87,15 +87,15 @@
 func (f *Fallback) Len() int { return f.order.Len() }
 
 // Waits tells whether a request's release does.
-func (f *Fallback) Waits(id ashwood.RequestID) bool { return f.waiting[id] != nil }
+func (f *Fallback) Waiting(id ashwood.RequestID) bool { return f.waiting[id] != nil }
 
 // Searching tells whether releases wait and no engine is known to answer.
 func (f *Fallback) Searching() bool { return f.order.Len() > 0 && len(f.answering) == 0 }
 
 // Wait has a release wait for an engine that takes it; unanswered are engines that it has been written to without an answer.
-func (f *Fallback) Wait(now float64, id ashwood.RequestID, unanswered []ashwood.ServerID) {
+func (f *Fallback) Add(now float64, id ashwood.RequestID, unanswered []ashwood.ServerID) {
 	f.Drop(id)
-	if f.order.Len() >= f.cfg.Most {
+	if f.order.Len() >= f.cfg.MaxWaiting {
 		f.Drop(f.order.Front().Value.(*fallback).id)
 	}
 	f.waiting[id] = f.order.PushBack(&fallback{id: id, since: now, mute: unanswered})
@@ -157,7 +157,7 @@
 }
 
 // Keep forgets the engines that a whole list does not name.
-func (f *Fallback) Keep(named map[ashwood.ServerID]bool) {
+func (f *Fallback) RetainOnly(named map[ashwood.ServerID]bool) {
 	for id := range f.mute {
 		if !named[id] {
 			f.Unreachable(id)
@@ -171,7 +171,7 @@
 
 // Due gives the calls to be made now, and in how many ms to ask again if nothing else happens before;
 // +Inf = not before. candidates gives the engines that may be called: those that answered last, which are asked first, and all.
-func (f *Fallback) Due(now float64, candidates func() (latest, all []ashwood.Server)) (calls []FallbackCall, next float64) {
+func (f *Fallback) NextCalls(now float64, candidates func() (latest, all []ashwood.Server)) (calls []FallbackCall, next float64) {
 	f.expire(now)
 	var first *fallback // that may be made now
 	for p := f.order.Front(); p != nil; p = p.Next() {
@@ -213,7 +213,7 @@
 	switch {
 	case len(f.answering) > 0:
 		return f.idlest(f.answering, w, nil) // also one that was told without an answer: its connection alone may have been silent
-	case len(w.mute) < muteAtOnce || f.muteOut+f.asking < f.cfg.AtOnce:
+	case len(w.mute) < muteAtOnce || f.muteOut+f.asking < f.cfg.MaxSearchCalls:
 		return f.idlest(f.mute, w, w.mute)
 	}
 	return nil
@@ -223,7 +223,7 @@
 func (f *Fallback) idlest(engines map[ashwood.ServerID]*callee, w *fallback, but []ashwood.ServerID) (best *callee) {
 	for id, e := range engines {
 		fewer := best == nil || e.out < best.out || e.out == best.out && e.rank < best.rank
-		if e.out < atOnce && fewer && !slices.Contains(but, id) && !f.cfg.Owed(Key{id, w.id}) {
+		if e.out < atOnce && fewer && !slices.Contains(but, id) && !f.cfg.PendingAt(Key{id, w.id}) {
 			best = e
 		}
 	}
@@ -238,7 +238,7 @@
 		}
 		f.begin(now, candidates)
 	}
-	for len(f.pass) > 0 && f.asking < f.cfg.AtOnce {
+	for len(f.pass) > 0 && f.asking < f.cfg.MaxSearchCalls {
 		f.asking++
 		calls = append(calls, f.call(w, f.pass[0], true))
 		f.pass = f.pass[1:]
@@ -256,12 +256,12 @@
 	f.pass = nil
 	taken := map[ashwood.ServerID]bool{}
 	for _, v := range slices.Concat(latest, all) {
-		if !taken[v.ID] && !f.cfg.Called(v.ID) {
+		if !taken[v.ID] && !f.cfg.CalledElsewhere(v.ID) {
 			taken[v.ID] = true
 			f.pass = append(f.pass, v)
 		}
 	}
-	f.passFrom = now + f.cfg.Every*(1+f.cfg.Rand.Float64())/2
+	f.passFrom = now + f.cfg.PassInterval*(1+f.cfg.Rand.Float64())/2
 }
 
 func (f *Fallback) call(w *fallback, v ashwood.Server, search bool) FallbackCall {
@@ -270,7 +270,7 @@
 }
 
 // Done tells what came of a call. A release is made with the first that is answered.
-func (f *Fallback) Done(c FallbackCall, end CallEnd) {
+func (f *Fallback) Done(c FallbackCall, end CallResult) {
 	if c.search {
 		f.asking--
 	}
@@ -291,7 +291,7 @@
 		w.out = 0
 	}
 	switch {
-	case end == CallMade:
+	case end == CallAnswered:
 		f.Drop(c.Request)
 	case end == CallUnanswered && !slices.Contains(w.mute, c.Engine.ID):
 		w.mute = append(w.mute, c.Engine.ID)
--- a/internal/release/fallback_test.go
+++ b/internal/release/fallback_test.go
@@ -11,7 +11,7 @@
 
 func fallbackOf(most int) *Fallback {
 	return NewFallback(FallbackConfig{
-		AtOnce: 6, Every: 450, MaxAge: 60000, Most: most, Rand: rand.New(rand.NewSource(1)), Called: func(ashwood.ServerID) bool { return false }, Owed: func(Key) bool { return false },
+		MaxSearchCalls: 6, PassInterval: 450, MaxAge: 60000, MaxWaiting: most, Rand: rand.New(rand.NewSource(1)), CalledElsewhere: func(ashwood.ServerID) bool { return false }, PendingAt: func(Key) bool { return false },
 	})
 }
 
@@ -34,9 +34,9 @@
 	made bool
 }
 
-func (e ending) end() CallEnd {
+func (e ending) end() CallResult {
 	if e.made {
-		return CallMade
+		return CallAnswered
 	}
 	return CallFailed
 }
@@ -59,7 +59,7 @@
 				i--
 			}
 		}
-		calls, _ := f.Due(now, fleet(engines))
+		calls, _ := f.NextCalls(now, fleet(engines))
 		for _, c := range calls {
 			if now >= at && c.Engine.ID == back {
 				answered[c.Engine.ID]++
@@ -80,7 +80,7 @@
 	for _, waiting := range []int{1, 10, 1000} {
 		f := fallbackOf(8192)
 		for i := range waiting {
-			f.Wait(0, ashwood.RequestID(fmt.Sprint("q", i)), nil)
+			f.Add(0, ashwood.RequestID(fmt.Sprint("q", i)), nil)
 		}
 		silent, answered := playFallback(f, engines, "e7", silence, silence+2000)
 		for engine, n := range silent {
@@ -101,29 +101,29 @@
 // made is not made again.
 func TestFallback_PausedAndDropped(t *testing.T) {
 	f := fallbackOf(10)
-	f.Wait(0, "q", nil)
+	f.Add(0, "q", nil)
 	f.Pause("q", true)
 	f.Answered(server("a"))
-	if calls, next := f.Due(0, fleet(1)); len(calls) != 0 || !math.IsInf(next, 1) {
+	if calls, next := f.NextCalls(0, fleet(1)); len(calls) != 0 || !math.IsInf(next, 1) {
 		t.Errorf("beside the sending: %v, again in %v", calls, next)
 	}
 	f.Pause("q", false)
-	calls, _ := f.Due(1, fleet(1))
+	calls, _ := f.NextCalls(1, fleet(1))
 	if len(calls) != 1 || calls[0].Request != "q" || calls[0].Engine.ID != "a" {
 		t.Fatalf("behind it: %v", calls)
 	}
-	if again, _ := f.Due(2, fleet(1)); len(again) != 0 {
+	if again, _ := f.NextCalls(2, fleet(1)); len(again) != 0 {
 		t.Errorf("beside its own call: %v", again)
 	}
 	f.Unreachable("a")
 	f.Done(calls[0], CallFailed)
-	if calls, _ = f.Due(3, fleet(1)); len(calls) != 1 {
+	if calls, _ = f.NextCalls(3, fleet(1)); len(calls) != 1 {
 		t.Errorf("behind a failed call: %v", calls)
 	}
 	if !f.Drop("q") || f.Drop("q") || f.Searching() {
 		t.Error("not dropped once")
 	}
-	if calls, _ = f.Due(1000, fleet(1)); len(calls) != 0 {
+	if calls, _ = f.NextCalls(1000, fleet(1)); len(calls) != 0 {
 		t.Errorf("dropped, and called: %v", calls)
 	}
 }
@@ -133,16 +133,16 @@
 func TestFallback_Bounds(t *testing.T) {
 	f := fallbackOf(100)
 	for i := range 300 {
-		f.Wait(float64(i), ashwood.RequestID(fmt.Sprint("q", i)), nil)
+		f.Add(float64(i), ashwood.RequestID(fmt.Sprint("q", i)), nil)
 	}
 	if f.Len() != 100 || f.Drop("q199") || !f.Drop("q200") {
 		t.Errorf("%d wait, or not the latest", f.Len())
 	}
-	f.cfg.Called = func(id ashwood.ServerID) bool { return id != "e3" }
-	if calls, _ := f.Due(400, fleet(5)); len(calls) != 1 || calls[0].Engine.ID != "e3" || calls[0].Request != "q201" {
+	f.cfg.CalledElsewhere = func(id ashwood.ServerID) bool { return id != "e3" }
+	if calls, _ := f.NextCalls(400, fleet(5)); len(calls) != 1 || calls[0].Engine.ID != "e3" || calls[0].Request != "q201" {
 		t.Errorf("asked: %v", calls)
 	}
-	if f.Due(70000, fleet(5)); f.Len() != 0 || f.Searching() {
+	if f.NextCalls(70000, fleet(5)); f.Len() != 0 || f.Searching() {
 		t.Errorf("%d wait for over a minute", f.Len())
 	}
 }
@@ -159,45 +159,45 @@
 func toldWithoutAnswers(t *testing.T, full bool) {
 	f := fallbackOf(10)
 	if full {
-		f.muteOut = f.cfg.AtOnce
+		f.muteOut = f.cfg.MaxSearchCalls
 	}
-	f.cfg.Called = func(ashwood.ServerID) bool { return true }
+	f.cfg.CalledElsewhere = func(ashwood.ServerID) bool { return true }
 	for _, id := range []string{"a", "b", "c"} {
 		f.Unanswered(server(id), true)
 	}
 	f.Unanswered(server("d"), false)
 	f.Unanswered(server("e"), true)
 	f.Unreachable("b")
-	f.Wait(0, "q", []ashwood.ServerID{"a"})
-	calls, _ := f.Due(0, fleet(4))
+	f.Add(0, "q", []ashwood.ServerID{"a"})
+	calls, _ := f.NextCalls(0, fleet(4))
 	if len(calls) != 1 || calls[0].Engine.ID != "c" && calls[0].Engine.ID != "e" {
 		t.Fatalf("told %v, want c or e", calls)
 	}
 	f.Done(calls[0], CallUnanswered)
 	if !full {
 		told := calls[0].Engine.ID
-		calls, _ = f.Due(50, fleet(4))
+		calls, _ = f.NextCalls(50, fleet(4))
 		if len(calls) != 1 || calls[0].Engine.ID == told || calls[0].Engine.ID != "c" && calls[0].Engine.ID != "e" {
 			t.Fatalf("told %v behind %s, want the other of c and e", calls, told)
 		}
 		f.Done(calls[0], CallUnanswered)
 	}
-	if calls, _ = f.Due(100, fleet(4)); len(calls) != 0 || f.Len() != 1 {
+	if calls, _ = f.NextCalls(100, fleet(4)); len(calls) != 0 || f.Len() != 1 {
 		t.Errorf("told again: %v, %d wait", calls, f.Len())
 	}
-	if want := map[bool]int{true: f.cfg.AtOnce}[full]; f.muteOut != want {
+	if want := map[bool]int{true: f.cfg.MaxSearchCalls}[full]; f.muteOut != want {
 		t.Errorf("%d calls without an answer are out, want %d", f.muteOut, want)
 	}
 	f.Answered(server("c")) // the call without an answer may have gone on a connection that was silent
-	calls, _ = f.Due(200, fleet(4))
+	calls, _ = f.NextCalls(200, fleet(4))
 	if len(calls) != 1 || calls[0].Engine.ID != "c" {
 		t.Fatalf("told %v, want c", calls)
 	}
-	f.Done(calls[0], CallMade)
+	f.Done(calls[0], CallAnswered)
 	if f.Len() != 0 {
 		t.Error("made, and still waits")
 	}
-	f.Keep(map[ashwood.ServerID]bool{"c": true})
+	f.RetainOnly(map[ashwood.ServerID]bool{"c": true})
 	if len(f.mute) != 0 {
 		t.Errorf("%d engines kept that are not in the list", len(f.mute))
 	}
--- a/internal/release/ledger.go
+++ b/internal/release/ledger.go
@@ -24,12 +24,12 @@
 
 // Config bounds what is owed.
 type Config struct {
-	First  float64    // ms from a call that failed to the next at the same engine
-	Last   float64    // ms, to which that doubles
-	MaxAge float64    // ms after which a release that fails is given up
-	Again  []float64  // ms, from a doubtful release that was made to the next, for each
-	Most   int        // releases owed at once; for one more, the oldest is given up
-	Rand   *rand.Rand // of the waits
+	MinBackoff   float64    // ms from a call that failed to the next at the same engine
+	MaxBackoff   float64    // ms, to which that doubles
+	MaxAge       float64    // ms after which a release that fails is given up
+	RepeatDelays []float64  // ms, from a doubtful release that was made to the next, for each
+	MaxPending   int        // releases owed at once; for one more, the oldest is given up
+	Rand         *rand.Rand // of the waits
 }
 
 // Key names a release: a request, at an engine.
@@ -47,27 +47,27 @@
 }
 
 // End tells why a release is owed no more.
-type End int
+type EndReason int
 
 // The ends of releases.
 const (
-	Made      End = iota + 1 // an engine that runs has got the call
-	Withdrawn                // the request was sent there again
-	Restarted                // the engine has started anew, or left the list and takes no call: it holds nothing
-	TooOld                   // Config.MaxAge has gone by
-	Crowded                  // it was the oldest, and more than Config.Most were owed
+	Delivered EndReason = iota + 1 // an engine that runs has got the call
+	Withdrawn                      // the request was sent there again
+	Restarted                      // the engine has started anew, or left the list and takes no call: it holds nothing
+	Expired                        // Config.MaxAge has gone by
+	Evicted                        // it was the oldest, and more than Config.Most were owed
 )
 
 // String names an end in logs.
-func (e End) String() string {
+func (e EndReason) String() string {
 	return []string{"none", "made", "withdrawn", "restarted", "too old", "crowded"}[e]
 }
 
 // Ended is a release that is owed no more.
-type Ended struct {
+type EndedRelease struct {
 	Key
-	End End
-	Age float64 // ms for which it was owed
+	Reason EndReason
+	Age    float64 // ms for which it was owed
 }
 
 // atOnce bounds the calls that are out at one engine, which holds few connections.
@@ -80,7 +80,7 @@
 	cfg     Config
 	engines map[ashwood.ServerID]*engine
 	order   list.List // of *debt, the longest owed first
-	ended   []Ended
+	ended   []EndedRelease
 	repeats []Repeat
 	calls   int
 }
@@ -123,7 +123,7 @@
 }
 
 // Owes tells whether an engine has to be told of any release, and is called for it. For repeats that are paused it is not.
-func (l *Ledger) Owes(id ashwood.ServerID) bool {
+func (l *Ledger) HasPending(id ashwood.ServerID) bool {
 	e := l.engines[id]
 	if e == nil {
 		return false
@@ -137,7 +137,7 @@
 }
 
 // Unmade tells whether a release is owed that no engine has taken yet.
-func (l *Ledger) Unmade(k Key) bool {
+func (l *Ledger) Undelivered(k Key) bool {
 	d := l.find(k)
 	return d != nil && d.made == 0
 }
@@ -145,10 +145,10 @@
 // Owe notes that an engine has to be told. Owed already, it is owed for what it
 // may have come to hold since as well. Doubtful says that an attempt or a call for
 // a place was given up which an engine may not have seen to end yet.
-func (l *Ledger) Owe(now float64, v ashwood.Server, id ashwood.RequestID, doubtful bool) {
+func (l *Ledger) Add(now float64, v ashwood.Server, id ashwood.RequestID, doubtful bool) {
 	e := l.engines[v.ID]
 	if e == nil {
-		e = &engine{debts: map[ashwood.RequestID]*debt{}, pace: pacing.Backoff{Initial: l.cfg.First, Max: l.cfg.Last, Rand: l.cfg.Rand}}
+		e = &engine{debts: map[ashwood.RequestID]*debt{}, pace: pacing.Backoff{Initial: l.cfg.MinBackoff, Max: l.cfg.MaxBackoff, Rand: l.cfg.Rand}}
 		l.engines[v.ID] = e
 	}
 	e.Server, e.gone = v, false
@@ -159,8 +159,8 @@
 		l.order.MoveToBack(d.place)
 		return
 	}
-	if l.order.Len() >= l.cfg.Most {
-		l.end(l.order.Front().Value.(*debt), now, Crowded)
+	if l.order.Len() >= l.cfg.MaxPending {
+		l.end(l.order.Front().Value.(*debt), now, Evicted)
 		l.engines[v.ID] = e // its last debt may have been the oldest
 	}
 	d := &debt{key: Key{v.ID, id}, since: now, from: now, doubtful: doubtful}
@@ -180,7 +180,7 @@
 
 // Started tells that an engine has started anew at a time in ms: what was owed
 // before is held no more.
-func (l *Ledger) Started(now float64, id ashwood.ServerID, at float64) {
+func (l *Ledger) EngineRestarted(now float64, id ashwood.ServerID, at float64) {
 	if e := l.engines[id]; e != nil {
 		for _, d := range e.debts {
 			if d.since < at {
@@ -192,17 +192,17 @@
 
 // Left tells that an engine has left the list. It may still run and hold
 // something: it is told as long as it takes calls, and forgotten when it does not.
-func (l *Ledger) Left(id ashwood.ServerID) {
+func (l *Ledger) EngineRemoved(id ashwood.ServerID) {
 	if e := l.engines[id]; e != nil {
 		e.gone = true
 	}
 }
 
 // Missing tells of a whole list: an engine that is not on it has left.
-func (l *Ledger) Missing(there map[ashwood.ServerID]bool) {
+func (l *Ledger) MarkAbsent(there map[ashwood.ServerID]bool) {
 	for id := range l.engines {
 		if !there[id] {
-			l.Left(id)
+			l.EngineRemoved(id)
 		}
 	}
 }
@@ -211,7 +211,7 @@
 // else happens before; +Inf = not before. At an engine that does not answer, further tries go to
 // the release tried least: the first try of each is made all the same, as an engine may run, take
 // calls and answer none.
-func (l *Ledger) Due(now float64) (calls []Call, next float64) {
+func (l *Ledger) NextCalls(now float64) (calls []Call, next float64) {
 	next = math.Inf(1)
 	again := map[*engine]*debt{}
 	for p := l.order.Front(); p != nil; p = p.Next() {
@@ -253,7 +253,7 @@
 }
 
 // Void tells that a call was ended by its caller: it says nothing of its engine.
-func (l *Ledger) Void(c Call) {
+func (l *Ledger) Discard(c Call) {
 	if l.back(c) == nil {
 		return
 	}
@@ -305,14 +305,14 @@
 	}
 	switch {
 	case made && again:
-	case made && d.doubtful && d.sentPast != c.number && d.made < len(l.cfg.Again):
+	case made && d.doubtful && d.sentPast != c.number && d.made < len(l.cfg.RepeatDelays):
 		l.repeat(d, now)
 	case made:
-		l.end(d, now, Made)
+		l.end(d, now, Delivered)
 	case e.gone:
 		l.end(d, now, Restarted)
 	case now-d.since >= l.cfg.MaxAge:
-		l.end(d, now, TooOld)
+		l.end(d, now, Expired)
 	default:
 		l.passOn(d)
 	}
@@ -321,12 +321,12 @@
 // Abandon ends all that is owed, where the caller will make no more calls.
 func (l *Ledger) Abandon(now float64) {
 	for l.order.Len() > 0 {
-		l.end(l.order.Front().Value.(*debt), now, TooOld)
+		l.end(l.order.Front().Value.(*debt), now, Expired)
 	}
 }
 
 // Ended gives what has ended since the last call of it.
-func (l *Ledger) Ended() []Ended {
+func (l *Ledger) TakeEnded() []EndedRelease {
 	ended := l.ended
 	l.ended = nil
 	return ended
@@ -339,14 +339,14 @@
 	return nil
 }
 
-func (l *Ledger) end(d *debt, now float64, why End) {
+func (l *Ledger) end(d *debt, now float64, why EndReason) {
 	e := l.engines[d.key.Engine]
 	l.order.Remove(d.place)
 	delete(e.debts, d.key.Request)
 	l.forget(d.key.Engine)
 	switch {
 	case d.made == 0:
-		l.ended = append(l.ended, Ended{d.key, why, now - d.since})
+		l.ended = append(l.ended, EndedRelease{d.key, why, now - d.since})
 	case why == Restarted: // it holds nothing; another may hold what the first call has left
 		l.repeats = append(l.repeats, Repeat{d.key.Request, d.paused})
 	}
--- a/internal/release/ledger_test.go
+++ b/internal/release/ledger_test.go
@@ -10,7 +10,7 @@
 )
 
 func ledger(most int) *Ledger {
-	return New(Config{First: 50, Last: 200, MaxAge: 60000, Again: []float64{150, 300}, Most: most, Rand: rand.New(rand.NewSource(1))})
+	return New(Config{MinBackoff: 50, MaxBackoff: 200, MaxAge: 60000, RepeatDelays: []float64{150, 300}, MaxPending: most, Rand: rand.New(rand.NewSource(1))})
 }
 
 func server(id string) ashwood.Server { return ashwood.Server{ID: ashwood.ServerID(id)} }
@@ -22,7 +22,7 @@
 // due asserts how many calls are to be made and gives them.
 func due(t *testing.T, l *Ledger, now float64, want int) []Call {
 	t.Helper()
-	calls, _ := l.Due(now)
+	calls, _ := l.NextCalls(now)
 	if len(calls) != want {
 		t.Fatalf("at %v: %d calls, want %d: %v", now, len(calls), want, calls)
 	}
@@ -30,8 +30,8 @@
 }
 
 func ends(l *Ledger) (s []string) {
-	for _, e := range l.Ended() {
-		s = append(s, fmt.Sprint(e.Engine, "/", e.Request, " ", e.End))
+	for _, e := range l.TakeEnded() {
+		s = append(s, fmt.Sprint(e.Engine, "/", e.Request, " ", e.Reason))
 	}
 	return s
 }
@@ -40,10 +40,10 @@
 // connect of its return, and no more calls than the waits allow.
 func TestCutOffEngineIsToldOnceItIsBack(t *testing.T) {
 	l := ledger(10)
-	l.Owe(0, server("a"), "q", false)
+	l.Add(0, server("a"), "q", false)
 	calls, made := 0, 0.0
 	for now := 0.0; made == 0 && now < 10000; {
-		got, next := l.Due(now)
+		got, next := l.NextCalls(now)
 		for _, c := range got {
 			calls++
 			if now >= 6000 {
@@ -53,7 +53,7 @@
 			}
 			now += 250 // a connect that does not come up
 			l.Done(now, c, false)
-			_, next = l.Due(now)
+			_, next = l.NextCalls(now)
 		}
 		if math.IsInf(next, 1) {
 			break
@@ -73,12 +73,12 @@
 // engine's are not held up, and what waits follows once one has got through.
 func TestEngineWithoutAnswers(t *testing.T) {
 	l := ledger(100)
-	l.Owe(0, server("a"), "q0", false)
+	l.Add(0, server("a"), "q0", false)
 	l.Done(300, due(t, l, 0, 1)[0], false)
 	for i := 1; i < 6; i++ {
-		l.Owe(300, server("a"), ashwood.RequestID(fmt.Sprint("q", i)), false)
+		l.Add(300, server("a"), ashwood.RequestID(fmt.Sprint("q", i)), false)
 	}
-	l.Owe(300, server("b"), "q0", false)
+	l.Add(300, server("b"), "q0", false)
 	seen := map[Key]int{}
 	for _, c := range due(t, l, 300, atOnce+1) {
 		if c.Engine.ID == "a" && c.Try == 0 {
@@ -110,14 +110,14 @@
 // is told as long as it takes calls.
 func TestRestartedAndGoneEnginesAreForgotten(t *testing.T) {
 	l := ledger(10)
-	l.Owe(100, server("a"), "old", false)
-	l.Owe(300, server("a"), "new", false)
-	l.Started(400, "a", 200)
+	l.Add(100, server("a"), "old", false)
+	l.Add(300, server("a"), "new", false)
+	l.EngineRestarted(400, "a", 200)
 	if s := ends(l); len(s) != 1 || s[0] != "a/old restarted" {
 		t.Errorf("%v", s)
 	}
-	l.Owe(400, server("b"), "q", false)
-	l.Missing(map[ashwood.ServerID]bool{"a": true})
+	l.Add(400, server("b"), "q", false)
+	l.MarkAbsent(map[ashwood.ServerID]bool{"a": true})
 	for _, c := range due(t, l, 400, 2) {
 		l.Done(700, c, false)
 	}
@@ -130,16 +130,16 @@
 // request was sent there again is not.
 func TestHeldAnewAndWithdrawn(t *testing.T) {
 	l := ledger(10)
-	l.Owe(0, server("a"), "q", false)
+	l.Add(0, server("a"), "q", false)
 	c := due(t, l, 0, 1)[0]
-	l.Owe(5, server("a"), "q", false)
+	l.Add(5, server("a"), "q", false)
 	l.Done(10, c, true)
 	c = due(t, l, 10, 1)[0]
 	if !l.Withdraw(11, c.Key) || l.Withdraw(11, c.Key) {
 		t.Error("withdrawn not once")
 	}
-	l.Owe(11, server("a"), "another", false)
-	l.Void(c)
+	l.Add(11, server("a"), "another", false)
+	l.Discard(c)
 	if l.Failing("a") {
 		t.Error("a call that was ended here counts against its engine")
 	}
@@ -154,10 +154,10 @@
 // somewhere, it is made no more. A call of before does not stand for a later release.
 func TestDoubtfulAndOvertaken(t *testing.T) {
 	l := ledger(10)
-	l.Owe(0, server("a"), "q", true)
+	l.Add(0, server("a"), "q", true)
 	made := []float64{}
 	for now := 0.0; now < 2000; now += 10 {
-		calls, _ := l.Due(now)
+		calls, _ := l.NextCalls(now)
 		for _, c := range calls {
 			made = append(made, now)
 			l.Done(now, c, true)
@@ -166,14 +166,14 @@
 	if s := ends(l); fmt.Sprint(made) != "[0 150 450]" || fmt.Sprint(s) != "[a/q made]" || len(l.engines) != 0 {
 		t.Errorf("made at %v: %v", made, s)
 	}
-	l.Owe(2000, server("a"), "q", true)
+	l.Add(2000, server("a"), "q", true)
 	l.Done(2000, due(t, l, 2000, 1)[0], true)
-	l.Resumed(2010, key("a", "q"))
+	l.RequestArrived(2010, key("a", "q"))
 	due(t, l, 3000, 0)
-	l.Owe(3000, server("a"), "q", false)
+	l.Add(3000, server("a"), "q", false)
 	old := due(t, l, 3000, 1)[0]
 	l.Withdraw(3010, old.Key)
-	l.Owe(3020, server("a"), "q", false)
+	l.Add(3020, server("a"), "q", false)
 	late := due(t, l, 3020, 1)[0]
 	l.Done(3030, old, true)
 	if l.Len() != 1 {
@@ -190,7 +190,7 @@
 func TestBounds(t *testing.T) {
 	l := ledger(1024)
 	for i := range 3000 {
-		l.Owe(float64(i), server(fmt.Sprint("s", i%1024)), ashwood.RequestID(fmt.Sprint("q", i)), false)
+		l.Add(float64(i), server(fmt.Sprint("s", i%1024)), ashwood.RequestID(fmt.Sprint("q", i)), false)
 	}
 	if s := ends(l); l.Len() != 1024 || len(l.engines) != 1024 || len(s) != 3000-1024 || s[0] != "s0/q0 crowded" {
 		t.Errorf("%d owed at %d engines, %d ended", l.Len(), len(l.engines), len(s))
@@ -209,17 +209,17 @@
 // already was taken back at a send.
 func TestLedger_SentOnWhileADoubtfulReleaseIsOut(t *testing.T) {
 	l := ledger(10)
-	l.Owe(0, server("a"), "q", true)
+	l.Add(0, server("a"), "q", true)
 	out := due(t, l, 0, 1)[0]
-	l.Resumed(5, key("a", "q"))
+	l.RequestArrived(5, key("a", "q"))
 	l.Done(10, out, true)
 	due(t, l, 2000, 0)
 	if s := ends(l); len(s) != 1 || s[0] != "a/q made" || l.Len() != 0 {
 		t.Errorf("%v, %d owed", s, l.Len())
 	}
-	l.Owe(3000, server("a"), "q", true)
+	l.Add(3000, server("a"), "q", true)
 	out = due(t, l, 3000, 1)[0]
-	l.Resumed(3005, key("a", "q"))
+	l.RequestArrived(3005, key("a", "q"))
 	l.Done(3010, out, false) // what is held there is not taken back: it has not been told
 	due(t, l, 4000, 1)
 }
@@ -230,9 +230,9 @@
 // owed there. What is owed anew has not been told to an engine that may hang: its first try is made like any other.
 func TestLedger_OwedAnewAtAHungEngineIsAFirstTry(t *testing.T) {
 	l := ledger(10)
-	l.Owe(0, server("a"), "q", false)
+	l.Add(0, server("a"), "q", false)
 	beside := due(t, l, 0, 1)[0]
-	l.Owe(18, server("a"), "q", false)
+	l.Add(18, server("a"), "q", false)
 	l.Done(300, beside, false)
 	again := due(t, l, 300, 1)[0]
 	if again.Request != "q" {
@@ -240,7 +240,7 @@
 	}
 	l.Done(600, again, false)
 	due(t, l, 600, 0)
-	l.Owe(610, server("a"), "q", false)
+	l.Add(610, server("a"), "q", false)
 	due(t, l, 610, 1)
 }
 
@@ -249,13 +249,13 @@
 // again before the request's end. Only the call that was out at the send is not to be repeated.
 func TestLedger_DoubtOutlivesAFailedCall(t *testing.T) {
 	l := ledger(10)
-	l.Owe(0, server("a"), "q", true)
+	l.Add(0, server("a"), "q", true)
 	out := due(t, l, 0, 1)[0]
-	l.Resumed(5, key("a", "q"))
+	l.RequestArrived(5, key("a", "q"))
 	l.Done(300, out, false)
 	made := []float64{}
 	for now := 300.0; now < 3000; now += 10 {
-		calls, _ := l.Due(now)
+		calls, _ := l.NextCalls(now)
 		for _, c := range calls {
 			made = append(made, now)
 			l.Done(now, c, true)
@@ -270,8 +270,8 @@
 // One that is not in doubt does not wait.
 func TestLedger_RepeatsPause(t *testing.T) {
 	l := ledger(10)
-	l.Owe(0, server("a"), "q", true)
-	l.Owe(0, server("b"), "q", false)
+	l.Add(0, server("a"), "q", true)
+	l.Add(0, server("b"), "q", false)
 	if !l.Pause(key("a", "q"), true) || l.Pause(key("b", "q"), true) || l.Pause(key("c", "q"), true) {
 		t.Error("what waits is not what is in doubt")
 	}
@@ -279,17 +279,17 @@
 		l.Done(0, c, true)
 	}
 	due(t, l, 1000, 0)
-	if l.Owes("a") { // or a search for an engine that answers would leave it out
+	if l.HasPending("a") { // or a search for an engine that answers would leave it out
 		t.Error("it is taken to be called for a repeat that is paused")
 	}
 	l.Pause(key("a", "q"), false)
-	if !l.Owes("a") {
+	if !l.HasPending("a") {
 		t.Error("it is not taken to be called")
 	}
 	l.Done(1000, due(t, l, 1000, 1)[0], true)
 	l.Pause(key("a", "q"), true)
 	due(t, l, 2000, 0)
-	l.Owe(2000, server("a"), "q", true)
+	l.Add(2000, server("a"), "q", true)
 	l.Done(2000, due(t, l, 2000, 1)[0], true)
 	l.Done(2150, due(t, l, 2150, 1)[0], true)
 }
@@ -297,19 +297,19 @@
 // A repeat that fails is passed on to others, but not one whose request has been sent meanwhile: that is made at its own engine
 // first, once the send gives no sign.
 func TestLedger_RepeatPassedOn(t *testing.T) {
-	l := New(Config{First: 50, Last: 200, MaxAge: 60000, Again: []float64{150, 300}, Most: 10, Rand: rand.New(rand.NewSource(1))})
+	l := New(Config{MinBackoff: 50, MaxBackoff: 200, MaxAge: 60000, RepeatDelays: []float64{150, 300}, MaxPending: 10, Rand: rand.New(rand.NewSource(1))})
 	k := Key{"a", "q"}
-	l.Owe(0, server("a"), "q", true)
+	l.Add(0, server("a"), "q", true)
 	fails := func(now float64, beside func()) int {
-		calls, _ := l.Due(now)
+		calls, _ := l.NextCalls(now)
 		if len(calls) != 1 {
 			t.Fatalf("%v: calls %v, want one", now, calls)
 		}
 		beside()
 		l.Done(now, calls[0], false)
-		return len(l.Repeats())
+		return len(l.TakeRepeats())
 	}
-	calls, _ := l.Due(0)
+	calls, _ := l.NextCalls(0)
 	l.Done(0, calls[0], true)
 	if n := fails(150, func() { l.Pause(k, true) }); n != 0 {
 		t.Errorf("%d passed on beside the send", n)
--- a/internal/release/repeat.go
+++ b/internal/release/repeat.go
@@ -21,7 +21,7 @@
 // Resumed tells that a request has arrived somewhere: a doubtful release that has
 // been made once is not made again, or it might let go of what is held there. The same holds where
 // its call is out, and ends behind this; if that fails, it is to be made as before.
-func (l *Ledger) Resumed(now float64, k Key) {
+func (l *Ledger) RequestArrived(now float64, k Key) {
 	d := l.find(k)
 	switch {
 	case d == nil:
@@ -39,7 +39,7 @@
 }
 
 // Repeats gives those that have failed since the last call of it. Their own engines stay owed them.
-func (l *Ledger) Repeats() []Repeat {
+func (l *Ledger) TakeRepeats() []Repeat {
 	repeats := l.repeats
 	l.repeats = nil
 	return repeats
@@ -48,7 +48,7 @@
 // passOn has others make a repeat whose call has failed, each once. The engine has taken the release before, and has let go of
 // nothing if it had not seen an attempt to end: without a repeat anywhere, engines may hold on until it can be reached again.
 func (l *Ledger) passOn(d *debt) {
-	if d.made == 0 || d.paused || d.made+d.passed > len(l.cfg.Again) {
+	if d.made == 0 || d.paused || d.made+d.passed > len(l.cfg.RepeatDelays) {
 		return
 	}
 	d.passed++
@@ -58,9 +58,9 @@
 // repeat has a release that was made made again.
 func (l *Ledger) repeat(d *debt, now float64) {
 	if d.made == 0 {
-		l.ended = append(l.ended, Ended{d.key, Made, now - d.since})
+		l.ended = append(l.ended, EndedRelease{d.key, Delivered, now - d.since})
 	}
-	d.from = now + l.cfg.Again[d.made]
+	d.from = now + l.cfg.RepeatDelays[d.made]
 	d.made++
 	d.tries = 0
 }
--- a/internal/reqlog/reqlog.go
+++ b/internal/reqlog/reqlog.go
@@ -31,13 +31,13 @@
 
 // Change is one change of a request's state.
 type Change struct {
-	ID      string
-	Class   string
-	State   State
-	Attempt int     // with Attempt and Sent: its number, from 0
-	Engine  string  // with Attempt and Sent
-	Left    float64 // ms until its answer must have begun, as far as this process knows
-	Reason  string  // why, in a word or two; "" = nothing to say
+	ID        string
+	Class     string
+	State     State
+	Attempt   int     // with Attempt and Sent: its number, from 0
+	Engine    string  // with Attempt and Sent
+	Remaining float64 // ms until its answer must have begun, as far as this process knows
+	Reason    string  // why, in a word or two; "" = nothing to say
 }
 
 // Write writes a change, with further attributes behind its own.
@@ -50,8 +50,8 @@
 	if c.Engine != "" {
 		attrs = append(attrs, slog.Int("attempt", c.Attempt), slog.String("engine", c.Engine))
 	}
-	if c.Left != 0 {
-		attrs = append(attrs, slog.Float64("left_ms", c.Left))
+	if c.Remaining != 0 {
+		attrs = append(attrs, slog.Float64("left_ms", c.Remaining))
 	}
 	if c.Reason != "" {
 		attrs = append(attrs, slog.String("reason", c.Reason))
--- a/internal/wire/targets.go
+++ b/internal/wire/targets.go
@@ -10,7 +10,7 @@
 // Targets is a list of engines, or of changes to it, in discovery's form.
 type Targets struct {
 	Generation int64
-	Whole      bool // all engines, not changed ones alone
+	Snapshot   bool // all engines, not changed ones alone
 	Engines    []ashwood.Server
 }
 
@@ -42,7 +42,7 @@
 	if in.Generation == nil {
 		return Targets{}, missing(name, "generation")
 	}
-	t := Targets{Generation: *in.Generation, Whole: in.Reset}
+	t := Targets{Generation: *in.Generation, Snapshot: in.Reset}
 	for i, e := range in.Instances {
 		at := func(key string) string { return fmt.Sprintf("instances[%d].%s", i, key) }
 		err := require(name, field{at("instanceId"), e.ID != nil}, field{at("hostPort"), e.HostPort != nil},
--- a/lab/emulator/driver.go
+++ b/lab/emulator/driver.go
@@ -62,7 +62,7 @@
 func (d *driver) dispatch() (boxes []string) {
 	for _, e := range d.fleet.Take() {
 		if e.Kind == engine.EventBox {
-			boxes = append(boxes, e.Box)
+			boxes = append(boxes, e.Engine)
 			continue
 		}
 		c := d.calls[e.Call]
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -26,10 +26,10 @@
 	GRPC bool   // boxes speak gRPC too
 	// Unlisted says that gateways have a list of their own, which nobody changes:
 	// they are told of no drain, and the rule on drains binds them to nothing.
-	Unlisted bool
-	Rules    rules.Limits // that the checker holds gateways to; zero = the platform's
-	Clock    clock.Clock
-	Log      *slog.Logger
+	StaticMembership bool
+	Rules            rules.Limits // that the checker holds gateways to; zero = the platform's
+	Clock            clock.Clock
+	Log              *slog.Logger
 }
 
 // DefaultIP is a loopback address that clients' own ports do not come from, so
@@ -77,7 +77,7 @@
 // view is a box as one gateway reaches it.
 type view struct {
 	gateway int
-	spec    engine.BoxSpec
+	spec    engine.Spec
 	reads   bool
 	oneWay  float64 // ms between the two
 	http    *gate
@@ -96,7 +96,7 @@
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
 	if cfg.Rules == (rules.Limits{}) {
-		cfg.Rules = rules.Platform()
+		cfg.Rules = rules.PlatformLimits()
 	}
 	now := cfg.Clock.Now()
 	fleet, err := engine.New(cfg.Plan.Engine, now)
@@ -104,7 +104,7 @@
 		return nil, err
 	}
 	e := &Emulator{
-		plan: cfg.Plan, listed: !cfg.Unlisted, clock: cfg.Clock, log: cfg.Log, rules: rules.New(cfg.Rules), boxes: map[string]int{}, began: now,
+		plan: cfg.Plan, listed: !cfg.StaticMembership, clock: cfg.Clock, log: cfg.Log, rules: rules.New(cfg.Rules), boxes: map[string]int{}, began: now,
 	}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
 	e.dirty.news, e.fallen = make(chan struct{}, 1), map[string]bool{}
@@ -132,7 +132,7 @@
 	for _, k := range cfg.Plan.Engine.Kinds {
 		kinds[k.Name] = k.Role
 	}
-	for i, b := range cfg.Plan.Engine.Boxes {
+	for i, b := range cfg.Plan.Engine.Engines {
 		e.boxes[b.ID] = i
 	}
 	e.serveHTTP()
@@ -140,9 +140,9 @@
 		e.serveGRPC()
 	}
 	for g := range cfg.Plan.Gateways {
-		views := make([]*view, 0, len(cfg.Plan.Engine.Boxes))
-		for _, b := range cfg.Plan.Engine.Boxes {
-			v := &view{gateway: g, spec: b, reads: kinds[b.Kind] == engine.Reads, oneWay: cfg.Plan.Network.SameZoneMs}
+		views := make([]*view, 0, len(cfg.Plan.Engine.Engines))
+		for _, b := range cfg.Plan.Engine.Engines {
+			v := &view{gateway: g, spec: b, reads: kinds[b.Kind] == engine.RolePrefill, oneWay: cfg.Plan.Network.SameZoneMs}
 			if b.Zone != cfg.Plan.Zone(g) {
 				v.oneWay = cfg.Plan.Network.CrossZoneMs
 			}
@@ -196,7 +196,7 @@
 }
 
 // Begin starts the scenario's time: its faults come from now on.
-func (e *Emulator) Begin() error {
+func (e *Emulator) Start() error {
 	var err error
 	e.began = e.clock.Now()
 	e.lists.Lock()
@@ -205,7 +205,7 @@
 	e.driver.do(func(f *engine.Fleet) {
 		err = e.begin(f)
 		for _, fault := range e.plan.EngineFaults {
-			fault.At += e.began
+			fault.Start += e.began
 			err = errors.Join(err, f.Inject(fault))
 		}
 	})
@@ -220,10 +220,10 @@
 	for _, k := range e.plan.Engine.Kinds {
 		kinds[k.Name] = k
 	}
-	for _, b := range e.plan.Engine.Boxes {
+	for _, b := range e.plan.Engine.Engines {
 		k := kinds[b.Kind]
 		left := k.MemoryTokens * e.plan.Fleet.WarmPrefixShare
-		for n, more := 0, k.Role == engine.Reads; more; n++ {
+		for n, more := 0, k.Role == engine.RolePrefill; more; n++ {
 			more = false
 			for class, c := range e.plan.Load.Classes {
 				if n >= c.Prefixes {
@@ -244,7 +244,7 @@
 }
 
 // Began is the scenario's begin on the clock.
-func (e *Emulator) Began() float64 { return e.began }
+func (e *Emulator) StartedAt() float64 { return e.began }
 
 // mark notes that a box has changed. It may be called from within a change, such
 // as by the connections that it closes; follow takes them one by one.
@@ -286,7 +286,7 @@
 	var started float64
 	e.driver.do(func(f *engine.Fleet) {
 		c, _ = f.Condition(box)
-		started = f.ColdSince(box)
+		started = f.StartedAt(box)
 	})
 	now := e.clock.Now()
 	i := e.boxes[box]
@@ -309,7 +309,7 @@
 	}
 	e.fallen[box] = c.Fallen
 	e.lists.Lock()
-	e.lists.Box(now, e.plan.Engine.Boxes[i], c, started)
+	e.lists.Box(now, e.plan.Engine.Engines[i], c, started)
 	e.lists.Unlock()
 	e.advanceLists()
 }
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -100,7 +100,7 @@
 
 func TestEngineProtocol(t *testing.T) {
 	e := open(t, small, false)
-	boxes := e.Boxes(0)
+	boxes := e.Engines(0)
 	reader, writer := boxes[0].HTTP, boxes[1].HTTP
 	const id = "00112233445566aa"
 	resp, err := attempt(t, writer, id)
@@ -129,10 +129,10 @@
 		t.Fatalf("an answer: %v, %v", resp, err)
 	}
 	text, err := io.ReadAll(resp.Body)
-	if err != nil || !strings.Contains(string(text), "data: [DONE]\n\n: X-Pressure: inflight=") || !strings.Contains(string(text), engine.Text(id, 0, 1)) {
+	if err != nil || !strings.Contains(string(text), "data: [DONE]\n\n: X-Pressure: inflight=") || !strings.Contains(string(text), engine.AnswerText(id, 0, 1)) {
 		t.Fatalf("%s, %v", text, err)
 	}
-	if n := e.Held(); n != 0 {
+	if n := e.HoldCount(); n != 0 {
 		t.Errorf("%d are held", n)
 	}
 	if got := ask(t, http.MethodDelete, "http://"+writer+"/bootstrap/rooms/"+id); got != http.StatusNoContent {
@@ -147,7 +147,7 @@
 	if err != nil || resp.StatusCode != http.StatusNotFound {
 		t.Errorf("no id: %v, %v", resp, err)
 	}
-	if b := e.Rules().Breaks(); len(b) != 0 || len(e.Stats().Malformed) != 0 {
+	if b := e.Rules().Violations(); len(b) != 0 || len(e.Stats().Malformed) != 0 {
 		t.Errorf("%+v, %+v", b, e.Stats())
 	}
 }
@@ -155,7 +155,7 @@
 // targets asks the agent, as a gateway does.
 func targets(t *testing.T, e *Emulator, query string) wire.Targets {
 	t.Helper()
-	resp, err := http.Get("http://" + e.Discovery(0) + "/api/targets" + query)
+	resp, err := http.Get("http://" + e.DiscoveryAddr(0) + "/api/targets" + query)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -174,28 +174,28 @@
 func TestCrashIsToldAndComesBack(t *testing.T) {
 	e := open(t, small+"[[fault]]\nkind = \"crash\"\nat_s = 0\nlen_s = 0.3\nboxes = [\"prefill-1\"]\n", false)
 	list := targets(t, e, "")
-	if !list.Whole || len(list.Engines) != 2 {
+	if !list.Snapshot || len(list.Engines) != 2 {
 		t.Fatalf("%+v", list)
 	}
-	if err := e.Begin(); err != nil {
+	if err := e.Start(); err != nil {
 		t.Fatal(err)
 	}
 	watch := func(from int64) wire.Targets { return targets(t, e, fmt.Sprintf("?from=%d&hold_ms=20000", from)) }
 	gone := watch(list.Generation)
-	if len(gone.Engines) != 1 || gone.Whole || gone.Engines[0].ID != "prefill-1" || gone.Generation <= list.Generation {
+	if len(gone.Engines) != 1 || gone.Snapshot || gone.Engines[0].ID != "prefill-1" || gone.Generation <= list.Generation {
 		t.Fatalf("%+v", gone)
 	}
 	back := watch(gone.Generation)
 	if len(back.Engines) != 1 || back.Engines[0].Started == 0 {
 		t.Fatalf("%+v", back)
 	}
-	if resp, err := attempt(t, e.Boxes(0)[0].HTTP, "00112233445566bb"); err != nil || resp.StatusCode != http.StatusAccepted {
+	if resp, err := attempt(t, e.Engines(0)[0].HTTP, "00112233445566bb"); err != nil || resp.StatusCode != http.StatusAccepted {
 		t.Fatalf("at its old address: %v, %v", resp, err)
 	}
 	if got := targets(t, e, fmt.Sprintf("?from=%d&hold_ms=10", back.Generation)); len(got.Engines) != 0 || got.Generation != back.Generation {
 		t.Errorf("a watch without news: %+v", got)
 	}
-	if resp, err := http.Get("http://" + e.Discovery(0) + "/api/targets?from=x"); err != nil || resp.StatusCode != http.StatusBadRequest {
+	if resp, err := http.Get("http://" + e.DiscoveryAddr(0) + "/api/targets?from=x"); err != nil || resp.StatusCode != http.StatusBadRequest {
 		t.Errorf("from=x: %v, %v", resp, err)
 	}
 }
@@ -203,10 +203,10 @@
 func TestSpoiltAnswers(t *testing.T) {
 	for kind, want := range map[string]string{"spoil-head": "malformed HTTP", "spoil-chunk": "invalid byte in chunk length", "break": "unexpected EOF"} {
 		e := open(t, small+"[[fault]]\nkind = \""+kind+"\"\nat_s = 0\nlen_s = 500\nboxes = [\"decode-a-1\"]\nfactor = 1.0\n", false)
-		if err := e.Begin(); err != nil {
+		if err := e.Start(); err != nil {
 			t.Fatal(err)
 		}
-		boxes := e.Boxes(0)
+		boxes := e.Engines(0)
 		const id = "00112233445566cc"
 		if resp, err := attempt(t, boxes[0].HTTP, id); err != nil || resp.StatusCode != http.StatusAccepted {
 			t.Fatal(resp, err)
@@ -224,7 +224,7 @@
 
 func TestBoxService(t *testing.T) {
 	e := open(t, small, true)
-	boxes := e.Boxes(0)
+	boxes := e.Engines(0)
 	dial := func(addr string) ashwoodpb.BoxClient {
 		cc, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 		if err != nil {
@@ -263,7 +263,7 @@
 		}
 		text += piece.GetText()
 	}
-	if want := engine.Text(req.GetRequestId(), 0, len(text)/4); text != want || text == "" {
+	if want := engine.AnswerText(req.GetRequestId(), 0, len(text)/4); text != want || text == "" {
 		t.Errorf("the answer %q, want %q", text, want)
 	}
 	if _, err := writer.Release(ctx, &ashwoodpb.RoomRequest{RequestId: req.GetRequestId()}); err != nil {
@@ -275,7 +275,7 @@
 	if _, err := reader.Read(ctx, &ashwoodpb.GenerateRequest{RequestId: "x"}); status.Code(err) != codes.InvalidArgument {
 		t.Errorf("no class: %v", err)
 	}
-	if b := e.Rules().Breaks(); len(b) != 0 {
+	if b := e.Rules().Violations(); len(b) != 0 {
 		t.Errorf("%+v", b)
 	}
 }
--- a/lab/emulator/grpc.go
+++ b/lab/emulator/grpc.go
@@ -111,7 +111,7 @@
 
 func (a *grpcAnswer) tokens(from int, ev engine.Event) {
 	// A caller that has gone shows in the call's context.
-	_ = a.stream.Send(&ashwoodpb.Token{Text: engine.Text(a.id, from, ev.Tokens)})
+	_ = a.stream.Send(&ashwoodpb.Token{Text: engine.AnswerText(a.id, from, ev.Tokens)})
 }
 
 func (a *grpcAnswer) end(_ int, _ engine.Event, report string) {
--- a/lab/emulator/http.go
+++ b/lab/emulator/http.go
@@ -228,7 +228,7 @@
 	at := -1.0
 	e.driver.do(func(f *engine.Fleet) {
 		if f.Cold(box) {
-			at = f.ColdSince(box)
+			at = f.StartedAt(box)
 		}
 	})
 	return at
--- a/lab/emulator/http_answer.go
+++ b/lab/emulator/http_answer.go
@@ -45,7 +45,7 @@
 	if from == 0 {
 		a.w.Header().Set("Content-Type", "text/event-stream")
 	}
-	fmt.Fprintf(a.w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", engine.Text(a.id, from, ev.Tokens))
+	fmt.Fprintf(a.w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", engine.AnswerText(a.id, from, ev.Tokens))
 	_ = http.NewResponseController(a.w).Flush() // a caller that has gone shows in the context
 }
 
--- a/lab/emulator/inspect.go
+++ b/lab/emulator/inspect.go
@@ -6,16 +6,16 @@
 )
 
 // Box is a box's address as a gateway reaches it.
-type Box struct {
-	engine.BoxSpec
+type Engine struct {
+	engine.Spec
 	HTTP, GRPC string
 }
 
 // Boxes lists the boxes with the addresses that a gateway reaches them at.
-func (e *Emulator) Boxes(gateway int) []Box {
-	list := make([]Box, len(e.views[gateway]))
+func (e *Emulator) Engines(gateway int) []Engine {
+	list := make([]Engine, len(e.views[gateway]))
 	for i, v := range e.views[gateway] {
-		list[i] = Box{BoxSpec: v.spec, HTTP: v.http.addr}
+		list[i] = Engine{Spec: v.spec, HTTP: v.http.addr}
 		if v.grpc != nil {
 			list[i].GRPC = v.grpc.addr
 		}
@@ -24,7 +24,7 @@
 }
 
 // Discovery is the address of a gateway's agent.
-func (e *Emulator) Discovery(gateway int) string { return e.agents[gateway].addr }
+func (e *Emulator) DiscoveryAddr(gateway int) string { return e.agents[gateway].addr }
 
 // Rules is the checker that watches the boxes; clients tell it their part.
 func (e *Emulator) Rules() *rules.Checker { return e.rules }
@@ -55,7 +55,7 @@
 }
 
 // Held tells what is held anywhere; a rehearsal's end finds nothing.
-func (e *Emulator) Held() (n int) {
-	e.driver.do(func(f *engine.Fleet) { n = f.HeldCount() })
+func (e *Emulator) HoldCount() (n int) {
+	e.driver.do(func(f *engine.Fleet) { n = f.HoldCount() })
 	return n
 }
--- a/lab/engine/answer.go
+++ b/lab/engine/answer.go
@@ -19,8 +19,8 @@
 	h.Write([]byte{0})
 	h.Write(strconv.AppendInt(nil, int64(promptTokens), 10))
 	r := rand.New(rand.NewPCG(seed, h.Sum64()))
-	mu := math.Log(math.Max(c.OutTokens, 1)) - c.OutSigma*c.OutSigma/2
-	n := int(math.Round(math.Exp(mu + c.OutSigma*r.NormFloat64())))
+	mu := math.Log(math.Max(c.OutputTokens, 1)) - c.OutputSigma*c.OutputSigma/2
+	n := int(math.Round(math.Exp(mu + c.OutputSigma*r.NormFloat64())))
 	if max > 0 && n > max {
 		n = max
 	}
@@ -35,7 +35,7 @@
 
 // Text is some tokens of a request's answer, four letters each. It tells one
 // request's tokens from another's, and one place in an answer from the next.
-func Text(request string, from, n int) string {
+func AnswerText(request string, from, n int) string {
 	const letters = "abcdefghijklmnopqrstuvwxyz"
 	h := fnv.New32a()
 	h.Write([]byte(request))
--- a/lab/engine/box.go
+++ b/lab/engine/box.go
@@ -42,7 +42,7 @@
 
 // box is one engine.
 type box struct {
-	spec      BoxSpec
+	spec      Spec
 	kind      Kind
 	speed     float64
 	condition Condition
@@ -92,7 +92,7 @@
 
 // todo is what has still to be read.
 func (j *job) todo() float64 {
-	if j.box.kind.Role == Writes && !j.reread {
+	if j.box.kind.Role == RoleDecode && !j.reread {
 		return 0
 	}
 	total := j.Prompt.Tokens
@@ -122,17 +122,17 @@
 
 // capacity is the share of a warm box of speed 1 that this one has now.
 func (f *Fleet) capacity(b *box) float64 {
-	tax := 1 - b.kind.FullTax*min(1, float64(b.conns)/float64(b.kind.Conns))
+	tax := 1 - b.kind.FullTax*min(1, float64(b.conns)/float64(b.kind.MaxConns))
 	return f.warmth(b) * b.speed * tax / b.condition.SlowBy
 }
 
 // warmth grows from the cold share to 1 in a straight line.
 func (f *Fleet) warmth(b *box) float64 {
 	since := f.now - b.coldSince
-	if b.kind.ColdMs <= 0 || since >= b.kind.ColdMs {
+	if b.kind.WarmUpMs <= 0 || since >= b.kind.WarmUpMs {
 		return 1
 	}
-	return b.kind.ColdFrom + (1-b.kind.ColdFrom)*max(0, since)/b.kind.ColdMs
+	return b.kind.ColdCapacity + (1-b.kind.ColdCapacity)*max(0, since)/b.kind.WarmUpMs
 }
 
 // bear counts work sent to a box that is cold. One sent more than its multiple
@@ -161,12 +161,12 @@
 // box of speed 1 that works at half its slots.
 func (f *Fleet) meanWork(k Kind, class string) float64 {
 	c := f.classes[class]
-	if k.Role == Reads {
-		return c.ReadTokens * 1000 / k.ReadPerS
+	if k.Role == RolePrefill {
+		return c.PrefillTokens * 1000 / k.PrefillPerS
 	}
 	batch := max(1, float64(k.Slots)/2)
 	step := k.StepMs + batch*k.PerSeqMs
-	return c.OutTokens * step / batch
+	return c.OutputTokens * step / batch
 }
 
 // Send brings an attempt to a box. Its events follow; a box that hangs gives none.
@@ -180,7 +180,7 @@
 	f.calls[j.call] = j
 	f.bear(b, in.Class)
 	if b.condition.State != Up { // it has just been knocked over
-		f.emit(Event{Kind: EventLost, Call: j.call, Box: id})
+		f.emit(Event{Kind: EventLost, Call: j.call, Engine: id})
 		delete(f.calls, j.call)
 		return j.call, nil
 	}
@@ -193,7 +193,7 @@
 		f.away(j, EventAway, "draining")
 	case b.condition.Refusing:
 		f.away(j, EventAway, "refusing")
-	case b.kind.Role == Reads:
+	case b.kind.Role == RolePrefill:
 		f.sendReader(j)
 	default:
 		f.sendWriter(j)
@@ -204,13 +204,13 @@
 // sendHung takes an attempt that is not answered before the box is back, if then.
 func (f *Fleet) sendHung(j *job) {
 	b := j.box
-	if len(b.queue) >= b.kind.Queue {
+	if len(b.queue) >= b.kind.MaxQueue {
 		delete(f.calls, j.call) // never to be answered
 		return
 	}
 	b.queue = append(b.queue, j)
 	f.prepare(j)
-	if h := f.holds[j.Request]; b.kind.Role == Writes && !h.stateless() && h.wanted == nil {
+	if h := f.holds[j.Request]; b.kind.Role == RoleDecode && !h.stateless() && h.wanted == nil {
 		f.leavePlace(h)
 		j.hold, h.wanted = h, j
 	}
@@ -218,7 +218,7 @@
 
 // full tells whether a box has room for one more that has to wait, or need not.
 func (b *box) full() bool {
-	return len(b.queue) >= b.kind.Queue && (len(b.queue) > 0 || b.slotsTaken() >= b.kind.Slots)
+	return len(b.queue) >= b.kind.MaxQueue && (len(b.queue) > 0 || b.slotsTaken() >= b.kind.Slots)
 }
 
 // draw settles by chance what becomes of an attempt.
@@ -268,7 +268,7 @@
 	if j.left || j.box.condition.Hung {
 		return
 	}
-	e.Call, e.Box, e.Report = j.call, j.box.spec.ID, f.report(j.box)
+	e.Call, e.Engine, e.Report = j.call, j.box.spec.ID, f.report(j.box)
 	f.emit(e)
 }
 
@@ -283,7 +283,7 @@
 		return
 	}
 	var ms float64
-	if b.kind.Role == Reads {
+	if b.kind.Role == RolePrefill {
 		ms = f.planRead(b)
 	} else {
 		ms = f.planWrite(b)
@@ -309,7 +309,7 @@
 		return
 	}
 	b.stepping, b.overdue = false, false
-	if b.kind.Role == Reads {
+	if b.kind.Role == RolePrefill {
 		f.endRead(b)
 	} else {
 		f.endWrite(b)
@@ -343,7 +343,7 @@
 			continue
 		}
 		var in bool
-		if b.kind.Role == Reads {
+		if b.kind.Role == RolePrefill {
 			in = f.beginRead(b, j)
 		} else {
 			in = f.beginWrite(b, j)
--- a/lab/engine/engine_test.go
+++ b/lab/engine/engine_test.go
@@ -30,7 +30,7 @@
 // The wait in the queue of a single server with constant service is that of M/D/1.
 func TestQueueWaitsAsInMD1(t *testing.T) {
 	const service, load, n = 100.0, 0.7, 200000
-	f := plain(t, func(c *Config) { c.Kinds[0].Slots, c.Kinds[0].Queue = 1, 1e6 })
+	f := plain(t, func(c *Config) { c.Kinds[0].Slots, c.Kinds[0].MaxQueue = 1, 1e6 })
 	r := rand.New(rand.NewPCG(1, 2))
 	at, waits := 0.0, 0.0
 	began := map[Call]float64{}
@@ -175,7 +175,7 @@
 	until(t, f, 1000)
 	fetch := send(t, f, "w1", order("y", 400))
 	until(t, f, 1100)
-	if err := f.Inject(Fault{Kind: FaultCrash, Boxes: []string{"r"}, At: 1100, Len: 500}); err != nil {
+	if err := f.Inject(Fault{Kind: FaultCrash, Engines: []string{"r"}, Start: 1100, Duration: 500}); err != nil {
 		t.Fatal(err)
 	}
 	list := until(t, f, 1200)
@@ -190,15 +190,15 @@
 		t.Fatalf("a dead box took work: %v", err)
 	}
 	until(t, f, 2000)
-	if f.ColdSince("r") != 1600 {
-		t.Fatalf("cold since %v", f.ColdSince("r"))
+	if f.StartedAt("r") != 1600 {
+		t.Fatalf("cold since %v", f.StartedAt("r"))
 	}
 }
 
 func TestMemoryRunsOutInMidAnswer(t *testing.T) {
 	f := plain(t, func(c *Config) {
 		c.Kinds[1].MemoryTokens = 245
-		c.Classes[2].OutTokens = 40
+		c.Classes[2].OutputTokens = 40
 	})
 	send(t, f, "r", order("x", 100))
 	send(t, f, "r", order("y", 100))
@@ -216,7 +216,7 @@
 
 func TestConnectionsAreCappedAndTakeCapacity(t *testing.T) {
 	f := plain(t, func(c *Config) {
-		c.Kinds[0].Conns, c.Kinds[0].FullTax, c.Kinds[0].HandshakeMs, c.Kinds[0].ProbeMs = 10, 0.5, 7, 5
+		c.Kinds[0].MaxConns, c.Kinds[0].FullTax, c.Kinds[0].HandshakeMs, c.Kinds[0].ProbeMs = 10, 0.5, 7, 5
 	})
 	for range 10 {
 		if err := f.Connect("r"); err != nil {
@@ -262,7 +262,7 @@
 	}{
 		{func(c *Config) { c.Kinds[1].Slots = 0 }, "engine: kinds[1].slots: 0 is not from 1 to 100000"},
 		{func(c *Config) { c.Kinds[0].Cancel = "x" }, `engine: kinds[0].cancel: "x" is none of "ignored", "queued", "honoured"`},
-		{func(c *Config) { c.Boxes = []BoxSpec{{"a", "none", "z", 0}} }, `engine: boxes[0].kind: unknown value "none"`},
+		{func(c *Config) { c.Engines = []Spec{{"a", "none", "z", 0}} }, `engine: boxes[0].kind: unknown value "none"`},
 	} {
 		cfg := DefaultConfig()
 		c.change(&cfg)
@@ -279,7 +279,7 @@
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
 			cfg := DefaultConfig()
 			for i := range boxes {
-				cfg.Boxes = append(cfg.Boxes, BoxSpec{fmt.Sprint("b", i), cfg.Kinds[i%3].Name, "a", i / 6})
+				cfg.Engines = append(cfg.Engines, Spec{fmt.Sprint("b", i), cfg.Kinds[i%3].Name, "a", i / 6})
 			}
 			f, err := New(cfg, 0)
 			if err != nil {
--- a/lab/engine/fault.go
+++ b/lab/engine/fault.go
@@ -30,30 +30,30 @@
 // Fault is something that goes wrong with some boxes for a while. Faults may
 // overlap, on one box too.
 type Fault struct {
-	Kind   FaultKind
-	Boxes  []string
-	At     float64 // time of its begin
-	Len    float64 // ms
-	Factor float64 // how much slower, or a share; see the kinds
+	Kind     FaultKind
+	Engines  []string
+	Start    float64 // time of its begin
+	Duration float64 // ms
+	Factor   float64 // how much slower, or a share; see the kinds
 }
 
 type faultRun struct{ Fault }
 
 // Inject sets a fault to come. Its begin may lie in the past: it begins now then.
 func (f *Fleet) Inject(in Fault) error {
-	for _, id := range in.Boxes {
+	for _, id := range in.Engines {
 		if f.boxes[id] == nil {
 			return fmt.Errorf("%w: %q", ErrNoBox, id)
 		}
 	}
-	if !(in.Len >= 0) || math.IsInf(in.Len, 0) {
-		return fmt.Errorf("engine: a fault of %v ms", in.Len)
+	if !(in.Duration >= 0) || math.IsInf(in.Duration, 0) {
+		return fmt.Errorf("engine: a fault of %v ms", in.Duration)
 	}
 	run := &faultRun{in}
-	f.after(in.At-f.now, func() {
+	f.after(in.Start-f.now, func() {
 		f.faults = append(f.faults, run)
 		f.apply(run)
-		f.after(in.Len, func() {
+		f.after(in.Duration, func() {
 			f.faults = remove(f.faults, run)
 			f.apply(run)
 		})
@@ -63,7 +63,7 @@
 
 // apply works the conditions of a fault's boxes out anew.
 func (f *Fleet) apply(run *faultRun) {
-	for _, id := range run.Boxes {
+	for _, id := range run.Engines {
 		f.settle(f.boxes[id])
 	}
 }
@@ -128,14 +128,14 @@
 	default:
 		b.condition.State = state // silent machines may turn out dead, and the other way round
 		if c != was {
-			f.emit(Event{Kind: EventBox, Box: b.spec.ID})
+			f.emit(Event{Kind: EventBox, Engine: b.spec.ID})
 		}
 		f.resume(b)
 	}
 }
 
 func (r *faultRun) hits(id string) bool {
-	for _, other := range r.Boxes {
+	for _, other := range r.Engines {
 		if other == id {
 			return true
 		}
@@ -184,7 +184,7 @@
 	b.cache.clear()
 	b.pinned = 0
 	b.shown = shown{}
-	f.emit(Event{Kind: EventBox, Box: b.spec.ID})
+	f.emit(Event{Kind: EventBox, Engine: b.spec.ID})
 }
 
 // lostState ends a fetch whose reader has died. One that still waits in the
@@ -206,7 +206,7 @@
 func (f *Fleet) start(b *box) {
 	b.condition.State = Up
 	b.coldSince = f.now
-	f.emit(Event{Kind: EventBox, Box: b.spec.ID})
+	f.emit(Event{Kind: EventBox, Engine: b.spec.ID})
 }
 
 // Restart starts a box by hand, one that fell over too.
--- a/lab/engine/faults_test.go
+++ b/lab/engine/faults_test.go
@@ -12,11 +12,11 @@
 		sends float64 // in one window, against what it bears
 		falls bool
 	}{{0.8, false}, {1.5, true}} {
-		f := plain(t, func(c *Config) { c.Kinds[0].Queue = 1000 })
-		f.Inject(Fault{Kind: FaultCrash, Boxes: []string{"r"}, At: 0, Len: 100})
+		f := plain(t, func(c *Config) { c.Kinds[0].MaxQueue = 1000 })
+		f.Inject(Fault{Kind: FaultCrash, Engines: []string{"r"}, Start: 0, Duration: 100})
 		until(t, f, 100)
 		work := f.meanWork(f.kinds["prefill"], "send-order")
-		n := int(c.sends * f.cfg.Cold.Multiple * f.kinds["prefill"].ColdFrom * 1000 * (1 + f.cfg.Cold.Slack) / work)
+		n := int(c.sends * f.cfg.Cold.Multiple * f.kinds["prefill"].ColdCapacity * 1000 * (1 + f.cfg.Cold.Slack) / work)
 		for i := range n {
 			f.Send("r", order(fmt.Sprint(i), 10))
 		}
@@ -36,7 +36,7 @@
 
 func TestHangTakesWorkAndAnswersNothing(t *testing.T) {
 	f := plain(t, nil)
-	f.Inject(Fault{Kind: FaultHang, Boxes: []string{"r"}, At: 0, Len: 5000})
+	f.Inject(Fault{Kind: FaultHang, Engines: []string{"r"}, Start: 0, Duration: 5000})
 	until(t, f, 1)
 	c := send(t, f, "r", order("x", 100))
 	if list := until(t, f, 4000); len(of(list, c)) != 0 {
@@ -55,7 +55,7 @@
 	f := plain(t, nil)
 	send(t, f, "r", order("x", 100))
 	until(t, f, 500)
-	f.Inject(Fault{Kind: FaultHang, Boxes: []string{"w1"}, At: 500, Len: 5000})
+	f.Inject(Fault{Kind: FaultHang, Engines: []string{"w1"}, Start: 500, Duration: 5000})
 	until(t, f, 500)
 	c := send(t, f, "w1", order("x", 100))
 	f.Cancel(c)
@@ -72,10 +72,10 @@
 func TestFaultsOverlapOnOneBox(t *testing.T) {
 	f := plain(t, nil)
 	for _, v := range []Fault{
-		{Kind: FaultSlow, Boxes: []string{"r"}, At: 0, Len: 1000, Factor: 2},
-		{Kind: FaultHang, Boxes: []string{"r"}, At: 200, Len: 600},
-		{Kind: FaultVanish, Boxes: []string{"r"}, At: 400, Len: 200},
-		{Kind: FaultCrash, Boxes: []string{"r"}, At: 500, Len: 400},
+		{Kind: FaultSlow, Engines: []string{"r"}, Start: 0, Duration: 1000, Factor: 2},
+		{Kind: FaultHang, Engines: []string{"r"}, Start: 200, Duration: 600},
+		{Kind: FaultVanish, Engines: []string{"r"}, Start: 400, Duration: 200},
+		{Kind: FaultCrash, Engines: []string{"r"}, Start: 500, Duration: 400},
 	} {
 		f.Inject(v)
 	}
@@ -91,8 +91,8 @@
 			t.Fatalf("at %v: %+v", want.at, c)
 		}
 	}
-	if f.ColdSince("r") != 900 {
-		t.Fatalf("it came back at %v", f.ColdSince("r"))
+	if f.StartedAt("r") != 900 {
+		t.Fatalf("it came back at %v", f.StartedAt("r"))
 	}
 }
 
@@ -104,10 +104,10 @@
 		{FaultBreak, []EventKind{EventTokens, EventLost}}, {FaultStop, []EventKind{EventTokens}},
 		{FaultErrors, []EventKind{EventError}}, {FaultSpoilHead, []EventKind{EventTokens}}, {FaultTurnedAway, []EventKind{EventAway}},
 	} {
-		f := plain(t, func(c *Config) { c.Classes[2].OutTokens = 100 })
+		f := plain(t, func(c *Config) { c.Classes[2].OutputTokens = 100 })
 		send(t, f, "r", order("x", 100))
 		until(t, f, 500)
-		f.Inject(Fault{Kind: c.kind, Boxes: []string{"w1"}, At: 500, Len: 1e6, Factor: 1})
+		f.Inject(Fault{Kind: c.kind, Engines: []string{"w1"}, Start: 500, Duration: 1e6, Factor: 1})
 		until(t, f, 500)
 		until(t, f, 500)
 		w := send(t, f, "w1", order("x", 100))
--- a/lab/engine/fleet.go
+++ b/lab/engine/fleet.go
@@ -51,7 +51,7 @@
 	At     float64
 	Kind   EventKind
 	Call   Call
-	Box    string
+	Engine string
 	Tokens int
 	Kept   int    // prompt tokens found kept, with EventRead and EventEnd
 	Why    string // with EventAway
@@ -109,13 +109,13 @@
 	for _, c := range cfg.Classes {
 		f.classes[c.Name] = c
 	}
-	for _, spec := range cfg.Boxes {
+	for _, spec := range cfg.Engines {
 		f.add(spec, now, false)
 	}
 	return f, nil
 }
 
-func (f *Fleet) add(spec BoxSpec, now float64, cold bool) *box {
+func (f *Fleet) add(spec Spec, now float64, cold bool) *box {
 	k := f.kinds[spec.Kind]
 	b := &box{spec: spec, kind: k, speed: k.Speed * max(0.2, 1+k.SpeedCV*f.rng.NormFloat64()), cache: newCache(),
 		port: newLink(f.cfg.Links.NearPerS / 1000)}
@@ -132,8 +132,8 @@
 		cell = newLink(0)
 		f.cells[key] = cell
 	}
-	if k.Role == Reads {
-		cell.perMs += f.cfg.Links.FarRoom * k.ReadPerS * k.Speed / 1000
+	if k.Role == RolePrefill {
+		cell.perMs += f.cfg.Links.FarRoom * k.PrefillPerS * k.Speed / 1000
 	}
 	b.cell = cell
 	return b
@@ -143,8 +143,8 @@
 func (f *Fleet) Now() float64 { return f.now }
 
 // Boxes lists the boxes as they were configured.
-func (f *Fleet) Boxes() []BoxSpec {
-	list := make([]BoxSpec, len(f.order))
+func (f *Fleet) Engines() []Spec {
+	list := make([]Spec, len(f.order))
 	for i, b := range f.order {
 		list[i] = b.spec
 	}
--- a/lab/engine/harness_test.go
+++ b/lab/engine/harness_test.go
@@ -14,13 +14,13 @@
 		k.Speed, k.SpeedCV, k.ErrorRate, k.PairsMsPerM, k.PerSeqMs, k.ContextMsPerK, k.ProbeMs, k.HandshakeMs, k.FullTax = 1, 0, 0, 0, 0, 0, 0, 0, 0
 		k.StepMs = 10
 	}
-	cfg.Kinds[0].ReadPerS, cfg.Kinds[0].Chunk, cfg.Kinds[0].StepMs = 1000, 1e6, 0
+	cfg.Kinds[0].PrefillPerS, cfg.Kinds[0].Chunk, cfg.Kinds[0].StepMs = 1000, 1e6, 0
 	cfg.Links.NearPerS, cfg.Links.FlowsAhead = 1000, 0.5
 	cfg.Reports.Noise = 0
 	for i := range cfg.Classes {
-		cfg.Classes[i].OutSigma, cfg.Classes[i].OutTokens = 0, 10
+		cfg.Classes[i].OutputSigma, cfg.Classes[i].OutputTokens = 0, 10
 	}
-	cfg.Boxes = []BoxSpec{{"r", "prefill", "a", 0}, {"w1", "decode-a", "a", 0}, {"w2", "decode-a", "a", 0}}
+	cfg.Engines = []Spec{{"r", "prefill", "a", 0}, {"w1", "decode-a", "a", 0}, {"w2", "decode-a", "a", 0}}
 	if change != nil {
 		change(&cfg)
 	}
--- a/lab/engine/hold.go
+++ b/lab/engine/hold.go
@@ -35,10 +35,10 @@
 	if b.condition.Hung {
 		return call, nil
 	}
-	answer := func(kind EventKind) { f.emit(Event{Kind: kind, Call: call, Box: id, Report: f.report(b)}) }
+	answer := func(kind EventKind) { f.emit(Event{Kind: kind, Call: call, Engine: id, Report: f.report(b)}) }
 	h := f.holds[request]
 	switch {
-	case h == nil || h.read == nil || h.read.left || b.kind.Role != Writes:
+	case h == nil || h.read == nil || h.read.left || b.kind.Role != RoleDecode:
 		life := b.life
 		f.after(unknownAfter, func() {
 			if b.life == life {
@@ -227,4 +227,4 @@
 }
 
 // HeldCount is the number of requests for which something is held or under way.
-func (f *Fleet) HeldCount() int { return len(f.holds) }
+func (f *Fleet) HoldCount() int { return len(f.holds) }
--- a/lab/engine/kind.go
+++ b/lab/engine/kind.go
@@ -20,8 +20,8 @@
 
 // The roles of boxes.
 const (
-	Reads  Role = "read"
-	Writes Role = "write"
+	RolePrefill Role = "read"
+	RoleDecode  Role = "write"
 )
 
 // CancelMode tells what a box stops when a caller gives an attempt up. A
@@ -41,9 +41,9 @@
 	Name          string
 	Role          Role
 	Slots         int        // requests read, or answers written, at once
-	Queue         int        // requests that may wait
+	MaxQueue      int        // requests that may wait
 	MemoryTokens  float64    // read states, answers under way and, at readers, kept prompts
-	ReadPerS      float64    // prompt tokens read a second
+	PrefillPerS   float64    // prompt tokens read a second
 	Chunk         float64    // prompt tokens read in one step at most
 	StepMs        float64    // a step's least length
 	PerSeqMs      float64    // added for each answer that runs
@@ -51,9 +51,9 @@
 	PairsMsPerM   float64    // added for each million pairs of a token read and one before it
 	Speed         float64    // of this kind's boxes; 1 = as above
 	SpeedCV       float64    // spread of single boxes around it
-	ColdFrom      float64    // share of its capacity that a box starts with
-	ColdMs        float64    // time until it is warm
-	Conns         int        // connections that it holds at most
+	ColdCapacity  float64    // share of its capacity that a box starts with
+	WarmUpMs      float64    // time until it is warm
+	MaxConns      int        // connections that it holds at most
 	FullTax       float64    // share of its capacity that a full connection table takes
 	HandshakeMs   float64    // work of one new connection
 	ProbeMs       float64    // work of one probe or asked place
@@ -67,8 +67,8 @@
 	if k.Name == "" {
 		return errors.New("name: it is missing")
 	}
-	if k.Role != Reads && k.Role != Writes {
-		return fmt.Errorf("role: %q is neither %q nor %q", k.Role, Reads, Writes)
+	if k.Role != RolePrefill && k.Role != RoleDecode {
+		return fmt.Errorf("role: %q is neither %q nor %q", k.Role, RolePrefill, RoleDecode)
 	}
 	switch k.Cancel {
 	case CancelIgnored, CancelQueued, CancelHonours:
@@ -80,11 +80,11 @@
 		v        float64
 		min, max float64
 	}{
-		{"slots", float64(k.Slots), 1, 1e5}, {"queue", float64(k.Queue), 0, 1e6}, {"memory_tokens", k.MemoryTokens, 1, 1e9},
-		{"read_per_s", k.ReadPerS, 1, 1e9}, {"chunk", k.Chunk, 1, 1e6}, {"step_ms", k.StepMs, 0, 1e4},
+		{"slots", float64(k.Slots), 1, 1e5}, {"queue", float64(k.MaxQueue), 0, 1e6}, {"memory_tokens", k.MemoryTokens, 1, 1e9},
+		{"read_per_s", k.PrefillPerS, 1, 1e9}, {"chunk", k.Chunk, 1, 1e6}, {"step_ms", k.StepMs, 0, 1e4},
 		{"per_seq_ms", k.PerSeqMs, 0, 1e3}, {"context_ms_per_k", k.ContextMsPerK, 0, 1e3}, {"pairs_ms_per_m", k.PairsMsPerM, 0, 1e3},
-		{"speed", k.Speed, 0.001, 1e3}, {"speed_cv", k.SpeedCV, 0, 1}, {"cold_from", k.ColdFrom, 0.001, 1}, {"cold_ms", k.ColdMs, 0, 1e7},
-		{"conns", float64(k.Conns), 1, 1e6}, {"full_tax", k.FullTax, 0, 0.99}, {"handshake_ms", k.HandshakeMs, 0, 1e3},
+		{"speed", k.Speed, 0.001, 1e3}, {"speed_cv", k.SpeedCV, 0, 1}, {"cold_from", k.ColdCapacity, 0.001, 1}, {"cold_ms", k.WarmUpMs, 0, 1e7},
+		{"conns", float64(k.MaxConns), 1, 1e6}, {"full_tax", k.FullTax, 0, 0.99}, {"handshake_ms", k.HandshakeMs, 0, 1e3},
 		{"probe_ms", k.ProbeMs, 0, 1e3}, {"error_rate", k.ErrorRate, 0, 1},
 	} {
 		if !(v.v >= v.min && v.v <= v.max) {
@@ -98,20 +98,20 @@
 // the operators' brief gives.
 func DefaultKinds() []Kind {
 	reader := Kind{
-		Name: "prefill", Role: Reads, Slots: 8, Queue: 38, MemoryTokens: 260e3, ReadPerS: 17500, Chunk: 2048,
-		StepMs: 6, PairsMsPerM: 0.8, Speed: 1, SpeedCV: 0.05, ColdFrom: 0.4, ColdMs: 9000, Conns: 2500, FullTax: 0.1,
+		Name: "prefill", Role: RolePrefill, Slots: 8, MaxQueue: 38, MemoryTokens: 260e3, PrefillPerS: 17500, Chunk: 2048,
+		StepMs: 6, PairsMsPerM: 0.8, Speed: 1, SpeedCV: 0.05, ColdCapacity: 0.4, WarmUpMs: 9000, MaxConns: 2500, FullTax: 0.1,
 		HandshakeMs: 1.1, ProbeMs: 0.35, Cancel: CancelQueued, DropExpired: true, ErrorRate: 0.001,
 	}
 	a := reader
-	a.Name, a.Role, a.Slots, a.Queue, a.MemoryTokens, a.ReadPerS = "decode-a", Writes, 85, 27, 180e3, 7700
+	a.Name, a.Role, a.Slots, a.MaxQueue, a.MemoryTokens, a.PrefillPerS = "decode-a", RoleDecode, 85, 27, 180e3, 7700
 	a.Chunk, a.StepMs, a.PerSeqMs, a.ContextMsPerK = 1024, 17, 0.2, 0.05
 	b := a
-	b.Name, b.MemoryTokens, b.ReadPerS, b.Speed, b.SpeedCV = "decode-b", 150e3, 6900, 0.7, 0.08
+	b.Name, b.MemoryTokens, b.PrefillPerS, b.Speed, b.SpeedCV = "decode-b", 150e3, 6900, 0.7, 0.08
 	return []Kind{reader, a, b}
 }
 
 // BoxSpec places a box.
-type BoxSpec struct {
+type Spec struct {
 	ID   string
 	Kind string
 	Zone string
@@ -135,10 +135,10 @@
 
 // Class tells the mean work of a class, by which a cold box's budget counts.
 type Class struct {
-	Name       string
-	ReadTokens float64 // read for a request on average, kept ones not counted
-	OutTokens  float64 // mean length of an answer
-	OutSigma   float64 // spread of its logarithm
+	Name          string
+	PrefillTokens float64 // read for a request on average, kept ones not counted
+	OutputTokens  float64 // mean length of an answer
+	OutputSigma   float64 // spread of its logarithm
 }
 
 // Cold are the figures of the rule on cold boxes.
@@ -152,7 +152,7 @@
 type Config struct {
 	Seed       uint64
 	Kinds      []Kind
-	Boxes      []BoxSpec
+	Engines    []Spec
 	Links      Links
 	Reports    Reports
 	Classes    []Class
@@ -167,9 +167,9 @@
 		Links:   Links{NearPerS: 335e3, FarRoom: 3, ZoneSlower: 2.4, FlowsAhead: 0.7},
 		Reports: Reports{PeriodMs: 450, DelayMs: 180, Noise: 0.07},
 		Classes: []Class{
-			{Name: "rate-check", ReadTokens: 500, OutTokens: 74, OutSigma: 0.7},
-			{Name: "case-chat", ReadTokens: 1100, OutTokens: 123, OutSigma: 0.7},
-			{Name: "send-order", ReadTokens: 800, OutTokens: 192, OutSigma: 0.6},
+			{Name: "rate-check", PrefillTokens: 500, OutputTokens: 74, OutputSigma: 0.7},
+			{Name: "case-chat", PrefillTokens: 1100, OutputTokens: 123, OutputSigma: 0.7},
+			{Name: "send-order", PrefillTokens: 800, OutputTokens: 192, OutputSigma: 0.6},
 		},
 		Cold:       Cold{Multiple: 2.5, WindowMs: 1000, Slack: 0.1},
 		StateTTLMs: 10000,
@@ -189,7 +189,7 @@
 		kinds[k.Name] = true
 	}
 	ids := map[string]bool{}
-	for i, b := range c.Boxes {
+	for i, b := range c.Engines {
 		if !kinds[b.Kind] {
 			return fmt.Errorf("boxes[%d].kind: unknown value %q", i, b.Kind)
 		}
--- a/lab/engine/reader.go
+++ b/lab/engine/reader.go
@@ -15,7 +15,7 @@
 // prepare makes the record of what will be held for a request that is to be
 // read. What an earlier read of it left goes.
 func (f *Fleet) prepare(j *job) {
-	if j.box.kind.Role != Reads {
+	if j.box.kind.Role != RolePrefill {
 		return
 	}
 	if old := f.holds[j.Request]; old != nil {
@@ -58,7 +58,7 @@
 		left -= j.planned
 		pairs += j.planned * (j.kept + j.read)
 	}
-	return b.kind.StepMs + (b.kind.Chunk-left)*1000/b.kind.ReadPerS + pairs/1e6*b.kind.PairsMsPerM
+	return b.kind.StepMs + (b.kind.Chunk-left)*1000/b.kind.PrefillPerS + pairs/1e6*b.kind.PairsMsPerM
 }
 
 // endRead counts what was read, and ends reads that are whole.
@@ -121,7 +121,7 @@
 	if b == nil {
 		return ErrNoBox
 	}
-	if b.kind.Role == Reads {
+	if b.kind.Role == RolePrefill {
 		b.cache.keep(p, max(0, b.kind.MemoryTokens-b.pinned-b.cache.used))
 	}
 	return nil
--- a/lab/engine/status.go
+++ b/lab/engine/status.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return err
 	}
-	if b.conns >= b.kind.Conns {
+	if b.conns >= b.kind.MaxConns {
 		return ErrFull
 	}
 	b.conns++
@@ -49,7 +49,7 @@
 }
 
 // ColdSince is the time of a box's last start, -Inf for long ago.
-func (f *Fleet) ColdSince(id string) float64 {
+func (f *Fleet) StartedAt(id string) float64 {
 	if b := f.boxes[id]; b != nil {
 		return b.coldSince
 	}
--- a/lab/engine/storm_test.go
+++ b/lab/engine/storm_test.go
@@ -14,10 +14,10 @@
 	cfg.Seed = seed
 	for i := range 10 {
 		kind := cfg.Kinds[i%3].Name
-		cfg.Boxes = append(cfg.Boxes, BoxSpec{fmt.Sprint("b", i), kind, fmt.Sprint("z", i%2), i % 3})
+		cfg.Engines = append(cfg.Engines, Spec{fmt.Sprint("b", i), kind, fmt.Sprint("z", i%2), i % 3})
 	}
 	for i := range cfg.Kinds { // tight, so that all bounds are met
-		cfg.Kinds[i].MemoryTokens, cfg.Kinds[i].Queue, cfg.Kinds[i].Slots = 9000, 3, 4
+		cfg.Kinds[i].MemoryTokens, cfg.Kinds[i].MaxQueue, cfg.Kinds[i].Slots = 9000, 3, 4
 	}
 	f, err := New(cfg, 0)
 	if err != nil {
@@ -57,7 +57,7 @@
 		case v < 0.95 && len(open) > 0:
 			f.Cancel(open[r.IntN(len(open))])
 		default:
-			f.Inject(Fault{Kind: kinds[r.IntN(len(kinds))], Boxes: []string{box}, At: now, Len: r.Float64() * 3000, Factor: r.Float64() * 3})
+			f.Inject(Fault{Kind: kinds[r.IntN(len(kinds))], Engines: []string{box}, Start: now, Duration: r.Float64() * 3000, Factor: r.Float64() * 3})
 		}
 		if err := f.Check(); err != nil {
 			t.Fatalf("seed %d at %v: %v", seed, f.Now(), err)
--- a/lab/engine/writer.go
+++ b/lab/engine/writer.go
@@ -106,7 +106,7 @@
 		context += j.pinned
 	}
 	return b.kind.StepMs + float64(len(b.running))*b.kind.PerSeqMs + context/1000*b.kind.ContextMsPerK +
-		(b.kind.Chunk-left)*1000/b.kind.ReadPerS + pairs/1e6*b.kind.PairsMsPerM
+		(b.kind.Chunk-left)*1000/b.kind.PrefillPerS + pairs/1e6*b.kind.PairsMsPerM
 }
 
 // endWrite passes on what a step has made, and ends answers that are whole.
@@ -153,7 +153,7 @@
 	}
 	end := j.produced >= j.length
 	if first || end || j.unsent >= tokensAnEvent {
-		f.emit(Event{Kind: EventTokens, Call: j.call, Box: j.box.spec.ID, Tokens: j.unsent, Fate: j.fate})
+		f.emit(Event{Kind: EventTokens, Call: j.call, Engine: j.box.spec.ID, Tokens: j.unsent, Fate: j.fate})
 		j.unsent = 0
 	}
 	switch {
@@ -199,7 +199,7 @@
 		}
 	}
 	if b.condition.Hung { // it notices later, if at all: advance and admit see that it has left
-		if waits && b.kind.Role == Writes && j.hold != nil {
+		if waits && b.kind.Role == RoleDecode && j.hold != nil {
 			j.hold.wanted, j.hold = nil, nil
 		}
 		return
@@ -208,7 +208,7 @@
 		return
 	}
 	b.queue, b.running = remove(b.queue, j), remove(b.running, j)
-	if b.kind.Role == Reads {
+	if b.kind.Role == RolePrefill {
 		f.dropRead(j)
 	} else {
 		b.pin(j, -j.pinned)
--- a/lab/load/grpc.go
+++ b/lab/load/grpc.go
@@ -69,7 +69,7 @@
 	case errors.Is(err, io.EOF):
 		out.Answer = rules.Served
 	case ctx.Err() != nil:
-		out.Answer = rules.Left
+		out.Answer = rules.ClientLeft
 	case out.First > 0:
 		out.Answer = rules.Broken
 	case errors.Is(context.Cause(tryCtx), errTimeout), grpcStatus.Code() == codes.DeadlineExceeded:
@@ -81,7 +81,7 @@
 			}
 		}
 	default:
-		out.Answer = rules.Error
+		out.Answer = rules.Failure
 	}
 	return out
 }
--- a/lab/load/http.go
+++ b/lab/load/http.go
@@ -123,7 +123,7 @@
 		switch {
 		case !sent.Load():
 		case ctx.Err() != nil:
-			out.Answer = rules.Left
+			out.Answer = rules.ClientLeft
 		case !inTime || errors.Is(context.Cause(tryCtx), errTimeout):
 			out.Answer = rules.Timeout
 		default:
@@ -141,7 +141,7 @@
 			out.RetryAfter = s * 1000
 		}
 	default:
-		out.Answer = rules.Error
+		out.Answer = rules.Failure
 	}
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody)) // so that the connection can be reused
 	return out
@@ -174,7 +174,7 @@
 		out.Answer = rules.Served
 		out.Corrupted = "an incomplete answer ended with the last chunk"
 	case errors.Is(context.Cause(ctx), context.Canceled):
-		out.Answer = rules.Left
+		out.Answer = rules.ClientLeft
 	default:
 		out.Answer = rules.Broken
 	}
@@ -225,7 +225,7 @@
 // addText compares the next tokens with those that the engine sent.
 func (c *answerChecker) addText(text string) {
 	n := len(text) / 4
-	if want := engine.Text(c.id, c.tokens, n); text != want && c.corrupted == "" {
+	if want := engine.AnswerText(c.id, c.tokens, n); text != want && c.corrupted == "" {
 		c.corrupted = fmt.Sprintf("tokens from %d on are %.24q, the engine sent %.24q", c.tokens, text, want)
 	}
 	c.tokens += n
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -145,7 +145,7 @@
 	}
 	requests := Draw(p)
 	c := &fakeClient{hold: make(chan struct{})}
-	check := rules.New(rules.Platform())
+	check := rules.New(rules.PlatformLimits())
 	r := Runner{Plan: p, Clients: []Client{c}, Clock: &jumpingClock{}, Watch: check}
 	done := make(chan *Summary)
 	go func() {
@@ -175,12 +175,12 @@
 		kind  Kind
 	}{
 		{0, []Outcome{{Answer: rules.Refused, RetryAfter: 100}, {Answer: rules.Refused}}, 3, InTime},
-		{0, []Outcome{{Answer: rules.Error}}, 2, InTime}, {0, []Outcome{{Answer: rules.Refused}, {Answer: rules.Refused}, {Answer: rules.Refused}}, 3, Refused},
-		{2, []Outcome{{Answer: rules.Refused}}, 2, InTime}, {2, []Outcome{{Answer: rules.Error}}, 1, Failed},
+		{0, []Outcome{{Answer: rules.Failure}}, 2, InTime}, {0, []Outcome{{Answer: rules.Refused}, {Answer: rules.Refused}, {Answer: rules.Refused}}, 3, Refused},
+		{2, []Outcome{{Answer: rules.Refused}}, 2, InTime}, {2, []Outcome{{Answer: rules.Failure}}, 1, Failed},
 		{2, []Outcome{{Answer: rules.Timeout}}, 1, Timeout}, {2, []Outcome{{}}, 2, InTime}, {0, []Outcome{{Answer: rules.Broken, First: 1}}, 1, Broken},
 	} {
 		cl := &fakeClient{outcomes: c.say}
-		r := Runner{Plan: p, Clients: []Client{cl}, Clock: &jumpingClock{}, Watch: rules.New(rules.Platform())}
+		r := Runner{Plan: p, Clients: []Client{cl}, Clock: &jumpingClock{}, Watch: rules.New(rules.PlatformLimits())}
 		results, _ := r.Run(context.Background(), 0, []Request{{Class: c.class, PromptTokens: 100, Worth: 1}})
 		if results[0].Tries != c.tries || results[0].Kind != c.kind {
 			t.Errorf("class %d, %v: %d tries, %s; want %d, %s", c.class, c.say, results[0].Tries, results[0].Kind, c.tries, c.kind)
@@ -197,7 +197,7 @@
 
 func TestHTTP_Outcomes(t *testing.T) {
 	event := func(id string, from, n int) string {
-		return fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n", engine.Text(id, from, n))
+		return fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n", engine.AnswerText(id, from, n))
 	}
 	end := "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":9,\"completion_tokens\":5,\"x\":0}}\n\ndata: [DONE]\n\n"
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -237,7 +237,7 @@
 		spoilt bool
 	}{
 		{"served", rules.Served, 5, false}, {"changed", rules.Served, 5, true}, {"short", rules.Served, 1, true}, {"cut", rules.Served, 1, true},
-		{"broken", rules.Broken, 1, false}, {"refused", rules.Refused, 0, false}, {"failed", rules.Error, 0, false}, {"dropped", rules.Dropped, 0, false},
+		{"broken", rules.Broken, 1, false}, {"refused", rules.Refused, 0, false}, {"failed", rules.Failure, 0, false}, {"dropped", rules.Dropped, 0, false},
 		{"silent", rules.Timeout, 0, false},
 	} {
 		remaining := 20000.0
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -44,9 +44,9 @@
 
 // Watch is notified of each try and its outcome; rules.Checker implements it.
 type Watch interface {
-	Asked(at float64, id, class string, sideEffect bool, gateway int)
-	Answered(at float64, id string, a rules.Answer)
-	Spoilt(at float64, id, what string)
+	RequestSent(at float64, id, class string, sideEffect bool, gateway int)
+	RequestAnswered(at float64, id string, a rules.Answer)
+	AnswerCorrupted(at float64, id, what string)
 }
 
 // Runner sends the load of a plan.
@@ -115,15 +115,15 @@
 			stop = r.Clock.AfterFunc(remaining*rng.Float64(), cancel)
 		}
 		outcome := r.Clients[gateway].Do(tryCtx, t, func() {
-			r.Watch.Asked(r.Clock.Now(), t.ID, class.Name, class.Effect == "side_effect", gateway)
+			r.Watch.RequestSent(r.Clock.Now(), t.ID, class.Name, class.Effect == "side_effect", gateway)
 		})
 		stop()
 		cancel()
 		if outcome.Answer != "" {
-			r.Watch.Answered(outcome.End, t.ID, outcome.Answer)
+			r.Watch.RequestAnswered(outcome.End, t.ID, outcome.Answer)
 		}
 		if outcome.Corrupted != "" {
-			r.Watch.Spoilt(outcome.End, t.ID, outcome.Corrupted)
+			r.Watch.AnswerCorrupted(outcome.End, t.ID, outcome.Corrupted)
 		}
 		result.Tokens, result.Total = outcome.Tokens, outcome.End-scheduled
 		if outcome.First > 0 {
@@ -139,7 +139,7 @@
 			result.Kind, retry = Timeout, class.Effect != "side_effect"
 		case rules.Broken:
 			result.Kind = Broken
-		case rules.Left:
+		case rules.ClientLeft:
 			result.Kind = Left
 		default: // failed, dropped, or no gateway at the address
 			result.Kind, retry = Failed, outcome.Answer == "" || class.Effect != "side_effect"
--- a/lab/news/news.go
+++ b/lab/news/news.go
@@ -24,7 +24,7 @@
 
 // Entry is what the list tells of a box.
 type Entry struct {
-	Box       engine.BoxSpec
+	Box       engine.Spec
 	Lifecycle Lifecycle
 	Started   float64 // ms in the driver's time, 0 = long ago
 }
@@ -71,7 +71,7 @@
 		cfg: p.Discovery, windows: p.DiscoveryFaults, begin: begin, rng: rand.New(rand.NewPCG(p.Seed, 0x11575)), version: 1,
 		known: map[string]Entry{}, index: map[string]int{}, lied: map[int]bool{},
 	}
-	for i, b := range p.Engine.Boxes {
+	for i, b := range p.Engine.Engines {
 		l.known[b.ID] = Entry{Box: b, Lifecycle: Up}
 		l.index[b.ID], l.order = i, append(l.order, b.ID)
 	}
@@ -86,7 +86,7 @@
 }
 
 // Box tells that a box's condition has changed. The list learns of it late.
-func (l *Lists) Box(now float64, box engine.BoxSpec, c engine.Condition, started float64) {
+func (l *Lists) Box(now float64, box engine.Spec, c engine.Condition, started float64) {
 	e := Entry{Box: box, Lifecycle: Up, Started: max(started, 0)}
 	delay := l.draw(l.cfg.ChangeNoticeMs)
 	switch {
--- a/lab/news/news_test.go
+++ b/lab/news/news_test.go
@@ -32,7 +32,7 @@
 
 func TestNewsComesLate(t *testing.T) {
 	l, p := lists(t, "")
-	box := p.Engine.Boxes[0]
+	box := p.Engine.Engines[0]
 	l.Box(0, box, engine.Condition{State: engine.Down}, 0)
 	l.Advance(999)
 	if got := lifecycle(l, 0, box.ID); got != Up {
@@ -72,7 +72,7 @@
 at_s = 30
 len_s = 4
 `)
-	box, other := p.Engine.Boxes[0], p.Engine.Boxes[1]
+	box, other := p.Engine.Engines[0], p.Engine.Engines[1]
 	l.Box(0, box, engine.Condition{State: engine.Up, Draining: true}, 0)
 	l.Box(0, other, engine.Condition{State: engine.Up, Draining: true}, 0)
 	l.Advance(600)
--- a/lab/rehearse/gateways.go
+++ b/lab/rehearse/gateways.go
@@ -138,13 +138,13 @@
 func (l launcher) writeConfig(n int, name string) (path string, err error) {
 	type object = map[string]any
 	var known []object
-	for _, b := range l.emulator.Boxes(n) {
+	for _, b := range l.emulator.Engines(n) {
 		known = append(known, object{
 			"instanceId": b.ID, "hostPort": b.HTTP, "zone": b.Zone, "machineType": b.Kind, "cell": b.Cell, "lifecycle": "up", "weight": 1, "startedAtMs": 0,
 		})
 	}
 	raw, err := json.Marshal(object{
-		"name": name, "listen": "127.0.0.1:0", "discovery": l.emulator.Discovery(n), "seed": strconv.FormatUint(l.plan.Seed+uint64(n), 16),
+		"name": name, "listen": "127.0.0.1:0", "discovery": l.emulator.DiscoveryAddr(n), "seed": strconv.FormatUint(l.plan.Seed+uint64(n), 16),
 		"limits":   object{"cores": l.limits.Cores, "memory_mb": l.limits.MemoryMB, "sockets": l.limits.Sockets},
 		"known":    object{"generation": 1, "reset": true, "instances": known},
 		"settings": l.plan.Settings(n),
@@ -162,7 +162,7 @@
 // writeOperatorFile writes the operator's file, which configures a gateway's gRPC front.
 func (l launcher) writeOperatorFile(n int, name string) (path string, err error) {
 	var engines []map[string]any
-	for _, b := range l.emulator.Boxes(n) {
+	for _, b := range l.emulator.Engines(n) {
 		engines = append(engines, map[string]any{"id": b.ID, "address": b.GRPC, "kind": b.Kind, "zone": b.Zone, "cell": b.Cell})
 	}
 	path = filepath.Join(l.dir, name+".toml")
--- a/lab/rehearse/rehearse.go
+++ b/lab/rehearse/rehearse.go
@@ -37,20 +37,20 @@
 
 // Report is the result of a rehearsal.
 type Report struct {
-	Scenario     string         `json:"scenario"`
-	Seed         uint64         `json:"seed"`
-	Gateways     int            `json:"gateways"`
-	Engines      int            `json:"boxes"`
-	Wire         string         `json:"wire"`
-	LengthS      float64        `json:"length_s"`
-	Summary      *load.Summary  `json:"summary"`
-	Counts       rules.Counts   `json:"counts"`
-	Violations   []rules.Break  `json:"breaks"`
-	Crashes      []string       `json:"crashes"`
-	HoldsAtEnd   int            `json:"held_at_end"`
-	Emulator     emulator.Stats `json:"emulator"`
-	GatewayUsage []Usage        `json:"gateways_used"`
-	LabUsage     Usage          `json:"lab_used"` // this process: the emulator and the load
+	Scenario     string            `json:"scenario"`
+	Seed         uint64            `json:"seed"`
+	Gateways     int               `json:"gateways"`
+	Engines      int               `json:"boxes"`
+	Wire         string            `json:"wire"`
+	LengthS      float64           `json:"length_s"`
+	Summary      *load.Summary     `json:"summary"`
+	Counts       rules.Counts      `json:"counts"`
+	Violations   []rules.Violation `json:"breaks"`
+	Crashes      []string          `json:"crashes"`
+	HoldsAtEnd   int               `json:"held_at_end"`
+	Emulator     emulator.Stats    `json:"emulator"`
+	GatewayUsage []Usage           `json:"gateways_used"`
+	LabUsage     Usage             `json:"lab_used"` // this process: the emulator and the load
 	startMs      float64
 }
 
@@ -84,7 +84,7 @@
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
 	c := clock.System()
-	em, err := emulator.New(emulator.Config{Plan: plan, GRPC: opt.GRPC, Unlisted: opt.GRPC, Rules: opt.Rules, Clock: c, Log: opt.Log})
+	em, err := emulator.New(emulator.Config{Plan: plan, GRPC: opt.GRPC, StaticMembership: opt.GRPC, Rules: opt.Rules, Clock: c, Log: opt.Log})
 	if err != nil {
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
@@ -110,26 +110,26 @@
 		return nil, err
 	}
 	requests := load.Draw(plan)
-	report = &Report{Scenario: s.Name, Seed: s.Seed, Gateways: s.Gateways, Engines: len(plan.Engine.Boxes), Wire: "http/1.1", LengthS: s.LengthS}
+	report = &Report{Scenario: s.Name, Seed: s.Seed, Gateways: s.Gateways, Engines: len(plan.Engine.Engines), Wire: "http/1.1", LengthS: s.LengthS}
 	if opt.GRPC {
 		report.Wire = "grpc"
 	}
-	if err := em.Begin(); err != nil {
+	if err := em.Start(); err != nil {
 		stopAll(gateways)
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
-	report.startMs = em.Began()
+	report.startMs = em.StartedAt()
 	runner := load.Runner{Plan: plan, Clients: clients, Clock: c, Watch: em.Rules(), Progress: progress(opt, em, c, len(requests), s.LengthS)}
-	_, report.Summary = runner.Run(ctx, em.Began(), requests)
+	_, report.Summary = runner.Run(ctx, em.StartedAt(), requests)
 	for _, client := range clients {
 		client.Close()
 	}
 	waitForReleases(em)
 	report.Crashes = stopAll(gateways)
-	report.HoldsAtEnd = em.Held()
-	report.Counts, report.Violations, report.Emulator = em.Rules().Counts(), em.Rules().Breaks(), em.Stats()
+	report.HoldsAtEnd = em.HoldCount()
+	report.Counts, report.Violations, report.Emulator = em.Rules().Counts(), em.Rules().Violations(), em.Stats()
 	for _, m := range report.Emulator.Malformed {
-		report.Violations = append(report.Violations, rules.Break{Rule: rules.Unchanged, Text: "an engine could not parse a request: " + m})
+		report.Violations = append(report.Violations, rules.Violation{Rule: rules.Unchanged, Text: "an engine could not parse a request: " + m})
 	}
 	report.LabUsage = ownUsage()
 	for _, g := range gateways {
@@ -184,7 +184,7 @@
 		if now := c.Now(); now-last >= 1000 {
 			last = now
 			opt.Progress(Progress{
-				Seconds: (now - em.Began()) / 1000, Length: length, Sent: sent, Done: done, Total: total, Violations: len(em.Rules().Breaks()),
+				Seconds: (now - em.StartedAt()) / 1000, Length: length, Sent: sent, Done: done, Total: total, Violations: len(em.Rules().Violations()),
 			})
 		}
 	}
@@ -192,7 +192,7 @@
 
 // waitForReleases gives the gateways time to release KV state and reservations.
 func waitForReleases(em *emulator.Emulator) {
-	for deadline := time.Now().Add(releaseTimeout); em.Held() > 0 && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(releaseTimeout); em.HoldCount() > 0 && time.Now().Before(deadline); {
 		time.Sleep(20 * time.Millisecond)
 	}
 }
--- a/lab/rehearse/rehearse_test.go
+++ b/lab/rehearse/rehearse_test.go
@@ -37,7 +37,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		report, err := Run(context.Background(), Options{Scenario: s, Program: program, GRPC: grpc, Rules: rules.Patient()})
+		report, err := Run(context.Background(), Options{Scenario: s, Program: program, GRPC: grpc, Rules: rules.RelaxedLimits()})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/lab/rehearse/text.go
+++ b/lab/rehearse/text.go
@@ -60,7 +60,7 @@
 			fmt.Fprintf(w, "and %d more broken rules\n", len(r.Violations)-i)
 			break
 		}
-		fmt.Fprintf(w, "BROKEN RULE %s at %.1f s, request %s, box %s: %s\n", b.Rule, max(0, b.At-r.startMs)/1000, b.Request, b.Box, b.Text)
+		fmt.Fprintf(w, "BROKEN RULE %s at %.1f s, request %s, box %s: %s\n", b.Rule, max(0, b.At-r.startMs)/1000, b.Request, b.Engine, b.Text)
 		for _, line := range b.History {
 			fmt.Fprintln(w, "   ", strings.TrimSpace(line))
 		}
--- a/lab/rules/rules.go
+++ b/lab/rules/rules.go
@@ -17,7 +17,7 @@
 	reqs   map[string]*request
 	told   map[told]news
 	cold   map[string][]arrival
-	breaks []Break
+	breaks []Violation
 	counts Counts
 }
 
@@ -85,7 +85,7 @@
 }
 
 func (c *Checker) broke(at float64, rule Rule, r *request, box, format string, args ...any) {
-	b := Break{Rule: rule, At: at, Box: box, Text: fmt.Sprintf(format, args...)}
+	b := Violation{Rule: rule, At: at, Engine: box, Text: fmt.Sprintf(format, args...)}
 	if r != nil {
 		b.Request, b.History = r.id, slices.Clone(r.history)
 	}
@@ -93,7 +93,7 @@
 }
 
 // Asked tells that a client has written a request whole.
-func (c *Checker) Asked(at float64, id, class string, sideEffect bool, gateway int) {
+func (c *Checker) RequestSent(at float64, id, class string, sideEffect bool, gateway int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Requests++
@@ -103,7 +103,7 @@
 }
 
 // Answered tells how a client's try has ended.
-func (c *Checker) Answered(at float64, id string, a Answer) {
+func (c *Checker) RequestAnswered(at float64, id string, a Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.request(at, id)
@@ -133,7 +133,7 @@
 }
 
 // Spoilt tells that a client has got what no engine sent.
-func (c *Checker) Spoilt(at float64, id, what string) {
+func (c *Checker) AnswerCorrupted(at float64, id, what string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.broke(at, Unchanged, c.request(at, id), "", "%s", what)
@@ -305,7 +305,7 @@
 		for _, o := range r.out {
 			c.overlap(now, r, o)
 		}
-		if len(r.out) == 0 && !r.pinned && now-r.idle > c.lim.Release {
+		if len(r.out) == 0 && !r.pinned && now-r.idle > c.lim.ReleaseWithin {
 			if boxes := holding(id); len(boxes) > 0 {
 				r.pinned = true
 				c.broke(now, Pinned, r, boxes[0], "held at %v for %.0f ms with no attempt out", boxes, now-r.idle)
@@ -321,7 +321,7 @@
 }
 
 // Breaks are the broken rules in the order in which they were seen.
-func (c *Checker) Breaks() []Break {
+func (c *Checker) Violations() []Violation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.breaks)
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -14,55 +14,55 @@
 		want []Rule
 	}{
 		{"an ordinary order", func(c *Checker) {
-			c.Asked(0, "x", "send-order", true, 0)
+			c.RequestSent(0, "x", "send-order", true, 0)
 			c.Sent(1, 1, 0, "r", "x", true, -1)
 			c.Ended(100, "r", "x", Read)
 			c.Sent(101, 101, 0, "w", "x", false, -1)
 			c.Ran(150, "w", "x")
 			c.Ended(300, "w", "x", Whole)
-			c.Answered(301, "x", Served)
+			c.RequestAnswered(301, "x", Served)
 		}, nil},
 		{"an order turned away and sent again", func(c *Checker) {
-			c.Asked(0, "x", "send-order", true, 0)
+			c.RequestSent(0, "x", "send-order", true, 0)
 			c.Sent(1, 1, 0, "w", "x", false, -1)
 			c.Ended(2, "w", "x", Away)
 			c.Sent(3, 3, 0, "v", "x", false, -1)
 			c.Ended(4, "v", "x", Away)
-			c.Answered(5, "x", Refused)
+			c.RequestAnswered(5, "x", Refused)
 		}, nil},
 		{"an order sent again after a reset", func(c *Checker) {
-			c.Asked(0, "x", "send-order", true, 0)
+			c.RequestSent(0, "x", "send-order", true, 0)
 			c.Sent(1, 1, 0, "w", "x", false, -1)
 			c.Ended(2, "w", "x", Reset)
 			c.Sent(3, 3, 0, "v", "x", false, -1)
 		}, []Rule{Duplicate}},
 		{"an order refused after it was given up", func(c *Checker) {
-			c.Asked(0, "x", "send-order", true, 0)
+			c.RequestSent(0, "x", "send-order", true, 0)
 			c.Sent(1, 1, 0, "w", "x", false, -1)
 			c.Ended(2000, "w", "x", GivenUp)
-			c.Answered(2001, "x", Refused)
+			c.RequestAnswered(2001, "x", Refused)
 		}, []Rule{Duplicate}},
 		{"a pure request sent again after a reset", func(c *Checker) {
-			c.Asked(0, "x", "case-chat", false, 0)
+			c.RequestSent(0, "x", "case-chat", false, 0)
 			c.Sent(1, 1, 0, "w", "x", false, -1)
 			c.Ended(2, "w", "x", Reset)
 			c.Sent(3, 3, 0, "v", "x", false, -1)
 			c.Ended(9, "v", "x", Whole)
-			c.Answered(10, "x", Served)
+			c.RequestAnswered(10, "x", Served)
 		}, nil},
 		{"a side effect that runs twice", func(c *Checker) {
-			c.Asked(0, "x", "send-order", true, 0)
+			c.RequestSent(0, "x", "send-order", true, 0)
 			c.Ran(1, "w", "x")
 			c.Ran(2, "v", "x")
 		}, []Rule{Duplicate}},
 		{"two attempts out", func(c *Checker) {
-			c.Asked(0, "x", "case-chat", false, 0)
+			c.RequestSent(0, "x", "case-chat", false, 0)
 			c.Sent(1, 1, 0, "w", "x", false, -1)
 			c.Sent(2, 2, 0, "v", "x", false, -1)
 			c.Ended(60, "w", "x", GivenUp)
 		}, []Rule{Duplicate}},
 		{"an end seen a little late", func(c *Checker) {
-			c.Asked(0, "x", "case-chat", false, 0)
+			c.RequestSent(0, "x", "case-chat", false, 0)
 			c.Sent(1, 1, 0, "w", "x", false, -1)
 			c.Sent(2, 2, 0, "v", "x", false, -1)
 			c.Ended(40, "w", "x", GivenUp)
@@ -80,25 +80,25 @@
 			c.Place(3000, 1, "w", "x", true)
 		}, nil},
 		{"a connection closed on a request", func(c *Checker) {
-			c.Asked(0, "x", "case-chat", false, 0)
-			c.Answered(9, "x", Dropped)
+			c.RequestSent(0, "x", "case-chat", false, 0)
+			c.RequestAnswered(9, "x", Dropped)
 		}, []Rule{Lost}},
 		{"two answers", func(c *Checker) {
-			c.Asked(0, "x", "case-chat", false, 0)
-			c.Answered(9, "x", Refused)
-			c.Answered(10, "x", Served)
+			c.RequestSent(0, "x", "case-chat", false, 0)
+			c.RequestAnswered(9, "x", Refused)
+			c.RequestAnswered(10, "x", Served)
 		}, []Rule{Lost}},
 		{"a client left waiting", func(c *Checker) {
-			c.Asked(0, "x", "case-chat", false, 0)
+			c.RequestSent(0, "x", "case-chat", false, 0)
 			c.Event(100, "x")
-			c.Answered(5200, "x", Broken)
+			c.RequestAnswered(5200, "x", Broken)
 		}, []Rule{Lost}},
 		{"a client left waiting by a box that has vanished", func(c *Checker) {
-			c.Asked(0, "x", "case-chat", false, 0)
+			c.RequestSent(0, "x", "case-chat", false, 0)
 			c.Ran(50, "w", "x")
 			c.Event(100, "x")
 			c.Stopped("w")
-			c.Answered(9200, "x", Broken)
+			c.RequestAnswered(9200, "x", Broken)
 		}, nil},
 		{"a cold box pushed over", func(c *Checker) {
 			c.Told(10, 0, "w", false, 5)
@@ -114,11 +114,11 @@
 			c.Fell(30, "w")
 		}, nil},
 	} {
-		c := New(Platform())
+		c := New(PlatformLimits())
 		s.tell(c)
 		c.Sweep(1e4, nothing)
 		var got []Rule
-		for _, b := range c.Breaks() {
+		for _, b := range c.Violations() {
 			got = append(got, b.Rule)
 		}
 		if !slices.Equal(got, s.want) {
@@ -128,34 +128,34 @@
 }
 
 func TestHeldTooLong(t *testing.T) {
-	c := New(Platform())
-	c.Asked(0, "x", "case-chat", false, 0)
+	c := New(PlatformLimits())
+	c.RequestSent(0, "x", "case-chat", false, 0)
 	c.Sent(1, 1, 0, "r", "x", true, -1)
 	holding := func(string) []string { return []string{"r"} }
 	c.Sweep(5000, holding) // the read is out
 	c.Ended(6000, "r", "x", Read)
 	c.Sweep(6700, holding)
-	if b := c.Breaks(); len(b) != 0 {
+	if b := c.Violations(); len(b) != 0 {
 		t.Fatalf("in time: %+v", b)
 	}
 	c.Sweep(6900, holding)
 	c.Sweep(7000, holding)
-	b := c.Breaks()
+	b := c.Violations()
 	if len(b) != 1 || b[0].Rule != Pinned || len(b[0].History) != 3 {
 		t.Fatalf("%+v", b)
 	}
 	c.Unheard(7100, "w", "y") // written, and not arrived: the time of what is held runs on
 	c.Sweep(7800, holding)
-	if b := c.Breaks(); len(b) != 1 {
+	if b := c.Violations(); len(b) != 1 {
 		t.Fatalf("in time beside what a box that has vanished was sent: %+v", b[1:])
 	}
 	c.Sweep(8000, holding)
-	if b := c.Breaks(); len(b) != 2 || b[1].Request != "y" {
+	if b := c.Violations(); len(b) != 2 || b[1].Request != "y" {
 		t.Fatalf("held beside it: %+v", b)
 	}
-	c.Answered(9100, "y", Timeout)
+	c.RequestAnswered(9100, "y", Timeout)
 	c.Sweep(9950, holding)
-	if b := c.Breaks(); len(b) != 2 {
+	if b := c.Violations(); len(b) != 2 {
 		t.Fatalf("told twice: %+v", b)
 	}
 	c.Sweep(1e6, holding)
--- a/lab/rules/types.go
+++ b/lab/rules/types.go
@@ -15,34 +15,34 @@
 
 // Limits are the rules' figures in ms, with the tolerances of sockets.
 type Limits struct {
-	DrainGrace  float64
-	Release     float64
-	Overlap     float64 // for the end of an attempt to be seen
-	StreamLast  float64 // after an engine's last event, until a client's stream has ended
-	ColdShare   float64 // of a cold box's work, from gateways that knew, that breaks the rule
-	ColdWindow  float64
-	ForgetAfter float64
+	DrainGrace    float64
+	ReleaseWithin float64
+	Overlap       float64 // for the end of an attempt to be seen
+	StreamLast    float64 // after an engine's last event, until a client's stream has ended
+	ColdShare     float64 // of a cold box's work, from gateways that knew, that breaks the rule
+	ColdWindow    float64
+	ForgetAfter   float64
 }
 
 // Platform are the protocol's figures.
-func Platform() Limits {
-	return Limits{DrainGrace: 1050, Release: 800, Overlap: 50, StreamLast: 5050, ColdShare: 2.0 / 3, ColdWindow: 1000, ForgetAfter: 60000}
+func PlatformLimits() Limits {
+	return Limits{DrainGrace: 1050, ReleaseWithin: 800, Overlap: 50, StreamLast: 5050, ColdShare: 2.0 / 3, ColdWindow: 1000, ForgetAfter: 60000}
 }
 
 // Patient are limits for tests that share their machine: what takes a moment is
 // let pass there, so that a verdict does not depend on how fast the machine is.
-func Patient() Limits {
-	l := Platform()
-	l.DrainGrace, l.Release, l.Overlap, l.StreamLast = 6000, 6000, 3000, 15000
+func RelaxedLimits() Limits {
+	l := PlatformLimits()
+	l.DrainGrace, l.ReleaseWithin, l.Overlap, l.StreamLast = 6000, 6000, 3000, 15000
 	return l
 }
 
 // Break is a broken rule, with all that the request went through.
-type Break struct {
+type Violation struct {
 	Rule    Rule     `json:"rule"`
 	At      float64  `json:"at_ms"`
 	Request string   `json:"request,omitempty"`
-	Box     string   `json:"box,omitempty"`
+	Engine  string   `json:"box,omitempty"`
 	Text    string   `json:"text"`
 	History []string `json:"history,omitempty"`
 }
@@ -65,13 +65,13 @@
 
 // The answers to clients.
 const (
-	Served  Answer = "served"
-	Refused Answer = "refused"
-	Error   Answer = "failed"
-	Broken  Answer = "broken"  // a begun stream ended without its last chunk
-	Timeout Answer = "timeout" // the client's time was up first
-	Left    Answer = "left"    // the client left early
-	Dropped Answer = "dropped" // the gateway closed the connection without an answer
+	Served     Answer = "served"
+	Refused    Answer = "refused"
+	Failure    Answer = "failed"
+	Broken     Answer = "broken"  // a begun stream ended without its last chunk
+	Timeout    Answer = "timeout" // the client's time was up first
+	ClientLeft Answer = "left"    // the client left early
+	Dropped    Answer = "dropped" // the gateway closed the connection without an answer
 )
 
 // Counts are what the checker has seen.
--- a/lab/scenario/compile.go
+++ b/lab/scenario/compile.go
@@ -44,7 +44,7 @@
 	p.Engine.Classes = nil
 	for _, c := range s.Load.Classes {
 		p.Engine.Classes = append(p.Engine.Classes, engine.Class{
-			Name: c.Name, ReadTokens: c.NewTokens + 0.15*c.PrefixTokens, OutTokens: c.OutputTokens, OutSigma: c.OutputSigma,
+			Name: c.Name, PrefillTokens: c.NewTokens + 0.15*c.PrefixTokens, OutputTokens: c.OutputTokens, OutputSigma: c.OutputSigma,
 		})
 	}
 	known := map[string]engine.Kind{}
@@ -79,7 +79,7 @@
 		switch k.Role {
 		case "":
 			return kind, fmt.Errorf("role: missing, and %q is not a kind with defaults", k.Name)
-		case string(engine.Reads):
+		case string(engine.RolePrefill):
 			kind = known["prefill"]
 		default:
 			kind = known["decode-a"]
@@ -89,16 +89,16 @@
 		return kind, fmt.Errorf("role: %q has another role", k.Name)
 	}
 	override(&kind.Slots, k.Slots)
-	override(&kind.Queue, k.MaxQueue)
+	override(&kind.MaxQueue, k.MaxQueue)
 	override(&kind.MemoryTokens, k.MemoryTokens)
-	override(&kind.ReadPerS, k.PrefillPerS)
+	override(&kind.PrefillPerS, k.PrefillPerS)
 	override(&kind.StepMs, k.StepMs)
 	override(&kind.PerSeqMs, k.PerSeqMs)
 	override(&kind.Speed, k.Speed)
 	override(&kind.SpeedCV, k.SpeedCV)
-	override(&kind.ColdFrom, k.ColdCapacity)
-	override(&kind.ColdMs, k.WarmUpMs)
-	override(&kind.Conns, k.MaxConns)
+	override(&kind.ColdCapacity, k.ColdCapacity)
+	override(&kind.WarmUpMs, k.WarmUpMs)
+	override(&kind.MaxConns, k.MaxConns)
 	override(&kind.DropExpired, k.DropExpired)
 	override(&kind.ErrorRate, k.ErrorRate)
 	if k.Cancel != nil {
@@ -126,7 +126,7 @@
 		for i := range k.Count {
 			cell := at % cells
 			at++
-			p.Engine.Boxes = append(p.Engine.Boxes, engine.BoxSpec{
+			p.Engine.Engines = append(p.Engine.Engines, engine.Spec{
 				ID: fmt.Sprintf("%s-%d", k.Name, i+1), Kind: k.Name, Zone: p.Fleet.Zones[cell%len(p.Fleet.Zones)], Cell: cell,
 			})
 		}
@@ -149,7 +149,7 @@
 	}
 	engines := f.Engines
 	if len(engines) == 0 {
-		for _, b := range p.Engine.Boxes {
+		for _, b := range p.Engine.Engines {
 			if (f.OfKind == "" || b.Kind == f.OfKind) && (f.OfZone == "" || b.Zone == f.OfZone) && (f.OfCell == nil || b.Cell == *f.OfCell) {
 				engines = append(engines, b.ID)
 			}
@@ -170,13 +170,13 @@
 		}
 	}
 	p.EngineFaults = append(p.EngineFaults, engine.Fault{
-		Kind: engine.FaultKind(f.Kind), Boxes: engines, At: w.From, Len: w.To - w.From, Factor: f.Factor,
+		Kind: engine.FaultKind(f.Kind), Engines: engines, Start: w.From, Duration: w.To - w.From, Factor: f.Factor,
 	})
 	return nil
 }
 
 func (p *Plan) hasEngine(id string) bool {
-	for _, b := range p.Engine.Boxes {
+	for _, b := range p.Engine.Engines {
 		if b.ID == id {
 			return true
 		}
@@ -203,7 +203,7 @@
 	}
 	coldest, longest := 1.0, 0.0
 	for _, k := range p.Engine.Kinds {
-		coldest, longest = min(coldest, k.ColdFrom), max(longest, k.ColdMs)
+		coldest, longest = min(coldest, k.ColdCapacity), max(longest, k.WarmUpMs)
 	}
 	return map[string]any{
 		"siblings": p.Gateways, "my_number": gateway, "locality": p.Zone(gateway), "localities": p.Fleet.Zones,
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -94,17 +94,17 @@
 		t.Fatal(err)
 	}
 	def := engine.DefaultKinds()
-	if k := p.Engine.Kinds[0]; k.Slots != 3 || k.Queue != def[0].Queue {
+	if k := p.Engine.Kinds[0]; k.Slots != 3 || k.MaxQueue != def[0].MaxQueue {
 		t.Errorf("prefill: %+v", k)
 	}
-	if k := p.Engine.Kinds[1]; k.Name != "own" || k.Role != engine.Writes || k.Slots != def[1].Slots {
+	if k := p.Engine.Kinds[1]; k.Name != "own" || k.Role != engine.RoleDecode || k.Slots != def[1].Slots {
 		t.Errorf("own: %+v", k)
 	}
 	zones := map[string]int{}
-	for _, b := range p.Engine.Boxes {
+	for _, b := range p.Engine.Engines {
 		zones[b.Zone]++
 	}
-	if len(p.Engine.Boxes) != 6 || len(zones) != 3 {
-		t.Errorf("engines %v", p.Engine.Boxes)
+	if len(p.Engine.Engines) != 6 || len(zones) != 3 {
+		t.Errorf("engines %v", p.Engine.Engines)
 	}
 }
--- a/lifecycle/lifecycle.go
+++ b/lifecycle/lifecycle.go
@@ -106,11 +106,11 @@
 }
 
 // Expect tells what the process has left to live. Told again, only what is sooner counts.
-func (m *Machine) Expect(l Lifetime) { m.life = m.life.Sooner(l) }
+func (m *Machine) Expect(l Lifetime) { m.life = m.life.Earliest(l) }
 
 // Enter takes a request in that has been read now, or tells why not.
 func (m *Machine) Enter(now float64) (ID, error) {
-	if !m.life.Takes(now) && m.phase != New {
+	if !m.life.Admits(now) && m.phase != New {
 		return 0, ErrStopping
 	}
 	return m.enter(Waiting)
--- a/lifecycle/lifetime.go
+++ b/lifecycle/lifetime.go
@@ -19,30 +19,30 @@
 // new is taken from TakeUntil on, and nothing that was taken waits for its answer longer than
 // AnswerBy. Times are ms of the clock that the process uses for deadlines.
 type Lifetime struct {
-	TakeUntil float64
-	AnswerBy  float64
+	AdmitUntil float64
+	AnswerBy   float64
 }
 
 // Unlimited is the lifetime of a process that has not been told to end.
 func Unlimited() Lifetime {
-	return Lifetime{TakeUntil: math.Inf(1), AnswerBy: math.Inf(1)}
+	return Lifetime{AdmitUntil: math.Inf(1), AnswerBy: math.Inf(1)}
 }
 
 // Told is the lifetime of a process that was told to end at a time, by the longest deadline
 // of its classes of requests.
-func Told(at, longestDeadline float64) Lifetime {
+func AfterSignal(at, longestDeadline float64) Lifetime {
 	answerBy := at + min(longestDeadline, longestCounted)
-	return Lifetime{TakeUntil: min(at+takeFor, answerBy), AnswerBy: answerBy}
+	return Lifetime{AdmitUntil: min(at+takeFor, answerBy), AnswerBy: answerBy}
 }
 
 // AcceptUntil is until when new connections are accepted, by when the process has noticed that it was told: the signal was
 // sent then at the latest. A listener that is open for longer takes connections that a stopped process never reads.
-func (l Lifetime) AcceptUntil(noticed float64) float64 { return min(noticed+acceptFor, l.TakeUntil) }
+func (l Lifetime) AcceptUntil(noticed float64) float64 { return min(noticed+acceptFor, l.AdmitUntil) }
 
 // Takes tells whether a request that has been read may be taken on at a time.
-func (l Lifetime) Takes(now float64) bool { return now < l.TakeUntil }
+func (l Lifetime) Admits(now float64) bool { return now < l.AdmitUntil }
 
 // Sooner is the shorter of two lifetimes: a process that is told again does not live longer.
-func (l Lifetime) Sooner(other Lifetime) Lifetime {
-	return Lifetime{TakeUntil: min(l.TakeUntil, other.TakeUntil), AnswerBy: min(l.AnswerBy, other.AnswerBy)}
+func (l Lifetime) Earliest(other Lifetime) Lifetime {
+	return Lifetime{AdmitUntil: min(l.AdmitUntil, other.AdmitUntil), AnswerBy: min(l.AnswerBy, other.AnswerBy)}
 }
--- a/lifecycle/lifetime_test.go
+++ b/lifecycle/lifetime_test.go
@@ -15,8 +15,8 @@
 		{"deadlines shorter than that", 1200, 10500, 11200},
 		{"deadlines shorter than the time in which clients come", 300, 10300, 10300},
 	} {
-		l := Told(10000, tt.longest)
-		if l.TakeUntil != tt.takeUntil || l.AnswerBy != tt.answer {
+		l := AfterSignal(10000, tt.longest)
+		if l.AdmitUntil != tt.takeUntil || l.AnswerBy != tt.answer {
 			t.Errorf("%s: %+v", tt.name, l)
 		}
 		for _, noticed := range []float64{10000, 10050, 13000} { // the signal was sent then at the latest
@@ -24,14 +24,14 @@
 				t.Errorf("%s, noticed at %v: accepts until %v, want %v", tt.name, noticed, got, want)
 			}
 		}
-		if !l.Takes(10000) || !l.Takes(tt.takeUntil-1) || l.Takes(tt.takeUntil) {
+		if !l.Admits(10000) || !l.Admits(tt.takeUntil-1) || l.Admits(tt.takeUntil) {
 			t.Errorf("%s: takes requests at the wrong times", tt.name)
 		}
-		for _, other := range []Lifetime{Told(12000, tt.longest), Unlimited()} { // told twice; not told
-			if got := l.Sooner(other); got != l {
+		for _, other := range []Lifetime{AfterSignal(12000, tt.longest), Unlimited()} { // told twice; not told
+			if got := l.Earliest(other); got != l {
 				t.Errorf("%s: told again later it is %+v", tt.name, got)
 			}
-			if got := other.Sooner(l); got != l {
+			if got := other.Earliest(l); got != l {
 				t.Errorf("%s: told again earlier it is %+v", tt.name, got)
 			}
 		}
@@ -40,7 +40,7 @@
 
 func TestMachine_TakesNothingBeyondItsLifetime(t *testing.T) {
 	m := running(t)
-	m.Expect(Told(1000, 5000))
+	m.Expect(AfterSignal(1000, 5000))
 	if _, err := m.Enter(1499); err != nil {
 		t.Errorf("in time: %v", err)
 	}
@@ -50,7 +50,7 @@
 	if id, err := m.Adopt(); err != nil || !m.Began(id) { // its client has had a part of it
 		t.Errorf("an answer that has begun elsewhere: %v", err)
 	}
-	m.Expect(Told(90000, 5000))
+	m.Expect(AfterSignal(90000, 5000))
 	if _, err := m.Enter(1500); !errors.Is(err, ErrStopping) {
 		t.Errorf("told again: %v", err)
 	}
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -34,13 +34,13 @@
 
 // The reasons for turning a request away.
 const (
-	House   Reason = "house"   // too many are under way in all
-	Front   Reason = "front"   // by this front
-	Class   Reason = "class"   // of this class
-	TenantR Reason = "tenant"  // of this tenant
-	Address Reason = "address" // from this address or range
-	Share   Reason = "share"   // the house is nearly full, and the tenant has its share
-	Rate    Reason = "rate"    // too many tokens were asked for
+	ReasonTotal   Reason = "house"   // too many are under way in all
+	ReasonFront   Reason = "front"   // by this front
+	ReasonClass   Reason = "class"   // of this class
+	ReasonTenant  Reason = "tenant"  // of this tenant
+	ReasonAddress Reason = "address" // from this address or range
+	ReasonShare   Reason = "share"   // the house is nearly full, and the tenant has its share
+	ReasonRate    Reason = "rate"    // too many tokens were asked for
 )
 
 // Refusal is the error of a request that was turned away. It has touched no engine.
@@ -188,14 +188,14 @@
 		return Ticket{}, &Refusal{reason, l.advice(limit)}
 	}
 	if wait := l.take(now, r); wait > 0 {
-		return Ticket{}, &Refusal{Rate, min(max(wait, minRetry), l.cfg.MaxRetryAfter)}
+		return Ticket{}, &Refusal{ReasonRate, min(max(wait, minRetry), l.cfg.MaxRetryAfter)}
 	}
 	l.count(r, 1)
 	return Ticket{r, now, true}, nil
 }
 
 // Leave gives a place back. A second time it does nothing.
-func (l *Limiter) Leave(now float64, t *Ticket) {
+func (l *Limiter) Release(now float64, t *Ticket) {
 	if !t.inside {
 		return
 	}
@@ -232,16 +232,16 @@
 func (l *Limiter) full(r Request) (Reason, int) {
 	over := func(limit, in int) bool { return limit > 0 && in >= limit }
 	if over(l.house.limit.InFlight, l.house.in) {
-		return House, l.house.limit.InFlight
+		return ReasonTotal, l.house.limit.InFlight
 	}
 	if g := l.fronts[r.Front]; g != nil && over(g.limit.InFlight, g.in) {
-		return Front, g.limit.InFlight
+		return ReasonFront, g.limit.InFlight
 	}
 	if g := l.classes[r.Class]; g != nil && over(g.limit.InFlight, g.in) {
-		return Class, g.limit.InFlight
+		return ReasonClass, g.limit.InFlight
 	}
 	if limit := l.tenants.limit(r.Tenant).InFlight; over(limit, l.tenants.in[r.Tenant]) {
-		return TenantR, limit
+		return ReasonTenant, limit
 	}
 	for i := range l.ranges {
 		g := &l.ranges[i]
@@ -253,13 +253,13 @@
 			in = g.each.in[r.Addr.String()]
 		}
 		if limit := g.whole.limit.InFlight; over(limit, in) {
-			return Address, limit
+			return ReasonAddress, limit
 		}
 	}
 	if l.cfg.Fair && float64(l.house.in) >= nearlyFull*float64(l.cfg.InFlight) {
 		part := l.cfg.tenant(r.Tenant).Share / max(l.shares, 1e-9) * float64(l.cfg.InFlight)
 		if in := l.tenants.in[r.Tenant]; float64(in) >= max(1, part) {
-			return Share, max(1, int(part))
+			return ReasonShare, max(1, int(part))
 		}
 	}
 	return "", 0
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -34,16 +34,16 @@
 		then func(*Request) // what a request differs in that is let in all the same
 		want Reason
 	}{
-		{Config{InFlight: 2}, nil, House},
-		{Config{Fronts: map[string]Limit{"http": in(2)}}, func(r *Request) { r.Front = "grpc" }, Front},
-		{Config{Classes: map[string]Limit{"chat": in(2)}}, func(r *Request) { r.Class = "order" }, Class},
-		{Config{Tenants: map[string]Tenant{"a": {Limit: in(2)}}}, func(r *Request) { r.Tenant = "b" }, TenantR},
-		{Config{OtherTenants: Tenant{Limit: in(2)}}, func(r *Request) { r.Tenant = "b" }, TenantR},
-		{Config{Addresses: []Range{{CIDR: []string{"10.0.0.0/8"}, Limit: in(2)}}}, func(r *Request) { r.Addr = netip.MustParseAddr("11.1.2.3") }, Address},
-		{Config{Addresses: []Range{{CIDR: []string{"10.0.0.0/8"}, PerAddress: true, Limit: in(2)}}}, func(r *Request) { r.Addr = netip.MustParseAddr("10.9.9.9") }, Address},
-		{Config{Classes: map[string]Limit{"chat": {TokensPerS: 200}}}, func(r *Request) { r.Class = "order" }, Rate},
+		{Config{InFlight: 2}, nil, ReasonTotal},
+		{Config{Fronts: map[string]Limit{"http": in(2)}}, func(r *Request) { r.Front = "grpc" }, ReasonFront},
+		{Config{Classes: map[string]Limit{"chat": in(2)}}, func(r *Request) { r.Class = "order" }, ReasonClass},
+		{Config{Tenants: map[string]Tenant{"a": {Limit: in(2)}}}, func(r *Request) { r.Tenant = "b" }, ReasonTenant},
+		{Config{OtherTenants: Tenant{Limit: in(2)}}, func(r *Request) { r.Tenant = "b" }, ReasonTenant},
+		{Config{Addresses: []Range{{CIDR: []string{"10.0.0.0/8"}, Limit: in(2)}}}, func(r *Request) { r.Addr = netip.MustParseAddr("11.1.2.3") }, ReasonAddress},
+		{Config{Addresses: []Range{{CIDR: []string{"10.0.0.0/8"}, PerAddress: true, Limit: in(2)}}}, func(r *Request) { r.Addr = netip.MustParseAddr("10.9.9.9") }, ReasonAddress},
+		{Config{Classes: map[string]Limit{"chat": {TokensPerS: 200}}}, func(r *Request) { r.Class = "order" }, ReasonRate},
 		{Config{Addresses: []Range{{CIDR: []string{"10.0.0.0/8"}, PerAddress: true, Limit: Limit{TokensPerS: 100, Burst: 200}}}},
-			func(r *Request) { r.Addr = netip.MustParseAddr("10.9.9.9") }, Rate},
+			func(r *Request) { r.Addr = netip.MustParseAddr("10.9.9.9") }, ReasonRate},
 	} {
 		l := limiter(t, c.cfg)
 		var tickets []Ticket
@@ -69,19 +69,19 @@
 			if err != nil {
 				t.Errorf("%s: another one: %v", c.want, err)
 			}
-			l.Leave(1, &tk)
+			l.Release(1, &tk)
 		}
-		l.Leave(10, &tickets[0])
-		l.Leave(10, &tickets[0]) // again, which does nothing
+		l.Release(10, &tickets[0])
+		l.Release(10, &tickets[0]) // again, which does nothing
 		if l.InFlight() != 1 {
 			t.Errorf("%s: %d are in the house", c.want, l.InFlight())
 		}
 		if tk, err := l.Admit(2000, req); err != nil {
 			t.Errorf("%s: after one has left: %v", c.want, err)
 		} else {
-			l.Leave(2001, &tk)
+			l.Release(2001, &tk)
 		}
-		l.Leave(2002, &tickets[1])
+		l.Release(2002, &tickets[1])
 		if l.InFlight() != 0 || len(l.tenants.in) != 0 {
 			t.Errorf("%s: something is left", c.want)
 		}
@@ -107,7 +107,7 @@
 			var refusal *Refusal
 			errors.As(err, &refusal)
 			if tk, err := l.Admit(now+refusal.RetryAfter+0.01, r); err == nil { // at the time that was told
-				l.Leave(now, &tk)
+				l.Release(now, &tk)
 				admitted += r.Tokens
 			} else {
 				t.Fatalf("at %v it was told to come in %v ms: %v", now, refusal.RetryAfter, err)
@@ -116,7 +116,7 @@
 			continue
 		}
 		admitted += r.Tokens
-		l.Leave(now, &tk)
+		l.Release(now, &tk)
 	}
 	if admitted < 62000 || admitted > 64000 {
 		t.Errorf("%v tokens in a minute, 60,000 and a burst of 3,000 are wanted", admitted)
@@ -156,7 +156,7 @@
 	for now := 0.0; now < 120e3; now += 5 {
 		for i := 0; i < len(inside); i++ {
 			if inside[i].until <= now {
-				l.Leave(now, &inside[i].tk)
+				l.Release(now, &inside[i].tk)
 				inside = append(inside[:i], inside[i+1:]...)
 				i--
 			}
@@ -205,7 +205,7 @@
 		for range 5000 {
 			if r.Float64() < 0.4 && len(inside) > 0 {
 				i := r.IntN(len(inside))
-				l.Leave(0, &inside[i])
+				l.Release(0, &inside[i])
 				inside = append(inside[:i], inside[i+1:]...)
 				continue
 			}
@@ -230,7 +230,7 @@
 			}
 		}
 		for i := range inside {
-			l.Leave(0, &inside[i])
+			l.Release(0, &inside[i])
 		}
 		if l.InFlight() != 0 || len(l.tenants.in) != 0 || l.ranges[0].whole.in != 0 {
 			t.Fatalf("seed %d: something is left", seed)
@@ -248,7 +248,7 @@
 		addr := netip.AddrFrom16([16]byte{byte(i >> 16), byte(i >> 8), byte(i)})
 		tk, err := l.Admit(float64(i), Request{Tenant: fmt.Sprint(i), Addr: addr, Tokens: 1})
 		if err == nil {
-			l.Leave(float64(i), &tk)
+			l.Release(float64(i), &tk)
 		}
 	}
 	if a, b, c := l.active.Len(), l.tenants.rates.Len(), l.ranges[0].each.rates.Len(); a > keptKeys || b > keptKeys || c > keptKeys {
@@ -296,7 +296,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				l.Leave(float64(i)+0.5, &tk)
+				l.Release(float64(i)+0.5, &tk)
 			}
 		})
 	}
--- a/router/answer.go
+++ b/router/answer.go
@@ -17,16 +17,16 @@
 	gateway.Stream
 	ctx   context.Context
 	leave func()
-	ended func(metrics.End) // counts it
-	whole bool              // its last piece has been passed on
-	left  bool              // its client has
-	over  bool              // it has been counted
+	ended func(metrics.RequestEnd) // counts it
+	whole bool                     // its last piece has been passed on
+	left  bool                     // its client has
+	over  bool                     // it has been counted
 }
 
 func (r *Router) stream(ctx context.Context, id lifecycle.ID, class string, inner gateway.Stream) *stream {
 	return &stream{
 		Stream: inner, ctx: ctx, leave: func() { r.leave(id) },
-		ended: func(how metrics.End) { r.gw.Metrics().Ended(class, how) },
+		ended: func(how metrics.RequestEnd) { r.gw.Metrics().RequestEnded(class, how) },
 	}
 }
 
@@ -92,7 +92,7 @@
 
 // EndWaiting ends the active requests whose answer has not begun; what is held for them is
 // let go of. Answers that have begun go on.
-func (r *Router) EndWaiting() {
+func (r *Router) EndUnanswered() {
 	r.mu.Lock()
 	var end []context.CancelCauseFunc
 	for _, id := range r.life.EndWaiting() {
--- a/router/ending_test.go
+++ b/router/ending_test.go
@@ -15,7 +15,7 @@
 // trying again does no harm, failed otherwise, and nothing stays held. Answers go on.
 func TestWhatWaitsIsEndedAndAnswersGoOn(t *testing.T) {
 	f := newFleet()
-	r := start(t, f, Config{Known: boxes, Limits: limits.Config{}})
+	r := start(t, f, Config{LastKnownEngines: boxes, Limits: limits.Config{}})
 	ctx := context.Background()
 	begun, err := r.Do(ctx, request("b", "order"))
 	if err != nil {
@@ -33,7 +33,7 @@
 		}()
 	}
 	until(t, f, "write", "write")
-	r.EndWaiting()
+	r.EndUnanswered()
 	var refused *RefusedError
 	var failed *FailedError
 	if err := <-ends["chat"]; !errors.As(err, &refused) || !errors.Is(err, ErrShuttingDown) {
@@ -59,7 +59,7 @@
 	f := newFleet()
 	f.writing = make(chan struct{})
 	c := clock.NewManual(10000)
-	r := start(t, f, Config{Known: boxes}, WithClock(c))
+	r := start(t, f, Config{LastKnownEngines: boxes}, WithClock(c))
 	ended := make(chan error, 2)
 	ask := func(id string) {
 		go func() {
@@ -69,8 +69,8 @@
 		until(t, f, "write")
 	}
 	ask("before")
-	r.EndBy(lifecycle.Told(c.Now(), 30000))
-	r.EndBy(lifecycle.Told(c.Now()+2000, 30000)) // told again
+	r.SetLifetime(lifecycle.AfterSignal(c.Now(), 30000))
+	r.SetLifetime(lifecycle.AfterSignal(c.Now()+2000, 30000)) // told again
 	c.Advance(100)
 	ask("in time")
 	if told := f.told["in time"]; told > 2900 {
--- a/router/harness_test.go
+++ b/router/harness_test.go
@@ -109,7 +109,7 @@
 	return ashwood.StatusServed, nil
 }
 
-func (f *fleet) Keep([]ashwood.Server) {}
+func (f *fleet) RetainOnly([]ashwood.Server) {}
 
 func (f *fleet) Close() {
 	f.mu.Lock()
--- a/router/metrics_test.go
+++ b/router/metrics_test.go
@@ -13,7 +13,7 @@
 func vars(t *testing.T, r *Router) map[string]string {
 	t.Helper()
 	var b strings.Builder
-	if err := r.Vars(&b); err != nil {
+	if err := r.WriteMetrics(&b); err != nil {
 		t.Fatal(err)
 	}
 	values := map[string]string{}
@@ -38,8 +38,8 @@
 // it came to; what the fleet saw of attempts is what is shown.
 func TestFiguresCountEachEndOnce(t *testing.T) {
 	f, other := newFleet(), newFleet()
-	r := start(t, f, Config{Known: boxes, Limits: limits.Config{Classes: map[string]limits.Limit{"order": {InFlight: 1}}}})
-	idle := start(t, other, Config{Known: boxes})
+	r := start(t, f, Config{LastKnownEngines: boxes, Limits: limits.Config{Classes: map[string]limits.Limit{"order": {InFlight: 1}}}})
+	idle := start(t, other, Config{LastKnownEngines: boxes})
 	ctx := context.Background()
 	wantVars(t, r, map[string]string{
 		"app.fulfilled.chat": "0|c", "app.throttled.order": "0|c", "app.faulted.chat": "0|c",
--- a/router/moving_test.go
+++ b/router/moving_test.go
@@ -19,7 +19,7 @@
 // ends requests that wait does not end it.
 func TestAMovedAnswerCountsWhereItEnds(t *testing.T) {
 	first, second := newFleet(), newFleet()
-	old, young := start(t, first, Config{Known: boxes}), start(t, second, Config{Known: boxes})
+	old, young := start(t, first, Config{LastKnownEngines: boxes}), start(t, second, Config{LastKnownEngines: boxes})
 	ctx := context.Background()
 	serve := func(id string) gateway.Stream {
 		reply, err := old.Serve(ctx, &gateway.Request{RequestInfo: request(id, "order").RequestInfo})
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	wantVars(t, young, map[string]string{"app.fulfilled.order": "0|c", "app.open_requests": "1|g"})
-	young.EndWaiting()
+	young.EndUnanswered()
 	second.pieces <- "data: one\n\n"
 	close(second.pieces)
 	if piece, err := s.Next(); string(piece) != "data: one\n\n" || err != nil {
--- a/router/parts.go
+++ b/router/parts.go
@@ -29,7 +29,7 @@
 		creds = insecure.NewCredentials()
 	}
 	return func(set ashwood.Settings, c gateway.Clock) (Transport, error) {
-		return grpcfront.NewBoxes(set, creds, c), nil
+		return grpcfront.NewEngines(set, creds, c), nil
 	}
 }
 
@@ -53,20 +53,20 @@
 }
 
 // Move has discovery asked at another address from now on; the list in hand stays.
-func (p *Platform) Move(addr string) { p.d.SetAddress(addr) }
+func (p *Platform) SetAddress(addr string) { p.d.SetAddress(addr) }
 
 // Known says which version of the list the Router's Known is, so that a watch
 // goes on from there. It is to be called before Start.
-func (p *Platform) Known(version int64) { p.d.ResumeFrom(version) }
+func (p *Platform) ResumeFrom(version int64) { p.d.ResumeFrom(version) }
 
 // Fleet says how many gateways there are and how lists come, by a Router's settings: a
 // discovery that all ask is asked less often by each. The seed makes their waits
 // differ. It is to be called before Start.
-func (p *Platform) Fleet(set ashwood.Settings, seed int64) { p.d.Configure(set, seed) }
+func (p *Platform) Configure(set ashwood.Settings, seed int64) { p.d.Configure(set, seed) }
 
 // Share says how many processes ask in the place of one gateway while one takes the
 // other's place: at a discovery that all ask, each makes its part of the calls.
-func (p *Platform) Share(processes int) { p.d.Share(processes) }
+func (p *Platform) SetProcesses(processes int) { p.d.SetProcesses(processes) }
 
 // Run watches until ctx ends.
 func (p *Platform) Run(ctx context.Context, update func(ashwood.MembershipForm, []ashwood.Server)) error {
--- a/router/router.go
+++ b/router/router.go
@@ -26,10 +26,10 @@
 
 // Config says how a Router decides.
 type Config struct {
-	Settings ashwood.Settings
-	Seed     int64            // for random numbers
-	Limits   limits.Config    // of what is let in; the zero value lets all in
-	Known    []ashwood.Server // the list as it was last known, maybe out of date
+	Settings         ashwood.Settings
+	Seed             int64            // for random numbers
+	Limits           limits.Config    // of what is let in; the zero value lets all in
+	LastKnownEngines []ashwood.Server // the list as it was last known, maybe out of date
 	// DrainMs is for how long requests are still taken once Shutdown has begun and
 	// clients are being sent elsewhere.
 	DrainMs float64
@@ -46,7 +46,7 @@
 type Transport interface {
 	gateway.Transport
 	// Keep is told of each whole list, to forget engines that are not on it.
-	Keep(list []ashwood.Server)
+	RetainOnly(list []ashwood.Server)
 	// Close ends all connections and timers.
 	Close()
 }
@@ -161,7 +161,7 @@
 	if err := r.life.Start(); err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
-	r.gw.UpdateMembership(ashwood.MembershipStale, r.cfg.Known)
+	r.gw.UpdateMembership(ashwood.MembershipStale, r.cfg.LastKnownEngines)
 	r.running.Go(func() { r.gw.Run(r.ctx) })
 	for _, s := range r.sources {
 		r.running.Go(func() {
@@ -177,7 +177,7 @@
 func (r *Router) Update(form ashwood.MembershipForm, list []ashwood.Server) {
 	r.gw.UpdateMembership(form, list)
 	if form == ashwood.MembershipSnapshot {
-		r.transport.Keep(list)
+		r.transport.RetainOnly(list)
 	}
 }
 
@@ -190,11 +190,11 @@
 
 // Vars writes the router's counts since its start and its gauges, one name:value|kind a
 // line, for operators; see the package metrics for what counts when.
-func (r *Router) Vars(w io.Writer) error {
+func (r *Router) WriteMetrics(w io.Writer) error {
 	listed, avoided := r.gw.Engines()
 	holds, oldest := r.gw.Holds()
-	return r.gw.Metrics().Statsd(w, varsPrefix, metrics.Gauges{
-		Open: r.InFlight(), Listed: listed, Avoided: avoided, Holds: holds, OldestHold: oldest,
+	return r.gw.Metrics().WriteStatsd(w, varsPrefix, metrics.Gauges{
+		OpenRequests: r.InFlight(), Engines: listed, EnginesAvoided: avoided, OpenHolds: holds, OldestHoldAge: oldest,
 	})
 }
 
@@ -202,10 +202,10 @@
 
 // Share says how many processes, this one among them, count as one gateway to the rules
 // while one takes the other's place. Connections are shared out by the transport's own limit.
-func (r *Router) Share(processes int) {
-	r.gw.Share(processes)
-	if t, ok := r.transport.(interface{ Share(int) }); ok {
-		t.Share(processes)
+func (r *Router) SetProcesses(processes int) {
+	r.gw.SetProcesses(processes)
+	if t, ok := r.transport.(interface{ SetProcesses(int) }); ok {
+		t.SetProcesses(processes)
 	}
 }
 
@@ -218,7 +218,7 @@
 
 // Pause is how long in ms a client is to stay away that a front refuses by
 // itself; 0 = no advice.
-func (r *Router) Pause() float64 { return r.gw.RetryAfter() }
+func (r *Router) RetryAfter() float64 { return r.gw.RetryAfter() }
 
 // TurnAway tells of a request that a front refuses by itself for want of room, and gives
 // how long in ms its client is to stay away, as Pause does.
@@ -231,9 +231,9 @@
 	reply, err := r.serve(ctx, req)
 	switch {
 	case err != nil || reply.Kind == gateway.Failed:
-		r.gw.Metrics().Ended(req.Class, metrics.Faulted)
+		r.gw.Metrics().RequestEnded(req.Class, metrics.Faulted)
 	case reply.Kind == gateway.Refused:
-		r.gw.Metrics().Ended(req.Class, metrics.Throttled)
+		r.gw.Metrics().RequestEnded(req.Class, metrics.Throttled)
 	}
 	return reply, err
 }
@@ -294,7 +294,7 @@
 
 // change is a record of what has become of a request.
 func change(req *gateway.Request, state reqlog.State, reason string) reqlog.Change {
-	return reqlog.Change{ID: string(req.ID), Class: req.Class, State: state, Left: req.Remaining, Reason: reason}
+	return reqlog.Change{ID: string(req.ID), Class: req.Class, State: state, Remaining: req.Remaining, Reason: reason}
 }
 
 // enter admits a request, or tells why not.
@@ -327,7 +327,7 @@
 	}
 	delete(r.active, id)
 	r.life.Leave(id)
-	r.limit.Leave(r.clock.Now(), &v.ticket)
+	r.limit.Release(r.clock.Now(), &v.ticket)
 	v.cancel(nil)
 	r.signal()
 }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -57,7 +57,7 @@
 	_, err := r.Do(context.Background(), request("y", "chat"))
 	var refused *RefusedError
 	var limit *limits.Refusal
-	if !errors.As(err, &refused) || !errors.As(err, &limit) || limit.Reason != limits.House || refused.RetryAfter <= 0 {
+	if !errors.As(err, &refused) || !errors.As(err, &limit) || limit.Reason != limits.ReasonTotal || refused.RetryAfter <= 0 {
 		t.Errorf("a full house: %v", err)
 	}
 	cancel()
--- a/router/stop.go
+++ b/router/stop.go
@@ -47,12 +47,12 @@
 // requests are refused, and by the other, all that have no answer get one, refused where that
 // is harmless. No attempt is begun for longer. Answers that have begun go on. Told again, only
 // what is sooner counts.
-func (r *Router) EndBy(l lifecycle.Lifetime) {
+func (r *Router) SetLifetime(l lifecycle.Lifetime) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.life.Expect(l)
 	r.gw.SetAnswerDeadline(l.AnswerBy)
-	r.endings = append(r.endings, r.clock.AfterFunc(l.AnswerBy+endAnyway-r.clock.Now(), r.EndWaiting))
+	r.endings = append(r.endings, r.clock.AfterFunc(l.AnswerBy+endAnyway-r.clock.Now(), r.EndUnanswered))
 }
 
 func (r *Router) verdict(cause error) error {
