--- a/cmd/ashlab/compare.go
+++ b/cmd/ashlab/compare.go
@@ -74,8 +74,8 @@
 				}
 			}
 			if cmd.Flags().Changed("bound") {
-				if distance.Most > bound {
-					return fmt.Errorf("%w: %.3f, the bound is %.3f", errBoundExceeded, distance.Most, bound)
+				if distance.Max > bound {
+					return fmt.Errorf("%w: %.3f, the bound is %.3f", errBoundExceeded, distance.Max, bound)
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "within %.3f\n", bound)
 			}
--- a/cmd/ashlab/soak.go
+++ b/cmd/ashlab/soak.go
@@ -45,7 +45,7 @@
 						case silence:
 							faultScenario = soak.GenerateSilence(seed, length)
 						case termination:
-							faultScenario = soak.GenerateEnding(seed, length)
+							faultScenario = soak.GenerateTermination(seed, length)
 						}
 						if options.Logs != "" {
 							playOptions.Logs = filepath.Join(options.Logs, fmt.Sprint(seed))
