--- a/cmd/ashwood/command.go
+++ b/cmd/ashwood/command.go
@@ -16,8 +16,8 @@
 // platform starts it that way.
 func newCommand() *cobra.Command {
 	root := &cobra.Command{
-		Use: "ashwood", Short: "A gateway for language-model fleets that read prompts on one box and write answers on another",
-		Long: `Routes requests to readers and writers. Without a sub-command it serves.
+		Use: "ashwood", Short: "A gateway for language-model fleets with separate prefill and decode engines",
+		Long: `Routes requests to prefill and decode engines. Without a sub-command it serves.
 
 It is configured by the JSON file that ROUTER_CONFIG names, and by an operator's
 TOML file, if ASHWOOD_OPERATOR names one.`,
--- a/cmd/ashwood/stopped_test.go
+++ b/cmd/ashwood/stopped_test.go
@@ -25,11 +25,11 @@
 func TestHandover_EitherProcessStopped(t *testing.T) {
 	type moment int
 	const (
-		beforeTold moment = iota
+		beforeSigterm moment = iota
 		beforePiece
-		behindPiece
+		afterPiece
 	)
-	moments := map[moment]string{beforeTold: "before SIGTERM to the older process", beforePiece: "before the next piece", behindPiece: "after the next piece"}
+	moments := map[moment]string{beforeSigterm: "before SIGTERM to the older process", beforePiece: "before the next piece", afterPiece: "after the next piece"}
 	for at, name := range moments {
 		for _, newer := range []bool{false, true} {
 			for _, pause := range []time.Duration{150 * time.Millisecond, 1200 * time.Millisecond} {
@@ -52,14 +52,14 @@
 							stopped.stopFor(pause)
 						}
 					}
-					stopIf(beforeTold)
+					stopIf(beforeSigterm)
 					older.sigterm()
-					if at != beforeTold {
+					if at != beforeSigterm {
 						waitFor(t, "the older process hands over", func() bool { return older.logContains("a newer process goes on") })
 					}
 					stopIf(beforePiece)
 					fixture.nextPiece <- struct{}{}
-					stopIf(behindPiece)
+					stopIf(afterPiece)
 					close(fixture.nextPiece)
 					fixture.checkAnswer(response)
 					older.waitForExit()
--- a/gateway/arrival.go
+++ b/gateway/arrival.go
@@ -92,7 +92,7 @@
 	h.restartDeadline(answered)
 }
 
-// attemptTurnedAway records that the engine has answered the last written attempt without accepting it. Releases
+// attemptRejected records that the engine has answered the last written attempt without accepting it. Releases
 // that were pending before stay pending.
 func (h *requestHolds) attemptRejected() {
 	h.pauseReleases(false)
--- a/gateway/fallback.go
+++ b/gateway/fallback.go
@@ -54,7 +54,7 @@
 	return ashwood.Server{}, false
 }
 
-// startFallbackCalls starts the fallback calls that are due and returns the ms until the next check. The caller
+// startFallbackCalls starts the fallback calls to make now and returns the ms until the next check. The caller
 // holds the lock.
 func (r *releaser) startFallbackCalls() (next float64) {
 	calls, next := r.fallback.NextCalls(r.gateway.clock.Now(), r.candidates)
--- a/gateway/fallback_test.go
+++ b/gateway/fallback_test.go
@@ -339,8 +339,8 @@
 				newTestHolds(g, "q", "r1", "w1").release(true)
 				time.Sleep(10 * time.Millisecond)
 				if started > 0 {
-					anew := ashwood.Server{ID: "r1", Kind: "r", State: ashwood.StateActive, Started: clock.Duration(g.clock.Now())}
-					g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{anew})
+					restarted := ashwood.Server{ID: "r1", Kind: "r", State: ashwood.StateActive, Started: clock.Duration(g.clock.Now())}
+					g.UpdateMembership(ashwood.MembershipDelta, []ashwood.Server{restarted})
 				}
 				if d := fake.wantNextRelease(t, string(fleet[0])); d > releaseRuleTime {
 					t.Errorf("release taken after %v", d)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -109,7 +109,7 @@
 // Holds returns the number of holds that engines may have for requests, and the age of the oldest in ms.
 func (g *Gateway) Holds() (open int, oldest float64) { return g.holdLog.gauges() }
 
-// Engines returns the number of engines in the membership and how many of them are avoided now; see ashwood.Router.
+// CountEngines returns the number of engines in the membership and how many of them are avoided now; see ashwood.Router.
 func (g *Gateway) CountEngines() (listed, avoided int) { return g.router.CountEngines() }
 
 // SetProcesses sets how many processes count as this one gateway; see ashwood.Router.
@@ -122,7 +122,7 @@
 	g.router.ShutdownBy(at)
 }
 
-// TurnAway counts a request that a front itself refuses because it has no capacity left, and returns
+// RecordRefusal counts a request that a front itself refuses because it has no capacity left, and returns
 // the time after which its client may retry, as RetryAfter does.
 func (g *Gateway) RecordRefusal(class string) float64 {
 	g.metrics.RequestEnded(class, metrics.Throttled)
@@ -262,8 +262,8 @@
 func (g *Gateway) runInBackground(f func()) { g.background.Go(func() { g.recoverPanic(f) }) }
 
 // Wait waits until reservations, releases and probes in the background have ended. Releases that are
-// still pending are given up after releaseShutdownTimeout, or later where the process has longer to
-// live. Wait must be called after the last request has been served.
+// still pending are given up after releaseShutdownTimeout, or later where the process may run
+// longer. Wait must be called after the last request has been served.
 func (g *Gateway) Wait() {
 	timeout := float64(releaseShutdownTimeout)
 	if deadline := math.Float64frombits(g.answerDeadline.Load()); deadline > 0 {
@@ -312,9 +312,9 @@
 	defer cancel()
 	defer g.clock.AfterFunc(reserveTimeout, cancel)()
 	for engine, ok := step.ReserveAt, true; ok; {
-		ready := func() bool { return prefillCtx.Err() == nil && g.router.Accepts(engine.ID) }
+		mayWrite := func() bool { return prefillCtx.Err() == nil && g.router.Accepts(engine.ID) }
 		askedAt := g.clock.Now()
-		result := g.transport.Reserve(ctx, engine, holds.id, ready)
+		result := g.transport.Reserve(ctx, engine, holds.id, mayWrite)
 		g.log.Debug("place", "id", holds.id, "engine", engine.ID, "answer", int(result))
 		switch result {
 		case ReserveHeld, ReserveRefused:
--- a/gateway/holds.go
+++ b/gateway/holds.go
@@ -283,7 +283,7 @@
 }
 
 // noteUndelivered has the engines that have not received their release yet released again at the end of the
-// request: a release that arrives beside the next attempt does not drop what that attempt waits for.
+// request: a release that arrives together with the next attempt does not drop what that attempt waits for.
 func (h *requestHolds) noteUndelivered(engines []ashwood.Server) {
 	undelivered := h.releaser.undelivered(h.id, engines)
 	h.mu.Lock()
--- a/gateway/holds_time_test.go
+++ b/gateway/holds_time_test.go
@@ -246,8 +246,8 @@
 }
 
 // Guards against a fault seen in soak seeds 101 and 119 with --silence (gateways 1 and 0). A prefill is cancelled at an engine that is
-// stopped, the request is sent on, and its answer begins or its end comes elsewhere. When the stopped engine runs again, it is "told to
-// release" at 6.599 by what was written during its silence, also reads the attempt, and holds KV state from 6.671 on; it is sent no
+// stopped, the request is sent on, and its answer begins or its end comes elsewhere. When the stopped engine runs again, it takes
+// the release that was written during its silence at 6.599, also reads the attempt, and holds KV state from 6.671 on; it is sent no
 // further release. The release was uncertain when the attempt was cancelled, but not any more once the request had been sent
 // on and that attempt was over.
 func TestHolds_AbandonedUncertainUntilEnd(t *testing.T) {
@@ -275,7 +275,7 @@
 }
 
 // Guards against a fault seen in soak seed 2 in the CI script (gateway 4, once). e8 vanishes with a request's KV state. The request's attempt
-// elsewhere is turned away at 2.615. The release that is pending at e8 from then on is delivered at 3.841, during the attempt at e1 that was
+// elsewhere is rejected at 2.615. The release that is pending at e8 from then on is delivered at 3.841, during the attempt at e1 that was
 // sent meanwhile: a release drops nothing that an attempt waits for. The client disconnects at 5.002; e1 and e4 are sent releases, but e8
 // counts as released and keeps the KV state.
 func TestHolds_LateReleaseBesideAttempt(t *testing.T) {
@@ -319,9 +319,9 @@
 	})
 }
 
-// An engine that turns a request away does not end earlier holds: uncertain releases are still repeated. Guards against a fault
+// An engine that rejects a request does not end earlier holds: uncertain releases are still repeated. Guards against a fault
 // found by review during the fix for seed 406: every answer ended the repeats. Here the connection to r1 is lost and r1 is sent a release at 0,
-// and then leaves the membership; r2 turns the request away at 0, 40, 120, 280 and 600 ms, and r1 was sent nothing in between.
+// and then leaves the membership; r2 rejects the request at 0, 40, 120, 280 and 600 ms, and r1 was sent nothing in between.
 func TestServe_RejectionKeepsRepeats(t *testing.T) {
 	fake := &fakeTransport{reserveResult: ReserveNotSent, recordReleases: true, results: map[ashwood.ServerID][]AttemptResult{
 		"r1": {resultOf(ashwood.StatusConnectionLost)},
--- a/gateway/owner.go
+++ b/gateway/owner.go
@@ -19,14 +19,14 @@
 const (
 	holderTimeout          = 100   // for the holders to answer, before substitutes are tried as well
 	releaseCallTimeout     = 300   // for one call, including the connect
-	releaseBackoffMin      = 50    // from a failed call to the next one at that engine; doubles
-	releaseBackoffMax      = 200   // maximum of that, or in a large fleet releaseBackoffPerNode times the number of gateways
+	releaseBackoffMin      = 50    // from a failed call to the next one at that engine; doubles with each failure
+	releaseBackoffMax      = 200   // maximum of this backoff, or in a large fleet releaseBackoffPerNode times the number of gateways
 	releaseBackoffPerNode  = 1.5   // so that all gateways together make no more than about 700 calls per second to one engine
 	releaseMaxAge          = 60000 // after which an engine that takes no call is assumed to be gone
 	releaseShutdownTimeout = 2000  // for pending releases when the gateway stops
-	releaseShutdownMax     = 3500  // maximum of that: the remaining lifetime of a process that is asked to stop
+	releaseShutdownMax     = 3500  // maximum of this timeout: the remaining lifetime of a process that is asked to stop
 	releaseShutdownGrace   = 500   // for pending releases after the answer deadline: the process is killed 700 ms after that
-	maxPendingReleases     = 8192  // for one more, the oldest is given up
+	maxPendingReleases     = 8192  // beyond this number, the oldest is given up
 	substituteRounds       = 2     // rounds of substitutes for one request, holderTimeout apart, before all engines are tried in turn
 	substitutesPerRound    = 2
 	maxRecentlyAnswered    = 32  // remembered engines that answered last
@@ -37,7 +37,7 @@
 )
 
 // releaser makes all release calls for holds that no request needs any more. Its ledger and its fallback
-// decide which calls are due; calls run concurrently.
+// decide which calls to make now; calls run concurrently.
 type releaser struct {
 	gateway *Gateway
 
@@ -154,7 +154,7 @@
 	r.dispatchAndUnlock()
 }
 
-// dispatchAndUnlock starts the calls that are due and runs the callbacks of releases that have ended. The caller holds
+// dispatchAndUnlock starts the calls to make now and runs the callbacks of releases that have ended. The caller holds
 // the lock, which it releases.
 func (r *releaser) dispatchAndUnlock() {
 	calls, next := r.ledger.NextCalls(r.gateway.clock.Now())
@@ -238,7 +238,7 @@
 	r.dispatchAndUnlock()
 }
 
-// callRelease makes one release call and cancels it after timeout ms. Its caller must then dispatch the calls that are due.
+// callRelease makes one release call and cancels it after timeout ms. Its caller must then dispatch the next calls.
 func (r *releaser) callRelease(ctx context.Context, cancel context.CancelCauseFunc, engine ashwood.Server, id ashwood.RequestID, try int, timeout float64) error {
 	defer cancel(nil)
 	defer r.gateway.clock.AfterFunc(timeout, func() { cancel(nil) })()
--- a/gateway/peer_test.go
+++ b/gateway/peer_test.go
@@ -95,9 +95,9 @@
 	return f.reserveResult
 }
 
-func (f *fakeTransport) Release(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, fresh bool) error {
+func (f *fakeTransport) Release(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, newConnection bool) error {
 	f.mu.Lock()
-	f.freshConnections = append(f.freshConnections, fresh)
+	f.freshConnections = append(f.freshConnections, newConnection)
 	if f.localFailures > 0 {
 		f.localFailures--
 		f.mu.Unlock()
--- a/gateway/types.go
+++ b/gateway/types.go
@@ -131,29 +131,29 @@
 	OnSent        func()      // called right after the last byte has been written
 }
 
-// AttemptResult is the outcome of an attempt. If Status is Served, Stream has received its first piece.
+// AttemptResult is the outcome of an attempt. If Status is StatusServed, Stream has received its first piece.
 type AttemptResult struct {
 	ashwood.Result
 	Stream Stream
 	Err    error // reported by the engine or the network, for the front and the log
 }
 
-// Transport makes calls to engines. It never retries a call by
-// itself. Its statuses are NotSent and NoConnection (the last byte was not
-// written), TurnedAway, Parsed, Served, ServerError and ConnectionLost.
+// Transport makes calls to engines. It never retries a call by itself. The statuses that it returns are
+// StatusNotSent and StatusConnectFailed (the last byte was not written), StatusRejected, StatusPrefilled,
+// StatusServed, StatusServerError and StatusConnectionLost.
 type Transport interface {
 	// Send makes an attempt and returns at its first piece or its end. When ctx
 	// ends, it cancels the attempt at once. It then waits a few ms at most until the engine
 	// has noticed, where the protocol shows that. ctx also bounds the returned stream.
 	Send(ctx context.Context, a Attempt) AttemptResult
 	// Reserve asks a decode engine to hold a reservation for a request that is still in prefill.
-	// It calls ready right before the first byte is written; false forbids the write.
-	Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, ready func() bool) ReserveResult
+	// It calls mayWrite right before the first byte is written; false forbids the write.
+	Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, mayWrite func() bool) ReserveResult
 	// Release has KV state and reservations for a request dropped. It returns nil once the engine has sent
 	// something back, ErrUnanswered if the call was written but may not have arrived, and ErrLocalFailure if
-	// this machine could not make the call. After a try without an answer, fresh demands a connection that
-	// did not exist at that try. Release may use a few sockets beyond the limit for attempts.
-	Release(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, fresh bool) error
+	// this machine could not make the call. newConnection is set after a try without an answer: it demands a
+	// connection that did not exist at that try. Release may use a few sockets beyond the limit for attempts.
+	Release(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, newConnection bool) error
 	// Probe asks an engine for its load report.
 	Probe(ctx context.Context, engine ashwood.Server) (ashwood.Status, ashwood.Report)
 }
--- a/internal/grpcfront/boxes.go
+++ b/internal/grpcfront/boxes.go
@@ -221,20 +221,20 @@
 // grpc hands over the whole message or nothing. The headers are computed once the connection
 // is ready.
 func (e *Engines) openCall(
-	ctx context.Context, engine ashwood.Server, method string, msg any, ready func() bool, headers ...func() (name, value string),
+	ctx context.Context, engine ashwood.Server, method string, msg any, mayWrite func() bool, headers ...func() (name, value string),
 ) (*engineCall, error) {
 	cc, err := e.readyConn(ctx, engine.Address)
 	if err != nil {
 		return nil, err
 	}
-	return openCallOn(ctx, cc, engine, method, msg, ready, headers...)
+	return openCallOn(ctx, cc, engine, method, msg, mayWrite, headers...)
 }
 
 // openCallOn is openCall on a connection that is ready.
 func openCallOn(
-	ctx context.Context, cc *grpc.ClientConn, engine ashwood.Server, method string, msg any, ready func() bool, headers ...func() (name, value string),
+	ctx context.Context, cc *grpc.ClientConn, engine ashwood.Server, method string, msg any, mayWrite func() bool, headers ...func() (name, value string),
 ) (c *engineCall, err error) {
-	if !ready() {
+	if !mayWrite() {
 		return nil, errNotReady
 	}
 	for _, header := range headers {
@@ -293,8 +293,8 @@
 }
 
 // Reserve asks a decode engine for a reservation.
-func (e *Engines) Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, ready func() bool) gateway.ReserveResult {
-	c, err := e.openCall(ctx, engine, ashwoodpb.Box_Reserve_FullMethodName, &ashwoodpb.RoomRequest{RequestId: string(id)}, ready)
+func (e *Engines) Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, mayWrite func() bool) gateway.ReserveResult {
+	c, err := e.openCall(ctx, engine, ashwoodpb.Box_Reserve_FullMethodName, &ashwoodpb.RoomRequest{RequestId: string(id)}, mayWrite)
 	if err != nil {
 		return gateway.ReserveNotSent
 	}
--- a/internal/handover/group.go
+++ b/internal/handover/group.go
@@ -6,7 +6,7 @@
 //
 // Membership is shared through a directory, without messages. Each process holds a file there,
 // locked for as long as it lives. The kernel drops the lock however the process ends, so a stale
-// file can be told from a living process without a clock. A file's content is used only if it
+// file can be distinguished from a living process without a clock. A file's content is used only if it
 // can be read as a whole.
 package handover
 
--- a/internal/platform/conn.go
+++ b/internal/platform/conn.go
@@ -49,7 +49,7 @@
 	closed            bool
 	queueDrained      chan struct{}             // closed once the accept queue is empty at the end; nil = not requested
 	queueDrainStart   time.Time                 // when the current wait for the accept queue began
-	handshakesDropped bool                      // the kernel was told to drop new handshakes
+	handshakesDropped bool                      // the kernel has been made to drop new handshakes
 	closingIdle       bool                      // connections without a request are closed at once
 	stopOnce          sync.Once                 // guards stopAccepting
 	readLimit         atomic.Pointer[time.Time] // no request is read for longer than this; nil = no bound
@@ -203,8 +203,8 @@
 }
 
 // evict selects a connection without an open request, marks it as closing and returns it with the
-// reason; nil if all have requests. First goes one that has sent nothing for silentTimeout since it was
-// accepted; then the connection that has been idle longest after an answer; then, of those with an
+// reason; nil if all have requests. Its first choice is one that has sent nothing for silentTimeout since it
+// was accepted; then the connection that has been idle longest after an answer; then, of those with an
 // unfinished first request, the one that has sent nothing for longest: a slow writer still writes,
 // and a connection accepted just now may not have been read yet.
 func (l *listener) evict(now time.Time) (c *clientConn, reason string) {
@@ -309,7 +309,7 @@
 func (c *clientConn) recordRead() { c.lastRead.Store(int64(time.Since(c.listener.started))) }
 
 // beginRequest records that a whole request has been read, and reports whether there is room for it
-// beside the other open requests.
+// in addition to the other open requests.
 func (c *clientConn) beginRequest() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
--- a/internal/platform/engines.go
+++ b/internal/platform/engines.go
@@ -74,7 +74,7 @@
 	return e
 }
 
-// Log sets the logger that records each new connection at level debug. It must be
+// SetLogger sets the logger that records each new connection at level debug. It must be
 // called before the first request.
 func (e *Engines) SetLogger(log *slog.Logger) { e.pool.log = log }
 
@@ -110,7 +110,7 @@
 	choice   connChoice // which connections it may use
 	header   *fasthttp.RequestHeader
 	body     []byte
-	mayWrite func() bool       // called right before the first byte is written: false cancels the call; nil = always ready
+	mayWrite func() bool       // called right before the first byte is written: false cancels the call; nil = always true
 	sent     func()            // called right after the last byte has been written; nil = no call
 	abort    func(*engineConn) // ends a connection whose response is not read to its end; nil = close it at once
 }
@@ -210,7 +210,7 @@
 	header.Set(headerID, string(attempt.ID))
 	header.SetContentLength(len(attempt.Body))
 	start := e.clock.Now()
-	ready := func() bool { // the time spent on connecting counts against the remaining time
+	mayWrite := func() bool { // the time spent on connecting counts against the remaining time
 		header.Set(headerRemaining, strconv.FormatFloat(max(attempt.Remaining-(e.clock.Now()-start), 0)/1000, 'f', 3, 64))
 		return attempt.MayWrite()
 	}
@@ -220,7 +220,7 @@
 		choice = newConn
 	}
 	c, written, err := e.roundTrip(ctx, engineCall{
-		addr: attempt.Engine.Address, choice: choice, header: header, body: attempt.Body, mayWrite: ready, sent: attempt.OnSent, abort: e.pool.abandon,
+		addr: attempt.Engine.Address, choice: choice, header: header, body: attempt.Body, mayWrite: mayWrite, sent: attempt.OnSent, abort: e.pool.abandon,
 	}, &response)
 	if err != nil {
 		return failedAnswer(ctx, written, err)
@@ -309,11 +309,11 @@
 }
 
 // Reserve asks a decode engine for a reservation.
-func (e *Engines) Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, ready func() bool) gateway.ReserveResult {
+func (e *Engines) Reserve(ctx context.Context, engine ashwood.Server, id ashwood.RequestID, mayWrite func() bool) gateway.ReserveResult {
 	var response fasthttp.ResponseHeader
 	header := newRequestHeader(fasthttp.MethodPost, holdsPath+string(id), engine.Address)
 	header.SetContentLength(0)
-	c, written, err := e.roundTrip(ctx, engineCall{addr: engine.Address, header: header, mayWrite: ready}, &response)
+	c, written, err := e.roundTrip(ctx, engineCall{addr: engine.Address, header: header, mayWrite: mayWrite}, &response)
 	if err == nil {
 		_, err = e.readShortBody(ctx, c, &response, e.pool.discard)
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -187,7 +187,7 @@
 }
 
 // A side-effect request is sent again only on proof that it has not run, and only then is the client
-// told to retry.
+// asked to retry.
 func TestSideEffect_FirstAttemptOutcomes(t *testing.T) {
 	tests := []struct {
 		name, first string
@@ -221,7 +221,7 @@
 	}
 }
 
-// A refused request's client is told when to retry.
+// The answer to a refused request says when to retry.
 func TestRefusal_RetryAfter(t *testing.T) {
 	c := startAndDial(t)
 	r, body, err := roundTrip(t, c, strings.Replace(requestText("order", "", "{}"), "15.000", "0.100", 1))
--- a/internal/platform/queue.go
+++ b/internal/platform/queue.go
@@ -16,7 +16,7 @@
 // This file empties the kernel's accept queue before a listener is closed: the close resets the
 // connections that wait in it, with the requests that their clients have written. However often the
 // queue is polled, a connection may complete its handshake between the last poll and the close. So the
-// kernel is first told to drop new handshakes, and the last poll follows that.
+// kernel is first made to drop new handshakes, and the last poll follows that.
 
 // queueDrainTime is how long the connections in the accept queue are accepted at the end. If the process
 // notices the end later than by queueDrainSlack, it was delayed and more connections have arrived.
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -35,8 +35,8 @@
 // Handler serves requests: a gateway or a router.
 type Handler interface {
 	Serve(ctx context.Context, req *gateway.Request) (gateway.Reply, error)
-	// TurnAway records that a request of a class is refused before it is served, for want of room, and
-	// returns the ms after which its client may retry; 0 = no advice.
+	// RecordRefusal records that a request of a class is refused before it is served, for lack of
+	// capacity, and returns the ms after which its client may retry; 0 = no advice.
 	RecordRefusal(class string) float64
 }
 
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -49,7 +49,7 @@
 }
 
 // Clients keep sending requests for a while after SIGTERM, on open and on new connections. They are
-// served and told to close, and requests running at the end are finished.
+// served and asked to close, and requests running at the end are finished.
 func TestDrain_NewAndRunningRequests(t *testing.T) {
 	writing, finish := make(chan struct{}, 9), make(chan struct{})
 	s, addr := startServer(t, scriptedEngine(t, "r1", "reader", scriptPrefill), scriptedEngine(t, "w1", "writer", scriptDecode(func(engineRequest) string {
--- a/internal/release/ledger_test.go
+++ b/internal/release/ledger_test.go
@@ -205,7 +205,7 @@
 
 // Guards against repeating an uncertain release after its request was sent to another engine while the call was in flight.
 // Only a release that had already been delivered was withdrawn at a send: here the call ended after the send and was repeated
-// 150 and 450 ms later, which dropped what was held by then. Seen now and then in TestHolds_AbandonedBesideNextAttempt under
+// 150 and 450 ms later, which dropped what was held by then. Seen occasionally in TestHolds_AbandonedBesideNextAttempt under
 // the race detector ("r1 was told beside what was sent since").
 func TestLedger_RequestSentDuringUncertainRelease(t *testing.T) {
 	l := newTestLedger(10)
--- a/internal/trend/trend.go
+++ b/internal/trend/trend.go
@@ -24,7 +24,7 @@
 	meanX, meanXX, meanXY float64
 }
 
-// Expect returns the latency in ns to expect behind so many queued tokens, at least a quarter of
+// Expect returns the latency in ns to expect with this number of tokens queued ahead, at least a quarter of
 // the mean. It is 0 before the first observation.
 func (l *LatencyLine) Expect(tokens float64) float64 {
 	slope := 0.0
@@ -34,7 +34,7 @@
 	return max(l.Mean+slope*(tokens-l.meanX), l.Mean/4)
 }
 
-// Observe adds a latency that was observed behind so many queued tokens.
+// Observe adds a latency that was observed with this number of tokens queued ahead.
 func (l *LatencyLine) Observe(now, latency time.Duration, tokens float64) {
 	l.Count++
 	l.Last = now
@@ -63,7 +63,7 @@
 // FleetTotal estimates the sum over all nodes of a quantity at one server. own is this
 // node's value there, mean the mean of its values over the servers, and each the value of
 // one request. The other nodes are assumed to be at the mean, and to share this node's
-// deviation from it only as far as the mean rests on more than about one request per
+// deviation from it only as far as the mean is based on more than about one request per
 // server: with many nodes, one request in flight is chance.
 func FleetTotal(nodes int, own, mean, each float64) float64 {
 	shrinkage := max(1-2/float64(nodes), 0)
--- a/router/answer.go
+++ b/router/answer.go
@@ -71,7 +71,7 @@
 
 // Adopt continues an answer that another process of this gateway has started; see
 // gateway.Gateway. From now on it counts as a request of this router. Limits don't apply to it.
-func (r *Router) Adopt(ctx context.Context, live gateway.HandoverState, newStream func(context.Context, gateway.Transport) (gateway.Stream, error)) (gateway.Stream, error) {
+func (r *Router) Adopt(ctx context.Context, state gateway.HandoverState, newStream func(context.Context, gateway.Transport) (gateway.Stream, error)) (gateway.Stream, error) {
 	requestCtx, cancel := context.WithCancelCause(ctx)
 	entry := &activeRequest{cancel: cancel}
 	r.mu.Lock()
@@ -84,12 +84,12 @@
 		entry.cancel(nil)
 		return nil, fmt.Errorf("router: %w", err)
 	}
-	inner, err := r.gateway.Adopt(requestCtx, live, newStream)
+	inner, err := r.gateway.Adopt(requestCtx, state, newStream)
 	if err != nil {
 		r.release(id)
 		return nil, err
 	}
-	return r.newStream(requestCtx, id, live.Class, inner), nil
+	return r.newStream(requestCtx, id, state.Class, inner), nil
 }
 
 // EndUnanswered ends the active requests whose answer has not started, and releases the KV
--- a/router/router.go
+++ b/router/router.go
@@ -107,7 +107,7 @@
 // WithLogger sets the logger; by default nothing is logged.
 func WithLogger(l *slog.Logger) Option { return func(o *options) { o.logger = l } }
 
-// WithSource adds a membership source; without one, the application must call Update.
+// WithSource adds a membership source. Without one, the application must call UpdateMembership.
 func WithSource(s Source) Option { return func(o *options) { o.sources = append(o.sources, s) } }
 
 // WithTransport sets the constructor of the transport to engines, which gets the Router's
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// Update applies a membership update, as from a Source.
+// UpdateMembership applies a membership update, as from a Source.
 func (r *Router) UpdateMembership(form ashwood.MembershipForm, engines []ashwood.Server) {
 	r.gateway.UpdateMembership(form, engines)
 	if form == ashwood.MembershipSnapshot {
@@ -224,12 +224,12 @@
 // itself; 0 = no advice.
 func (r *Router) RetryAfter() float64 { return r.gateway.RetryAfter() }
 
-// TurnAway counts a request that a front refuses by itself because it is overloaded, and
+// RecordRefusal counts a request that a front refuses by itself because it is overloaded, and
 // returns how many ms its client should wait, as RetryAfter does.
 func (r *Router) RecordRefusal(class string) float64 { return r.gateway.RecordRefusal(class) }
 
 // Serve carries a request to its final reply: refused, failed, or served with a stream that
-// has its first piece. It is for fronts; a request that limits turn away gets a refused reply
+// has its first piece. It is for fronts; a request that limits refuse gets a refused reply
 // like any other. The end of ctx means that the client has disconnected. The caller must
 // close a served reply's stream.
 func (r *Router) Serve(ctx context.Context, req *gateway.Request) (gateway.Reply, error) {
